--- a/programs/quayctl.cpp
+++ b/programs/quayctl.cpp
@@ -1,4 +1,5 @@
-// The operators' command line.
+// quayctl, the operators' command line tool: checks and applies configuration, manages keys, and
+// queries nodes.
 #include "peridotquay/process/BlockingHttp.h"
 #include "peridotquay/process/LogTrace.h"
 #include "peridotquay/process/OperatorCommands.h"
@@ -21,21 +22,24 @@
 ABSL_FLAG(bool, json, false, "print JSON");
 ABSL_FLAG(std::string, operator, "", "name of the operator for the audit trail");
 ABSL_FLAG(std::string, summary, "", "what the change is for");
-ABSL_FLAG(std::string, against, "", "version that the change was written for, or latest");
+ABSL_FLAG(std::string, against, "", "version that the change is based on, or latest");
 ABSL_FLAG(bool, wait, false, "wait until the change is in force everywhere");
-ABSL_FLAG(std::uint32_t, timeout_ms, 15000, "limit of --wait, or of a request to a node");
+ABSL_FLAG(std::uint32_t,
+          timeout_ms,
+          15000,
+          "timeout of --wait or of a request to a node, in milliseconds");
 ABSL_FLAG(std::string, account, "", "client account");
 ABSL_FLAG(std::string, label, "", "label of a key");
 ABSL_FLAG(std::string, node, "", "admin address of a node, ip:port");
 ABSL_FLAG(std::string, path, "", "path of a request");
-ABSL_FLAG(std::uint32_t, limit, 20, "number of changes");
-ABSL_FLAG(std::string, operation, "", "operation id to look for");
+ABSL_FLAG(std::uint32_t, limit, 20, "number of changes to show");
+ABSL_FLAG(std::string, operation, "", "id of the operation to show");
 
 using namespace peridotquay;
 
 namespace {
 
-/// Failure of the command line itself: exit code 1.
+/// Thrown for wrong arguments; the process then exits with kExitUsage.
 struct UsageError
 {
   std::string text_;
@@ -51,7 +55,7 @@
   std::function<OperatorReport(const Arguments&)> run_;
 };
 
-Address ParseOrThrow(const std::string& aText, const char* aFlag)
+Address ParseAddressOrThrow(const std::string& aText, const char* aFlag)
 {
   const auto address = ParseAddress(aText);
   if (!address || address->port_ == 0) {
@@ -64,7 +68,7 @@
 {
   PlatformSettings settings;
   for (const auto& text : absl::GetFlag(FLAGS_platform)) {
-    settings.addresses_.push_back(ParseOrThrow(text, "--platform"));
+    settings.addresses_.push_back(ParseAddressOrThrow(text, "--platform"));
   }
   if (settings.addresses_.empty()) {
     throw UsageError{ "--platform is required" };
@@ -72,7 +76,7 @@
   return MakePlatformClient(std::move(settings));
 }
 
-std::string Required(const absl::Flag<std::string>& aFlag, const char* aName)
+std::string RequiredFlag(const absl::Flag<std::string>& aFlag, const char* aName)
 {
   auto value = absl::GetFlag(aFlag);
   if (value.empty()) {
@@ -81,7 +85,7 @@
   return value;
 }
 
-std::optional<Version> ParseAgainst(const std::string& aText)
+std::optional<Version> ParseBaseVersion(const std::string& aText)
 {
   if (aText == "latest") {
     return std::nullopt;
@@ -95,30 +99,30 @@
   return version;
 }
 
-/// Options of a command that writes. The summary defaults to what the command does.
-WriteOptions WriteFlags(const std::string& aAgainst, const std::string& aSummary)
+/// Options of a command that writes a new version. aSummary is used if --summary isn't given.
+WriteOptions WriteOptionsFromFlags(const std::string& aAgainst, const std::string& aSummary)
 {
   WriteOptions options;
-  options.operator_ = Required(FLAGS_operator, "--operator");
+  options.operator_ = RequiredFlag(FLAGS_operator, "--operator");
   options.summary_ = absl::GetFlag(FLAGS_summary);
   if (options.summary_.empty()) {
     options.summary_ = aSummary;
   }
-  options.against_ = ParseAgainst(aAgainst);
+  options.against_ = ParseBaseVersion(aAgainst);
   options.wait_ = absl::GetFlag(FLAGS_wait);
   options.timeout_ = milliseconds(absl::GetFlag(FLAGS_timeout_ms));
   return options;
 }
 
-std::string AgainstOrLatest()
+std::string BaseVersionOrLatest()
 {
   const auto against = absl::GetFlag(FLAGS_against);
   return against.empty() ? "latest" : against;
 }
 
-OperatorReport AskNode(const std::string& aMethod, const std::string& aTarget)
+OperatorReport QueryNode(const std::string& aMethod, const std::string& aTarget)
 {
-  return NodeCommand(ParseOrThrow(Required(FLAGS_node, "--node"), "--node"),
+  return NodeCommand(ParseAddressOrThrow(RequiredFlag(FLAGS_node, "--node"), "--node"),
                      aMethod,
                      aTarget,
                      milliseconds(absl::GetFlag(FLAGS_timeout_ms)));
@@ -126,35 +130,36 @@
 
 OperatorReport RunApply(const Arguments& aArguments)
 {
-  const auto options = WriteFlags(Required(FLAGS_against, "--against"), "apply " + aArguments[0]);
+  const auto options =
+    WriteOptionsFromFlags(RequiredFlag(FLAGS_against, "--against"), "apply " + aArguments[0]);
   return ApplyCommand(*PlatformFromFlags(), aArguments[0], options);
 }
 
 OperatorReport RunGrant(const Arguments&)
 {
-  const auto account = Required(FLAGS_account, "--account");
-  const auto options = WriteFlags(AgainstOrLatest(), "grant a key to " + account);
+  const auto account = RequiredFlag(FLAGS_account, "--account");
+  const auto options = WriteOptionsFromFlags(BaseVersionOrLatest(), "grant a key to " + account);
   return GrantCommand(*PlatformFromFlags(), account, absl::GetFlag(FLAGS_label), options);
 }
 
 OperatorReport RunWithdraw(const Arguments& aArguments)
 {
-  const auto options = WriteFlags(AgainstOrLatest(), "withdraw a key");
+  const auto options = WriteOptionsFromFlags(BaseVersionOrLatest(), "withdraw a key");
   return WithdrawCommand(*PlatformFromFlags(), aArguments[0], options);
 }
 
 OperatorReport RunStatus(const Arguments&)
 {
   return absl::GetFlag(FLAGS_node).empty() ? FleetStatusCommand(*PlatformFromFlags())
-                                           : AskNode("GET", "/status");
+                                           : QueryNode("GET", "/status");
 }
 
 OperatorReport RunExplain(const Arguments&)
 {
-  const auto path = Required(FLAGS_path, "--path");
-  return AskNode("GET",
-                 "/explain?path=" + EscapeUrl(path) +
-                   "&account=" + EscapeUrl(absl::GetFlag(FLAGS_account)));
+  const auto path = RequiredFlag(FLAGS_path, "--path");
+  return QueryNode("GET",
+                   "/explain?path=" + EscapeUrl(path) +
+                     "&account=" + EscapeUrl(absl::GetFlag(FLAGS_account)));
 }
 
 const std::vector<Command>& Commands()
@@ -227,7 +232,7 @@
       "drain --node=ip:port\n"
       "  Tells a node to finish its calls and leave.\n",
       0,
-      [](const Arguments&) { return AskNode("POST", "/drain"); } },
+      [](const Arguments&) { return QueryNode("POST", "/drain"); } },
   };
   return kCommands;
 }
@@ -245,7 +250,7 @@
   aStream << kCommonHelp;
 }
 
-/// The command that the words begin with; null if there is none.
+/// Finds the command by its name, which is the first one or two words; null if there is none.
 const Command* FindCommand(const Arguments& aWords)
 {
   for (const auto& command : Commands()) {
@@ -293,8 +298,9 @@
   }
 }
 
-/// Whether help is asked for. Checked before Abseil, whose own help lists every flag.
-bool WantsHelp(int aCount, char** aArguments, Arguments& aWords)
+/// Whether --help or -h is given; aWords receives the other arguments that aren't flags. Called
+/// before Abseil parses the flags, because Abseil's own help lists the flags of every library.
+bool IsHelpRequested(int aCount, char** aArguments, Arguments& aWords)
 {
   bool help = false;
   for (int i = 1; i < aCount; ++i) {
@@ -312,7 +318,7 @@
 int main(int aCount, char** aArguments)
 {
   Arguments helpWords;
-  if (WantsHelp(aCount, aArguments, helpWords)) {
+  if (IsHelpRequested(aCount, aArguments, helpWords)) {
     PrintHelp(std::cout, FindCommand(helpWords));
     return 0;
   }
--- a/programs/quayd.cpp
+++ b/programs/quayd.cpp
@@ -1,4 +1,4 @@
-// The node process on each target host.
+// quayd, the node process that runs on each target's host.
 #include "peridotquay/process/Events.h"
 #include "peridotquay/process/LogOutput.h"
 #include "peridotquay/process/MakeControlPlane.h"
@@ -45,8 +45,8 @@
   "5 unknown setting, 6 wrong type, 7 value out of range, 8 setting missing, 9 contradiction,\n"
   "10 address in use, 11 port file not writable, 12 ended at once, 20 other failure.";
 
-// A settings file that was changed without a signal is noticed after this.
-constexpr timespec kSettingsCheck{ 2, 0 };
+// How often the settings file is checked for a change.
+constexpr timespec kSettingsCheckInterval{ 2, 0 };
 
 constexpr int kExitUsage = 1;
 constexpr int kExitPortFile = 11;
@@ -77,7 +77,7 @@
   }
 }
 
-sigset_t HandledSignals()
+sigset_t MakeHandledSignals()
 {
   sigset_t signals;
   sigemptyset(&signals);
@@ -88,11 +88,11 @@
   return signals;
 }
 
-/// What the settings file says.
+/// Parsed content of the settings file.
 struct FileSettings
 {
   NodeSettings node_;
-  std::optional<platform::PlatformSettings> platform_; ///< Set on the users' platform.
+  std::optional<platform::PlatformSettings> platform_; ///< Set if the file has a table `adapter`.
   bool operator==(const FileSettings&) const = default;
 };
 
@@ -102,16 +102,16 @@
   FileSettings settings;
   BOOST_OUTCOME_TRY(node, ParseNodeSettingsText(text, aFile));
   settings.node_ = std::move(node);
-  BOOST_OUTCOME_TRY(adapted, platform::HasPlatformSettings(text, aFile));
-  if (adapted) {
-    BOOST_OUTCOME_TRY(adapter, platform::ParsePlatformSettings(text, aFile));
-    settings.platform_ = std::move(adapter);
+  BOOST_OUTCOME_TRY(hasPlatform, platform::HasPlatformSettings(text, aFile));
+  if (hasPlatform) {
+    BOOST_OUTCOME_TRY(platformSettings, platform::ParsePlatformSettings(text, aFile));
+    settings.platform_ = std::move(platformSettings);
   }
   return settings;
 }
 
-/// Time of the file's last change in nanoseconds; 0 if it can't be read.
-std::int64_t ChangeTime(const std::string& aFile)
+/// Time of the file's last modification in nanoseconds since 1970; 0 if it can't be read.
+std::int64_t ChangeTimeNs(const std::string& aFile)
 {
   struct stat status
   {};
@@ -121,24 +121,24 @@
   return static_cast<std::int64_t>(status.st_mtim.tv_sec) * 1'000'000'000 + status.st_mtim.tv_nsec;
 }
 
-/// The settings in force and the file that they came from.
+/// The settings file and the settings in force.
 class SettingsFile
 {
 public:
   SettingsFile(std::string aFile, FileSettings aSettings)
     : file_(std::move(aFile))
-    , changed_(ChangeTime(file_))
+    , changeTimeNs_(ChangeTimeNs(file_))
     , settings_(std::move(aSettings))
   {
   }
 
-  bool HasChanged() const { return ChangeTime(file_) != changed_; }
+  bool HasChanged() const { return ChangeTimeNs(file_) != changeTimeNs_; }
 
-  /// Reads the file again. Settings of the policy take effect at once, others with the next start;
-  /// a file with errors changes nothing.
+  /// Reads the file again. A changed policy takes effect at once, other settings at the next start
+  /// of the process. A file with errors is rejected whole.
   void Reload(Node& aNode)
   {
-    changed_ = ChangeTime(file_);
+    changeTimeNs_ = ChangeTimeNs(file_);
     auto read = ReadSettings(file_);
     if (read.has_error()) {
       LogEvent(Event::kSettingsRejected, { { "error", Describe(read.assume_error()) } });
@@ -160,11 +160,12 @@
 
 private:
   std::string file_;
-  std::int64_t changed_ = 0;
-  FileSettings settings_; ///< In force.
+  std::int64_t changeTimeNs_ = 0;
+  FileSettings settings_; ///< The settings in force.
 };
 
-// Waits for signals on its own thread, so that no code runs in a signal handler.
+// Handles signals on a thread of its own, so that no code runs in a signal handler. The first
+// SIGTERM or SIGINT drains the node, the second stops it.
 class SignalThread
 {
 public:
@@ -180,15 +181,15 @@
     pthread_kill(thread_.native_handle(), SIGUSR1);
     thread_.join();
   }
-  bool Stopped() const { return stopped_; }
+  bool WasStopped() const { return stopped_; }
 
 private:
   void Wait(Node& aNode, SettingsFile& aSettings)
   {
-    const sigset_t signals = HandledSignals();
+    const sigset_t signals = MakeHandledSignals();
     bool draining = false;
     while (!ending_) {
-      const int received = sigtimedwait(&signals, nullptr, &kSettingsCheck);
+      const int received = sigtimedwait(&signals, nullptr, &kSettingsCheckInterval);
       if (received == SIGHUP || (received < 0 && aSettings.HasChanged())) {
         aSettings.Reload(aNode);
       }
@@ -242,10 +243,10 @@
   SettingsFile file(aFile, aSettings);
   const SignalThread signals(*node.assume_value(), file);
   node.assume_value()->Run();
-  return signals.Stopped() ? kExitStopped : 0;
+  return signals.WasStopped() ? kExitStopped : 0;
 }
 
-// Abseil knows flag names with underscores only; dashes in them are accepted as well.
+// Replaces dashes in flag names by underscores, which are all that Abseil accepts.
 std::vector<std::string> NormalizeFlags(int aCount, char** aArguments)
 {
   std::vector<std::string> arguments(aArguments, aArguments + aCount);
@@ -303,11 +304,11 @@
     FLAGS_log_dir = logDirectory;
   }
   google::InitGoogleLogging(aArguments[0]);
-  // Threads inherit the mask, so it is set before any is started.
-  const sigset_t signals = HandledSignals();
+  // Threads inherit the signal mask, so the signals are blocked before any thread starts.
+  const sigset_t signals = MakeHandledSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
-  // On the users' platform lines go to standard output, and never block.
+  // On the users' platform, log lines go to standard output through a writer that never blocks.
   LogOutput output(STDOUT_FILENO, settings.assume_value().node_.host_.value_);
   if (settings.assume_value().platform_) {
     SetLogOutput(&output);
--- a/programs/quayload.cpp
+++ b/programs/quayload.cpp
@@ -1,4 +1,5 @@
-// Load and experiment tool: list, run, compare and demo.
+// quayload, the load generator and experiment tool: lists and runs scenarios, compares the product
+// with a naive baseline and shows a demo.
 #include "standins/lib/LoadDemo.h"
 #include "standins/lib/LoadExperiment.h"
 #include "standins/lib/LoadScore.h"
@@ -12,35 +13,36 @@
 #include <filesystem>
 #include <iostream>
 
-ABSL_FLAG(std::string, scenario, "steady", "one of `quayload list`");
+ABSL_FLAG(std::string, scenario, "steady", "a scenario of `quayload list`");
 ABSL_FLAG(std::string, profile, "foundry", "foundry or landesamt");
 ABSL_FLAG(uint64_t, seed, 1, "seed of arrivals, service times and all random choices");
-ABSL_FLAG(int, turns, 1, "runs with the seeds from --seed on");
+ABSL_FLAG(int, turns, 1, "number of runs, with consecutive seeds from --seed on");
 ABSL_FLAG(bool, naive, false, "run: use the naive baseline instead of the product");
 ABSL_FLAG(bool, json, false, "print one JSON object");
-ABSL_FLAG(std::string, binaries, "", "folder of the programs; that of quayload if empty");
+ABSL_FLAG(std::string, binaries, "", "folder of the other programs; by default that of quayload");
 
 namespace {
 
-// A withdrawn key must not be served later than this after the withdrawal began.
-constexpr double kWithdrawnKeySeconds = 3;
+// Longest time after the start of a key's withdrawal in which requests with it may be served.
+constexpr double kMaxWithdrawnKeySeconds = 3;
 
 using namespace peridotquay;
 using namespace peridotquay::standins;
 
-// Exit statuses.
-constexpr int kFailed = 1;        // The experiment could not be run.
-constexpr int kUsage = 2;         // Wrong arguments.
-constexpr int kHistoryBroken = 3; // The product broke a promise.
+// Exit codes.
+constexpr int kExitFailed = 1;          // The experiment could not be run.
+constexpr int kExitBadArguments = 2;    // Wrong arguments.
+constexpr int kExitGuaranteeBroken = 3; // The product broke a guarantee.
 
+// Mean, minimum and maximum of the results of several runs.
 struct Spread
 {
   double mean_ = 0;
-  double least_ = 0;
-  double most_ = 0;
+  double min_ = 0;
+  double max_ = 0;
 };
 
-Spread SpreadOf(const std::vector<double>& aValues)
+Spread ComputeSpread(const std::vector<double>& aValues)
 {
   Spread spread;
   if (aValues.empty()) {
@@ -49,26 +51,27 @@
   for (const double value : aValues) {
     spread.mean_ += value / static_cast<double>(aValues.size());
   }
-  spread.least_ = *std::min_element(aValues.begin(), aValues.end());
-  spread.most_ = *std::max_element(aValues.begin(), aValues.end());
+  spread.min_ = *std::min_element(aValues.begin(), aValues.end());
+  spread.max_ = *std::max_element(aValues.begin(), aValues.end());
   return spread;
 }
 
 nlohmann::json SpreadJson(const std::vector<double>& aValues)
 {
-  const Spread spread = SpreadOf(aValues);
-  return { { "mean", spread.mean_ }, { "least", spread.least_ }, { "most", spread.most_ } };
+  const Spread spread = ComputeSpread(aValues);
+  return { { "mean", spread.mean_ }, { "least", spread.min_ }, { "most", spread.max_ } };
 }
 
-std::string Binaries()
+std::string BinariesFolder()
 {
   const std::string given = absl::GetFlag(FLAGS_binaries);
   return given.empty() ? std::filesystem::read_symlink("/proc/self/exe").parent_path().string()
                        : given;
 }
 
-// Goodput of the phase that a scenario is about: "trigger", or "before" if nothing happens.
-double MainGoodput(const LoadReport& aReport)
+// Goodput of the phase that the scenario tests: "trigger", or "before" if the scenario has no
+// trigger.
+double MainPhaseGoodput(const LoadReport& aReport)
 {
   const std::string wanted = aReport.hasTrigger_ ? "trigger" : "before";
   double goodput = 0;
@@ -80,7 +83,7 @@
   return goodput;
 }
 
-int List()
+int ListScenarios()
 {
   const FleetProfile profile = FindProfile("foundry");
   nlohmann::json json;
@@ -91,12 +94,12 @@
       std::cout << name << std::string(20 - name.size(), ' ') << description << "\n";
     }
   }
-  const std::vector<std::pair<std::string, std::string>> measures = {
-    { "latency", "added latency through two hosts, by turns with direct calls" },
+  const std::vector<std::pair<std::string, std::string>> measurements = {
+    { "latency", "added latency of calls through two hosts, alternating with direct calls" },
     { "changes", "time until configuration changes are in force on every host" },
-    { "quiet", "processor and memory cost of nodes without traffic" },
+    { "quiet", "CPU and memory use of nodes without traffic" },
   };
-  for (const auto& [name, description] : measures) {
+  for (const auto& [name, description] : measurements) {
     json.push_back({ { "scenario", name }, { "description", description } });
     if (!absl::GetFlag(FLAGS_json)) {
       std::cout << name << std::string(20 - name.size(), ' ') << description << "\n";
@@ -138,7 +141,7 @@
   return json;
 }
 
-int Latency(bool aCompare)
+int RunLatency(bool aCompare)
 {
   nlohmann::json json{ { "scenario", "latency" }, { "seed", absl::GetFlag(FLAGS_seed) } };
   const int turns = std::max(absl::GetFlag(FLAGS_turns), 3);
@@ -147,10 +150,10 @@
               : !aCompare && absl::GetFlag(FLAGS_naive)) {
       continue;
     }
-    const auto measured = MeasureLatency(Binaries(), absl::GetFlag(FLAGS_seed), turns, naive);
+    const auto measured = MeasureLatency(BinariesFolder(), absl::GetFlag(FLAGS_seed), turns, naive);
     if (!measured) {
       std::cerr << "quayload: " << Describe(measured.assume_error()) << "\n";
-      return kFailed;
+      return kExitFailed;
     }
     json[naive ? "naive" : "product"] = LatencyJson(measured.assume_value());
   }
@@ -158,33 +161,33 @@
   return 0;
 }
 
-int Changes(const ExperimentSettings& aSettings)
+int RunChanges(const ExperimentSettings& aSettings)
 {
   constexpr int kCount = 30;
   const auto measured = MeasureChanges(aSettings, kCount);
   if (!measured) {
     std::cerr << "quayload: " << Describe(measured.assume_error()) << "\n";
-    return kFailed;
+    return kExitFailed;
   }
   const auto& times = measured.assume_value();
-  const auto quick =
+  const auto withinOneSecond =
     std::count_if(times.begin(), times.end(), [](double aTime) { return aTime <= 1; });
   const nlohmann::json json{ { "scenario", "changes" },
                              { "changes", times.size() },
-                             { "within_1_s", quick },
+                             { "within_1_s", withinOneSecond },
                              { "p50_s", Percentile(times, 0.5) },
                              { "longest_s", Percentile(times, 1) } };
   std::cout << json.dump(2) << "\n";
   return 0;
 }
 
-int Quiet(const ExperimentSettings& aSettings)
+int RunQuiet(const ExperimentSettings& aSettings)
 {
   constexpr int kSeconds = 10;
   const auto measured = MeasureQuiet(aSettings, kSeconds);
   if (!measured) {
     std::cerr << "quayload: " << Describe(measured.assume_error()) << "\n";
-    return kFailed;
+    return kExitFailed;
   }
   const QuietCost& cost = measured.assume_value();
   const nlohmann::json json{ { "scenario", "quiet" },
@@ -195,26 +198,26 @@
   return 0;
 }
 
-// Runs the scenario for the product, the naive baseline or both by turns.
-int Run(bool aCompare)
+// Runs the scenario with the product or the naive baseline, or with both alternately if aCompare.
+int RunScenario(bool aCompare)
 {
   ExperimentSettings settings;
-  settings.binaries_ = Binaries();
+  settings.binaries_ = BinariesFolder();
   settings.profile_ = FindProfile(absl::GetFlag(FLAGS_profile));
   settings.scenario_ = absl::GetFlag(FLAGS_scenario);
   if (settings.profile_.name_.empty()) {
     std::cerr << "quayload: --profile: foundry or landesamt\n";
-    return kUsage;
+    return kExitBadArguments;
   }
   if (settings.scenario_ == "latency") {
-    return Latency(aCompare);
+    return RunLatency(aCompare);
   }
   settings.seed_ = absl::GetFlag(FLAGS_seed);
   if (settings.scenario_ == "changes") {
-    return Changes(settings);
+    return RunChanges(settings);
   }
   if (settings.scenario_ == "quiet") {
-    return Quiet(settings);
+    return RunQuiet(settings);
   }
   const bool asJson = absl::GetFlag(FLAGS_json);
   nlohmann::json json{ { "scenario", settings.scenario_ },
@@ -240,11 +243,12 @@
       const auto report = RunExperiment(settings);
       if (!report) {
         std::cerr << "quayload: " << Describe(report.assume_error()) << "\n";
-        return report.assume_error().code_ == ErrorCode::kNotFound ? kUsage : kFailed;
+        return report.assume_error().code_ == ErrorCode::kNotFound ? kExitBadArguments
+                                                                   : kExitFailed;
       }
       const LoadReport& value = report.assume_value();
-      (isNaive ? naive : product).push_back(MainGoodput(value));
-      const bool keyEnded = value.withdrawnServedSeconds_.value_or(0) <= kWithdrawnKeySeconds;
+      (isNaive ? naive : product).push_back(MainPhaseGoodput(value));
+      const bool keyEnded = value.withdrawnServedSeconds_.value_or(0) <= kMaxWithdrawnKeySeconds;
       holds = holds && (isNaive || (value.history_.Holds() && keyEnded));
       auto entry = nlohmann::json::parse(ReportJson(value));
       entry["seed"] = settings.seed_;
@@ -258,16 +262,16 @@
   json["goodput"]["product"] = SpreadJson(product);
   json["goodput"]["naive"] = SpreadJson(naive);
   if (aCompare) {
-    const double naiveMean = SpreadOf(naive).mean_;
+    const double naiveMean = ComputeSpread(naive).mean_;
     json["goodput"]["ratio"] =
-      naiveMean > 0 ? nlohmann::json(SpreadOf(product).mean_ / naiveMean) : nlohmann::json();
+      naiveMean > 0 ? nlohmann::json(ComputeSpread(product).mean_ / naiveMean) : nlohmann::json();
   }
   if (asJson) {
     std::cout << json.dump(2) << "\n";
   } else if (aCompare) {
     std::cout << "goodput of the ideal: " << json["goodput"].dump() << "\n";
   }
-  return holds ? 0 : kHistoryBroken;
+  return holds ? 0 : kExitGuaranteeBroken;
 }
 
 } // namespace
@@ -278,15 +282,15 @@
   const std::vector<char*> words = absl::ParseCommandLine(aCount, aArguments);
   const std::string command = words.size() == 2 ? words[1] : "";
   if (command == "list") {
-    return List();
+    return ListScenarios();
   }
   if (command == "run" || command == "compare") {
-    return Run(command == "compare");
+    return RunScenario(command == "compare");
   }
   if (command == "demo") {
-    return RunDemo(Binaries(), absl::GetFlag(FLAGS_seed));
+    return RunDemo(BinariesFolder(), absl::GetFlag(FLAGS_seed));
   }
   std::cerr << "usage: quayload list | run | compare | demo [--scenario NAME] [--profile NAME] "
                "[--seed N] [--turns N] [--naive] [--json]\n";
-  return kUsage;
+  return kExitBadArguments;
 }
--- a/tests/platform/DecoderTest.cpp
+++ b/tests/platform/DecoderTest.cpp
@@ -1,5 +1,5 @@
-// Tests of everything that the adapter decodes: configuration, heartbeats, host records, rows and
-// settings.
+// Tests of the decoders of platform/: configuration documents, heartbeats, host records, store rows
+// and settings.
 #include "peridotquay/process/Settings.h"
 
 #include "platform/ConfigDecoder.h"
@@ -63,8 +63,8 @@
 
 } // namespace
 
-// Guards against a field of the operator's document that gets another meaning on the way.
-TEST_CASE("a configuration document is decoded field by field", "[platform]")
+// Guards against a field of the operator's document that is lost or stored under another meaning.
+TEST_CASE("the fields of a configuration document reach the configuration", "[platform]")
 {
   const auto config = Value(DecodeConfig(kDocument, Policy{}));
   CHECK(config->version_ == 7);
@@ -91,8 +91,8 @@
   CHECK(config->clientAccounts_.at({ "t2" }).ratePerSecond_ == 0);
 }
 
-// Guards against a request of unknown kind that runs twice.
-TEST_CASE("a route of unknown kind runs at most once", "[platform]")
+// Guards against a retry of a request that isn't known to be safe to repeat.
+TEST_CASE("requests on a route of unknown kind run at most once", "[platform]")
 {
   auto text = kDocument;
   text.replace(text.find("\"safe\""), 6, "\"keyed\"");
@@ -100,8 +100,8 @@
   CHECK_FALSE(FindHostRoute(*config, "h.example", "/x/1")->repeatable_);
 }
 
-// Guards against a document that is used in part.
-TEST_CASE("a malformed document is refused with the entry concerned", "[platform]")
+// Guards against a malformed document that is put in force without its malformed entries.
+TEST_CASE("a malformed document is rejected as a whole and the error names the entry", "[platform]")
 {
   struct Fault
   {
@@ -127,8 +127,9 @@
   }
 }
 
-// Guards against an order that puts a route's priority before the account's.
-TEST_CASE("an account's priority ranks before the route's", "[platform]")
+// Guards against shedding by the route's priority first, so that a less important account's
+// requests are kept and a more important account's are shed.
+TEST_CASE("an account's priority takes precedence over the route's", "[platform]")
 {
   Config config;
   config.clientAccounts_[{ "a" }] = { { "a" }, 0, 0, 1, 0 };
@@ -145,8 +146,8 @@
   CHECK(ImportanceFor(config, a, urgent) > Importance::kCritical);
 }
 
-// Guards against a late report of an earlier start that brings a dead target back.
-TEST_CASE("heartbeats are ordered by start and sequence", "[platform]")
+// Guards against a late heartbeat of an earlier start that replaces the state of the current one.
+TEST_CASE("heartbeats are ordered by start time, then by sequence", "[platform]")
 {
   const Heartbeat first = Value(DecodeHeartbeat("i-1", kHeartbeat));
   CHECK(first.slots_ == 54);
@@ -168,8 +169,8 @@
   CHECK_FALSE(IsNewer(earlier, first));
 }
 
-// Guards against a heartbeat of another writer that names a target.
-TEST_CASE("malformed heartbeats name no target", "[platform]")
+// Guards against a malformed heartbeat that registers a target.
+TEST_CASE("malformed heartbeats are rejected", "[platform]")
 {
   for (const char* body : { "",
                             "[]",
@@ -184,8 +185,8 @@
   CHECK(DecodeHeartbeat("", kHeartbeat).has_error());
 }
 
-// Guards against a record that comes back changed.
-TEST_CASE("host records survive coding", "[platform]")
+// Guards against a record field that is lost or changed between writer and reader.
+TEST_CASE("a decoded host record equals the encoded one", "[platform]")
 {
   CHECK(Value(DecodeRecord(EncodeRecord(SomeRecord()))) == SomeRecord());
   HostRecord unknown = SomeRecord();
@@ -193,10 +194,10 @@
   CHECK(Value(DecodeRecord(EncodeRecord(unknown))) == unknown);
 }
 
-// Guards against targets in the view that are gone.
-TEST_CASE("the view holds targets that are known and not gone", "[platform]")
+// Guards against requests that are routed to targets which left or were never reported.
+TEST_CASE("the target view has only targets that are known and haven't left", "[platform]")
 {
-  std::map<std::string, SeenRecord> records;
+  std::map<std::string, HostEntry> records;
   records["side-1"] = { SomeRecord(), 1, {} };
   records["side-2"] = { SomeRecord(), 1, {} };
   records["side-2"].record_.host_ = { "side-2" };
@@ -204,23 +205,25 @@
   records["side-3"] = { SomeRecord(), 1, {} };
   records["side-3"].record_.host_ = { "side-3" };
   records["side-3"].record_.targetId_.clear();
-  const TargetView view = MakeView(records);
+  const TargetView view = BuildTargetView(records);
   REQUIRE(view.targets_.at({ "s1" }).size() == 1);
   CHECK(view.targets_.at({ "s1" }).front().host_.value_ == "side-1");
   CHECK(view.hosts_.size() == 3);
 }
 
-TEST_CASE("rows are decoded with their versions", "[platform]")
+// Guards against conditional writes and watches that use a wrong row version.
+TEST_CASE("store rows are decoded with their versions", "[platform]")
 {
   const StoreRows rows = Value(ParseRows(kRows));
   CHECK(rows.version_ == 530);
-  CHECK(rows.more_);
+  CHECK(rows.hasMore_);
   REQUIRE(rows.rows_.size() == 2);
   CHECK(rows.rows_[0] == StoreRow{ "a", "node-1", 412, false });
   CHECK(rows.rows_[1] == StoreRow{ "b", "", 413, true });
 }
 
-TEST_CASE("base64 of every length comes back", "[platform]")
+// Guards against wrong padding, which would add or drop bytes of a row's value.
+TEST_CASE("base64 decoding restores inputs of every length", "[platform]")
 {
   for (std::size_t length = 0; length < 20; ++length) {
     std::string bytes(length, '\0');
@@ -235,11 +238,11 @@
   CHECK_FALSE(DecodeBase64("ab!=").has_value());
 }
 
-// Guards against settings that are wrong and pass.
-TEST_CASE("adapter settings are checked with their place", "[platform]")
+// Guards against wrong settings that are accepted, and errors that don't name the file.
+TEST_CASE("wrong adapter settings are rejected with their file", "[platform]")
 {
   const PlatformSettings settings = Value(ParsePlatformSettings(kSettings, "node.toml"));
-  CHECK(settings.store_ == Address{ "10.0.0.7", 8545 });
+  CHECK(settings.storeAddress_ == Address{ "10.0.0.7", 8545 });
   CHECK(settings.policy_.keyFreshnessBound_ == milliseconds(5000));
   CHECK(settings.policy_.retryRatio_ == 0.1);
   struct Fault
@@ -263,8 +266,8 @@
   }
 }
 
-// Guards against a crash, or a value out of nothing, on input of any other writer.
-TEST_CASE("mutated input gives a value or a typed error", "[platform]")
+// Guards against a crash on malformed input, and against decoders that accept anything.
+TEST_CASE("mutated input decodes to a value or a typed error", "[platform]")
 {
   std::mt19937_64 random(20261204);
   std::size_t refused = 0;
--- a/tests/platform/HeartbeatTest.cpp
+++ b/tests/platform/HeartbeatTest.cpp
@@ -1,4 +1,4 @@
-// Tests of what is remembered of targets that left.
+// Tests of leave messages and of late heartbeats from targets that left.
 #include "platform/Heartbeat.h"
 
 #include <catch2/catch.hpp>
@@ -21,36 +21,36 @@
 
 } // namespace
 
-// Guards against new work for a target whose leave came just after its host was restarted: the host
-// didn't know it, and a late heartbeat looked like a start.
+// Guards against new requests for a target that left. Its host had just restarted and didn't know
+// it when the leave message arrived, so a late heartbeat looked like a new start.
 TEST_CASE("a late heartbeat of a target that left is ignored", "[heartbeat]")
 {
-  LeftTargets left;
-  NoteLeave(left, "i-1", kStarted, kStarted + 9000, kNow);
+  DepartedTargets left;
+  RecordLeave(left, "i-1", kStarted, kStarted + 9000, kNow);
   CHECK(HasLeft(left, HeartbeatOf("i-1", kStarted), kNow + seconds(5)));
   CHECK_FALSE(HasLeft(left, HeartbeatOf("i-2", kStarted), kNow + seconds(5)));
-  // Without a start in the leave, all that started before it left.
-  NoteLeave(left, "i-3", 0, kStarted + 9000, kNow);
+  // A leave message without a start time covers every start before it.
+  RecordLeave(left, "i-3", 0, kStarted + 9000, kNow);
   CHECK(HasLeft(left, HeartbeatOf("i-3", kStarted), kNow + seconds(5)));
 }
 
-// Guards against a target that never gets work because it uses the id of one that left.
-TEST_CASE("a later start may use the id again", "[heartbeat]")
+// Guards against a target that never gets requests because it reuses the id of one that left.
+TEST_CASE("a later start may reuse the id of a target that left", "[heartbeat]")
 {
-  LeftTargets left;
-  NoteLeave(left, "i-1", kStarted, kStarted + 9000, kNow);
+  DepartedTargets left;
+  RecordLeave(left, "i-1", kStarted, kStarted + 9000, kNow);
   CHECK_FALSE(HasLeft(left, HeartbeatOf("i-1", kStarted + 1), kNow));
-  NoteLeave(left, "i-3", 0, kStarted + 9000, kNow);
+  RecordLeave(left, "i-3", 0, kStarted + 9000, kNow);
   CHECK_FALSE(HasLeft(left, HeartbeatOf("i-3", kStarted + 9500), kNow));
   CHECK(HasLeft(left, HeartbeatOf("i-3", 0), kNow + seconds(5)));
   CHECK_FALSE(HasLeft(left, HeartbeatOf("i-3", 0), kNow + seconds(11)));
 }
 
-// Guards against a leave with a malformed body that isn't taken.
-TEST_CASE("a leave states its start or none", "[heartbeat]")
+// Guards against a leave message that has no effect because its body is malformed.
+TEST_CASE("a leave message without a valid start time counts as one without any", "[heartbeat]")
 {
-  CHECK(StartOfLeave(R"({"born":17})") == 17);
-  CHECK(StartOfLeave(R"({"born":"17"})") == 0);
-  CHECK(StartOfLeave("") == 0);
-  CHECK(StartOfLeave("[1") == 0);
+  CHECK(ParseLeaveStart(R"({"born":17})") == 17);
+  CHECK(ParseLeaveStart(R"({"born":"17"})") == 0);
+  CHECK(ParseLeaveStart("") == 0);
+  CHECK(ParseLeaveStart("[1") == 0);
 }
--- a/tests/platform/PlatformDialectTest.cpp
+++ b/tests/platform/PlatformDialectTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the headers and statuses of the users' clients and targets.
+// Tests of the HTTP headers, refusals and statuses of the users' platform.
 #include "platform/PlatformDialect.h"
 
 #include <catch2/catch.hpp>
@@ -6,8 +6,9 @@
 using namespace peridotquay;
 using namespace peridotquay::platform;
 
-// Guards against a target that sees a caller's key, or believes a caller about account and service.
-TEST_CASE("callers can't set what the node states", "[platform]")
+// Guards against a caller's key that reaches a target, and against a caller that forges the
+// account, service, target id or deadline which the target receives.
+TEST_CASE("a caller can't set the headers that the node sets", "[platform]")
 {
   HeaderList headers{ { "Authorization", "Token k" },  { "x-tenant-id", "other" },
                       { "X-Caller-Service", "other" }, { "X-Expected-Instance", "other" },
@@ -27,8 +28,9 @@
   CHECK(headers == expected);
 }
 
-// Guards against a run that is taken for a refusal, and the reverse.
-TEST_CASE("only a target's own word means that it didn't run", "[platform]")
+// Guards against a request that ran but is retried as refused, and against a refused request that
+// isn't recognized as such.
+TEST_CASE("only a target's refusal means that the request didn't run", "[platform]")
 {
   const auto refusal = PlatformDialect().refusal_;
   CHECK(refusal({ 503, { { "X-Not-Executed", "1" } }, "", std::nullopt }));
@@ -38,7 +40,8 @@
   CHECK_FALSE(refusal({ 200, {}, "", std::nullopt }));
 }
 
-TEST_CASE("a stated load has three numbers", "[platform]")
+// Guards against a malformed load header that is read as a load.
+TEST_CASE("a load header needs exactly three numbers", "[platform]")
 {
   const auto load = [](const char* aText) {
     return PlatformDialect().load_({ 200, { { "X-Server-Load", aText } }, "", std::nullopt });
@@ -50,8 +53,8 @@
   }
 }
 
-// Guards against a refusal that isn't true: these statuses promise that the request never runs.
-TEST_CASE("only requests that didn't run get a promise", "[platform]")
+// Guards against a status that states that the request didn't run although it may have run.
+TEST_CASE("only requests that didn't run get a status that says so", "[platform]")
 {
   const auto failure = PlatformDialect().failure_;
   for (int code = 1; code <= static_cast<int>(ErrorCode::kNotFound); ++code) {
