--- a/programs/quayctl.cpp
+++ b/programs/quayctl.cpp
@@ -85,7 +85,7 @@
   return value;
 }
 
-std::optional<Version> ParseBaseVersion(const std::string& aText)
+std::optional<Version> ParseExpectedVersion(const std::string& aText)
 {
   if (aText == "latest") {
     return std::nullopt;
@@ -108,13 +108,13 @@
   if (options.summary_.empty()) {
     options.summary_ = aSummary;
   }
-  options.against_ = ParseBaseVersion(aAgainst);
+  options.against_ = ParseExpectedVersion(aAgainst);
   options.wait_ = absl::GetFlag(FLAGS_wait);
   options.timeout_ = milliseconds(absl::GetFlag(FLAGS_timeout_ms));
   return options;
 }
 
-std::string BaseVersionOrLatest()
+std::string ExpectedVersionOrLatest()
 {
   const auto against = absl::GetFlag(FLAGS_against);
   return against.empty() ? "latest" : against;
@@ -138,13 +138,14 @@
 OperatorReport RunGrant(const Arguments&)
 {
   const auto account = RequiredFlag(FLAGS_account, "--account");
-  const auto options = WriteOptionsFromFlags(BaseVersionOrLatest(), "grant a key to " + account);
+  const auto options =
+    WriteOptionsFromFlags(ExpectedVersionOrLatest(), "grant a key to " + account);
   return GrantCommand(*PlatformFromFlags(), account, absl::GetFlag(FLAGS_label), options);
 }
 
 OperatorReport RunWithdraw(const Arguments& aArguments)
 {
-  const auto options = WriteOptionsFromFlags(BaseVersionOrLatest(), "withdraw a key");
+  const auto options = WriteOptionsFromFlags(ExpectedVersionOrLatest(), "withdraw a key");
   return WithdrawCommand(*PlatformFromFlags(), aArguments[0], options);
 }
 
