--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -1,9 +1,9 @@
 // Intake of requests at the first host and state from the control side.
 #include "peridotquay/process/Dispatcher.h"
 
+#include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
-#include "peridotquay/process/OwnAnswer.h"
-#include "peridotquay/request/RandomStep.h"
+#include "peridotquay/request/Random.h"
 
 #include <nlohmann/json.hpp>
 
@@ -42,8 +42,8 @@
 {
   routing_.dataCentre_ = aSettings.dataCentre_;
   routing_.region_ = aSettings.region_;
-  routing_.random_ = aSettings.seed_ != 0
-                       ? aSettings.seed_
+  routing_.random_ = aSettings.randomSeed_ != 0
+                       ? aSettings.randomSeed_
                        : static_cast<std::uint64_t>(Clock::now().time_since_epoch().count()) | 1U;
   guard_.onContextClosed_ = [this](const std::string& aToken) {
     const auto entry = deeper_.find(aToken);
@@ -93,7 +93,7 @@
     return Refusal{ ErrorCode::kMissingKey };
   }
   key->remove_prefix(dialect_.keyScheme_.size());
-  const ClientAccount* account = FindKey(*config_, KeyDigest(*key));
+  const ClientAccount* account = FindAccountByKeyDigest(*config_, KeyDigest(*key));
   if (account == nullptr) {
     return Refusal{ ErrorCode::kUnknownKey };
   }
@@ -123,11 +123,11 @@
 const ServiceId& Dispatcher::ChooseService(const Route& aRoute)
 {
   double total = 0;
-  for (const RoutePart& part : aRoute.split_) {
+  for (const WeightedService& part : aRoute.split_) {
     total += part.weight_;
   }
   double place = RandomFraction(routing_.random_) * total;
-  for (const RoutePart& part : aRoute.split_) {
+  for (const WeightedService& part : aRoute.split_) {
     place -= part.weight_;
     if (place < 0) {
       return part.service_;
@@ -171,7 +171,7 @@
   return std::nullopt;
 }
 
-void Dispatcher::OnCaller(const std::shared_ptr<HttpExchange>& aExchange)
+void Dispatcher::OnCallerRequest(const std::shared_ptr<HttpExchange>& aExchange)
 {
   metrics_.Add(Counter::kCallerRequests);
   const HttpRequest& request = aExchange->request_;
@@ -183,7 +183,7 @@
     return;
   }
   if (!config_) {
-    metrics_.Add(Counter::kRefusedNotFresh);
+    metrics_.Add(Counter::kRefusedStaleConfig);
     RefuseExchange(aExchange, { ErrorCode::kConfigurationNotFresh, kShedRetryMs });
     return;
   }
@@ -210,7 +210,7 @@
   }
   if (refusal) {
     const bool notFresh = refusal->code_ == ErrorCode::kConfigurationNotFresh;
-    metrics_.Add(notFresh ? Counter::kRefusedNotFresh : Counter::kRefusedKey);
+    metrics_.Add(notFresh ? Counter::kRefusedStaleConfig : Counter::kRefusedKey);
     RefuseExchange(aExchange, *refusal);
     return;
   }
@@ -235,7 +235,7 @@
   }
 }
 
-void Dispatcher::OnOutbound(const std::shared_ptr<HttpExchange>& aExchange)
+void Dispatcher::OnOutboundRequest(const std::shared_ptr<HttpExchange>& aExchange)
 {
   metrics_.Add(Counter::kOutboundRequests);
   const HttpRequest& request = aExchange->request_;
@@ -314,7 +314,7 @@
   aCall->call_.headers_ = std::move(request.headers_);
   // The node's own headers end here; above all the caller's key must reach neither peers nor
   // targets.
-  dialect_.toGuard_(aCall->call_.headers_, settings_.service_);
+  dialect_.rewriteForGuard_(aCall->call_.headers_, settings_.service_);
   if (!aCall->requestId_.empty()) {
     aCall->call_.headers_.emplace_back("Quay-Request-Id", aCall->requestId_);
   }
@@ -387,24 +387,24 @@
   }
   const auto queue = waiting_.find(account);
   const bool othersWait = queue != waiting_.end() && !queue->second.empty();
-  TakeStep step = TakeToken(
+  AcquireResult step = AcquireToken(
     tokens_, account, othersWait ? static_cast<std::uint32_t>(queue->second.size()) : 0, now);
-  if (step.ask_ && requestTokens_) {
-    requestTokens_(*step.ask_);
+  if (step.shareRequest_ && requestTokens_) {
+    requestTokens_(*step.shareRequest_);
   }
-  switch (step.result_) {
-    case TakeResult::kTaken:
+  switch (step.status_) {
+    case AcquireStatus::kAcquired:
       Begin(aCall);
       return;
-    case TakeResult::kRefused:
+    case AcquireStatus::kRefused:
       metrics_.Add(Counter::kRefusedRate);
       Refuse(aCall, ErrorCode::kOverRate, step.retryAfterMs_);
       return;
-    case TakeResult::kWait:
+    case AcquireStatus::kPending:
       break;
   }
   waiting_[account].push_back(aCall);
-  WaitForTokens(aCall, kTokenWait, true);
+  WaitForTokens(aCall, kMaxTokenWait, true);
 }
 
 void Dispatcher::WaitForTokens(const CallPointer& aCall, Duration aWait, bool aExtend)
@@ -438,18 +438,18 @@
   while (!calls.empty()) {
     const CallPointer call = calls.front();
     calls.pop_front();
-    TakeStep step =
-      TakeToken(tokens_, aAccount, static_cast<std::uint32_t>(calls.size()), loop_.Now());
-    if (step.ask_ && requestTokens_) {
-      requestTokens_(*step.ask_);
+    AcquireResult step =
+      AcquireToken(tokens_, aAccount, static_cast<std::uint32_t>(calls.size()), loop_.Now());
+    if (step.shareRequest_ && requestTokens_) {
+      requestTokens_(*step.shareRequest_);
     }
-    if (step.result_ == TakeResult::kWait) {
+    if (step.status_ == AcquireStatus::kPending) {
       calls.push_front(call);
       break;
     }
     loop_.CancelTimer(call->tokenTimer_);
     call->tokenTimer_ = 0;
-    if (step.result_ == TakeResult::kTaken) {
+    if (step.status_ == AcquireStatus::kAcquired) {
       Begin(call);
     } else {
       metrics_.Add(Counter::kRefusedRate);
@@ -467,7 +467,7 @@
   if (!calls_.contains(aCall.get())) {
     return;
   }
-  NoteFirstTry(ratios_[aCall->call_.service_], RetrySettings(*aCall));
+  RecordFirstAttempt(ratios_[aCall->call_.service_], RetrySettings(*aCall));
   Attempt(aCall);
 }
 
@@ -481,10 +481,11 @@
   routing_.settings_.waitBetweenRegions_ = config_->policy_.waitBetweenRegions_;
   std::erase_if(ratios_, [this](const auto& aEntry) {
     return std::none_of(config_->routes_.begin(), config_->routes_.end(), [&](const Route& aRoute) {
-      return aRoute.service_ == aEntry.first ||
-             std::any_of(aRoute.split_.begin(), aRoute.split_.end(), [&](const RoutePart& aPart) {
-               return aPart.service_ == aEntry.first;
-             });
+      return aRoute.service_ == aEntry.first || std::any_of(aRoute.split_.begin(),
+                                                            aRoute.split_.end(),
+                                                            [&](const WeightedService& aPart) {
+                                                              return aPart.service_ == aEntry.first;
+                                                            });
     });
   });
 }
@@ -492,7 +493,7 @@
 void Dispatcher::SetTargets(std::shared_ptr<const TargetView> aTargets)
 {
   targets_ = std::move(aTargets);
-  ForgetAbsent(routing_, *targets_);
+  RemoveAbsentHosts(routing_, *targets_);
   std::erase_if(levels_,
                 [this](const auto& aEntry) { return !targets_->hosts_.contains(aEntry.first); });
 }
@@ -552,7 +553,7 @@
   return batches;
 }
 
-std::size_t Dispatcher::Calls() const
+std::size_t Dispatcher::ActiveCalls() const
 {
   return calls_.size();
 }
@@ -562,7 +563,7 @@
   return config_ ? config_->version_ : 0;
 }
 
-std::size_t Dispatcher::Targets() const
+std::size_t Dispatcher::TargetCount() const
 {
   std::size_t count = 0;
   if (targets_) {
@@ -573,7 +574,7 @@
   return count;
 }
 
-const TargetView* Dispatcher::View() const
+const TargetView* Dispatcher::CurrentTargets() const
 {
   return targets_.get();
 }
@@ -628,7 +629,7 @@
         entry["ejected"] = now < stats->second.ejectedUntil_;
       }
       const auto level = levels_.find(target.host_);
-      if (level != levels_.end() && now - level->second.heard_ < kLevelLifetime) {
+      if (level != levels_.end() && now - level->second.receivedAt_ < kAdmissionLevelLifetime) {
         entry["lowest_admitted"] = ImportanceName(level->second.level_.lowestAdmitted_);
         entry["admitted_fraction"] = level->second.level_.admittedFraction_;
       }
--- a/peridotquay/version/ConfigParser.cpp
+++ b/peridotquay/version/ConfigParser.cpp
@@ -2,7 +2,7 @@
 // kept under the subject that errors of the entity checks name.
 #include "peridotquay/version/ConfigParser.h"
 
-#include "peridotquay/process/TomlPlaces.h"
+#include "peridotquay/process/TomlFile.h"
 #include "peridotquay/version/ConfigCompiler.h"
 #include "peridotquay/version/ConfigReader.h"
 
@@ -18,7 +18,7 @@
 namespace {
 
 /// Places of all keys, by the subject of errors about them.
-using Places = std::map<std::string, SourcePlace>;
+using Places = std::map<std::string, SourceLocation>;
 
 /// Tables of the base file and the kind of entity that each of their members becomes.
 constexpr std::array<std::pair<const char*, const char*>, 5> kTables = { {
@@ -29,7 +29,10 @@
   { "sites", "site" },
 } };
 
-auto FailAt(ErrorCode aCode, std::string aSubject, std::string aAllowed, const SourcePlace& aPlace)
+auto FailAt(ErrorCode aCode,
+            std::string aSubject,
+            std::string aAllowed,
+            const SourceLocation& aPlace)
 {
   return BOOST_OUTCOME_V2_NAMESPACE::failure(
     Error{ aCode, std::move(aSubject), std::move(aAllowed), aPlace });
@@ -53,7 +56,7 @@
   auto json = ConfigJson::object();
   for (const auto& [key, node] : aTable) {
     const auto subject = aPrefix + std::string(key.str());
-    (*aTarget.places_)[subject] = PlaceOf(key.source(), *aTarget.file_);
+    (*aTarget.places_)[subject] = SourceLocationOf(key.source(), *aTarget.file_);
     BOOST_OUTCOME_TRY(value, ConvertNode(aTarget, node, subject));
     json[std::string(key.str())] = std::move(value);
   }
@@ -64,7 +67,7 @@
                                const toml::node& aNode,
                                const std::string& aSubject)
 {
-  const auto place = PlaceOf(aNode.source(), *aTarget.file_);
+  const auto place = SourceLocationOf(aNode.source(), *aTarget.file_);
   if (const auto* table = aNode.as_table()) {
     return ConvertTable(aTarget, *table, aSubject + ".");
   }
@@ -96,7 +99,7 @@
 }
 
 /// The place of an error: that of its subject, else of the closest table around it.
-SourcePlace FindPlace(const Places& aPlaces, std::string aSubject, const std::string& aFile)
+SourceLocation FindPlace(const Places& aPlaces, std::string aSubject, const std::string& aFile)
 {
   for (;;) {
     if (const auto found = aPlaces.find(aSubject); found != aPlaces.end()) {
@@ -150,7 +153,7 @@
   const Target target{ &aBase.name_, &aPlaces };
   for (const auto& [key, node] : table) {
     const auto name = std::string(key.str());
-    const auto place = PlaceOf(key.source(), aBase.name_);
+    const auto place = SourceLocationOf(key.source(), aBase.name_);
     const auto* members = node.as_table();
     const auto* const kind = std::find_if(
       kTables.begin(), kTables.end(), [&name](const auto& aEntry) { return name == aEntry.first; });
@@ -168,7 +171,7 @@
     }
     for (const auto& [id, member] : *members) {
       const auto entity = std::string(kind->second) + "/" + std::string(id.str());
-      aPlaces[entity] = PlaceOf(id.source(), aBase.name_);
+      aPlaces[entity] = SourceLocationOf(id.source(), aBase.name_);
       if (!member.is_table()) {
         return FailAt(ErrorCode::kWrongType, entity, "a table", aPlaces[entity]);
       }
@@ -189,7 +192,7 @@
   if (node == nullptr) {
     return FailAt(ErrorCode::kMissingSetting, "data_centre", "required", { aFile.name_, 1, 1 });
   }
-  const auto place = PlaceOf(node->source(), aFile.name_);
+  const auto place = SourceLocationOf(node->source(), aFile.name_);
   const auto dataCentre = node->value_exact<std::string>();
   if (!dataCentre) {
     return FailAt(ErrorCode::kWrongType, "data_centre", "a string", place);
@@ -204,7 +207,7 @@
   }
   table.erase("data_centre");
   BOOST_OUTCOME_TRY(json, ConvertTable({ &aFile.name_, &aPlaces }, table, entity + ": overlay."));
-  aPlaces.emplace(entity + ": overlay", SourcePlace{ aFile.name_, 1, 1 });
+  aPlaces.emplace(entity + ": overlay", SourceLocation{ aFile.name_, 1, 1 });
   site->second["overlay"] = std::move(json);
   return Success();
 }
@@ -230,13 +233,13 @@
 
 Result<Entities> ParseConfigFiles(const ConfigFile& aBase,
                                   const std::vector<ConfigFile>& aOverlays,
-                                  EntityPlaces* aPlaces)
+                                  EntityLocations* aPlaces)
 {
   Places places;
   auto entities = ReadFiles(aBase, aOverlays, places);
-  if (entities.has_error() && entities.assume_error().place_.file_.empty()) {
+  if (entities.has_error() && entities.assume_error().location_.file_.empty()) {
     auto error = entities.assume_error();
-    error.place_ = FindPlace(places, error.subject_, aBase.name_);
+    error.location_ = FindPlace(places, error.subject_, aBase.name_);
     return BOOST_OUTCOME_V2_NAMESPACE::failure(std::move(error));
   }
   if (aPlaces != nullptr && entities.has_value()) {
@@ -247,7 +250,7 @@
   return entities;
 }
 
-Result<Entities> MergeFiles(const Entities& aPresent, const Entities& aFiles)
+Result<Entities> MergeConfigFiles(const Entities& aPresent, const Entities& aFiles)
 {
   auto merged = aFiles;
   for (auto entry = aPresent.lower_bound("key/");
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -145,7 +145,7 @@
       // The change stays part of the stream as an empty one; every node treats it alike.
       aEffects.events_.push_back({ EventKind::kVersionRejected, Describe(applied.assume_error()) });
     } else {
-      TouchEntities(aState.compiled_, change.edits_);
+      MarkEntitiesChanged(aState.compiled_, change.edits_);
     }
     aState.version_ = change.version_;
     KeepRecent(aState, change);
@@ -171,7 +171,7 @@
     return;
   }
   aState.entities_ = std::move(aEntities);
-  ForgetParsed(aState.compiled_);
+  ResetConfigCache(aState.compiled_);
   aState.version_ = aVersion;
   aState.recent_.clear();
   aState.recentBytes_ = 0;
@@ -751,7 +751,7 @@
   if (aAnswer.error_) {
     const auto code = aAnswer.error_->code_;
     if (code == ErrorCode::kPlatformUnavailable || code == ErrorCode::kPlatformUnknown) {
-      aState.pollFailed_ = aAnswer.started_;
+      aState.pollFailed_ = aAnswer.startedAt_;
     }
     return;
   }
@@ -764,7 +764,7 @@
     }
     head = decoded.assume_value();
   }
-  AddProof(aState, { head, aAnswer.started_ }, aEffects);
+  AddProof(aState, { head, aAnswer.startedAt_ }, aEffects);
   if (aState.version_ < head) {
     StartFetch(aState, aEffects);
   } else {
--- a/programs/quayctl.cpp
+++ b/programs/quayctl.cpp
@@ -3,7 +3,7 @@
 #include "peridotquay/process/BlockingHttp.h"
 #include "peridotquay/process/LogTrace.h"
 #include "peridotquay/process/OperatorCommands.h"
-#include "peridotquay/process/TomlPlaces.h"
+#include "peridotquay/process/TomlFile.h"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -66,7 +66,7 @@
 
 std::unique_ptr<Platform> PlatformFromFlags()
 {
-  PlatformSettings settings;
+  PlatformClientSettings settings;
   for (const auto& text : absl::GetFlag(FLAGS_platform)) {
     settings.addresses_.push_back(ParseAddressOrThrow(text, "--platform"));
   }
@@ -108,8 +108,8 @@
   if (options.summary_.empty()) {
     options.summary_ = aSummary;
   }
-  options.against_ = ParseExpectedVersion(aAgainst);
-  options.wait_ = absl::GetFlag(FLAGS_wait);
+  options.expectedVersion_ = ParseExpectedVersion(aAgainst);
+  options.waitUntilInForce_ = absl::GetFlag(FLAGS_wait);
   options.timeout_ = milliseconds(absl::GetFlag(FLAGS_timeout_ms));
   return options;
 }
@@ -140,13 +140,13 @@
   const auto account = RequiredFlag(FLAGS_account, "--account");
   const auto options =
     WriteOptionsFromFlags(ExpectedVersionOrLatest(), "grant a key to " + account);
-  return GrantCommand(*PlatformFromFlags(), account, absl::GetFlag(FLAGS_label), options);
+  return GrantKeyCommand(*PlatformFromFlags(), account, absl::GetFlag(FLAGS_label), options);
 }
 
 OperatorReport RunWithdraw(const Arguments& aArguments)
 {
   const auto options = WriteOptionsFromFlags(ExpectedVersionOrLatest(), "withdraw a key");
-  return WithdrawCommand(*PlatformFromFlags(), aArguments[0], options);
+  return WithdrawKeyCommand(*PlatformFromFlags(), aArguments[0], options);
 }
 
 OperatorReport RunStatus(const Arguments&)
@@ -270,11 +270,11 @@
     std::cout << aReport.json_.dump(2, ' ', false, nlohmann::json::error_handler_t::replace)
               << "\n";
   } else {
-    (aReport.exit_ == 0 || aReport.exit_ == kExitNotInForce ? std::cout : std::cerr)
+    (aReport.exitCode_ == 0 || aReport.exitCode_ == kExitNotInForce ? std::cout : std::cerr)
       << aReport.text_;
   }
   std::cout.flush();
-  return aReport.exit_;
+  return aReport.exitCode_;
 }
 
 int Run(const Arguments& aWords)
--- a/tests/process/SettingsTest.cpp
+++ b/tests/process/SettingsTest.cpp
@@ -46,8 +46,8 @@
   INFO(Describe(aError));
   CHECK(aError.code_ == aCode);
   CHECK(aError.subject_ == aKey);
-  CHECK(aError.place_.file_ == "node.toml");
-  CHECK(aError.place_.line_ == aLine);
+  CHECK(aError.location_.file_ == "node.toml");
+  CHECK(aError.location_.line_ == aLine);
 }
 
 } // namespace
@@ -70,13 +70,13 @@
   expected.platform_ = { { "127.0.0.1", 9100 }, { "::1", 9100 } };
   expected.portFile_ = "/tmp/ports";
   expected.logDirectory_ = "/tmp";
-  expected.targetConnections_ = 200;
+  expected.maxTargetConnections_ = 200;
   expected.callerConnections_ = 100;
   expected.maxBodyBytes_ = 1000;
   expected.maxHeaderBytes_ = 2000;
   expected.readTimeout_ = milliseconds(1500);
   expected.drainTimeout_ = milliseconds(2500);
-  expected.seed_ = 7;
+  expected.randomSeed_ = 7;
   expected.naive_ = true;
   CHECK(settings == expected);
   CHECK(Failure(ParseNodeSettings("/nonexistent/x.toml")).code_ == ErrorCode::kFileUnreadable);
@@ -108,7 +108,7 @@
     const auto settings = ParseNodeSettingsText(Mutate(kSettings, random), "node.toml");
     if (settings.has_error()) {
       ++failed;
-      CHECK(settings.assume_error().place_.file_ == "node.toml");
+      CHECK(settings.assume_error().location_.file_ == "node.toml");
     }
   }
   CHECK(failed > 1000);
--- a/tests/version/ConfigParserTest.cpp
+++ b/tests/version/ConfigParserTest.cpp
@@ -57,9 +57,9 @@
 {
   INFO(Describe(aError));
   CHECK(aError.code_ == aCode);
-  CHECK(aError.place_.file_ == aFile);
-  CHECK(aError.place_.line_ == aLine);
-  CHECK(aError.place_.column_ > 0);
+  CHECK(aError.location_.file_ == aFile);
+  CHECK(aError.location_.line_ == aLine);
+  CHECK(aError.location_.column_ > 0);
 }
 
 std::string ReadText(const std::string& aFile)
@@ -160,10 +160,10 @@
   const std::string key = "key/" + std::string(64, 'a');
   const Entities files{ { key, R"({"account":"mill","source":"file"})" } };
   const Entities present{ { key, R"({"account":"mill","source":"file","withdrawn":true})" } };
-  CHECK(Failure(MergeFiles(present, files)).code_ == ErrorCode::kContradiction);
-  CHECK(Value(MergeFiles(present, {})).empty());
+  CHECK(Failure(MergeConfigFiles(present, files)).code_ == ErrorCode::kContradiction);
+  CHECK(Value(MergeConfigFiles(present, {})).empty());
   const Entities granted{ { key, R"({"account":"mill","source":"command"})" } };
-  CHECK(Value(MergeFiles(granted, {})) == granted);
+  CHECK(Value(MergeConfigFiles(granted, {})) == granted);
 }
 
 // Guards against example deployments that no longer pass the check.
@@ -199,7 +199,7 @@
       ParseConfigFiles({ "base.toml", mutateBase ? Mutate(base, random) : base },
                        { { "o.toml", mutateBase ? overlay : Mutate(overlay, random) } });
     if (parsed.has_error()) {
-      CHECK_FALSE(parsed.assume_error().place_.file_.empty());
+      CHECK_FALSE(parsed.assume_error().location_.file_.empty());
     } else {
       ++accepted;
       CHECK(CheckEntities(parsed.assume_value()).has_value());
