--- a/programs/quayd.cpp
+++ b/programs/quayd.cpp
@@ -217,15 +217,15 @@
     return Node::Start(aSettings.node_,
                        [](const NodeSettings& aNode,
                           Incarnation aIncarnation,
-                          DataPlaneCallbacks aPort) -> Result<std::unique_ptr<ControlPlane>> {
-                         return MakeControlPlane(aNode, aIncarnation, std::move(aPort));
+                          DataPlaneCallbacks aDataPlane) -> Result<std::unique_ptr<ControlPlane>> {
+                         return MakeControlPlane(aNode, aIncarnation, std::move(aDataPlane));
                        });
   }
   return Node::Start(
     aSettings.node_,
-    [&](const NodeSettings& aNode, Incarnation aIncarnation, DataPlaneCallbacks aPort) {
+    [&](const NodeSettings& aNode, Incarnation aIncarnation, DataPlaneCallbacks aDataPlane) {
       return platform::StartPlatformControl(
-        *aSettings.platform_, aNode, aIncarnation, std::move(aPort));
+        *aSettings.platform_, aNode, aIncarnation, std::move(aDataPlane));
     },
     platform::PlatformDialect());
 }
