--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -437,7 +437,7 @@
       change.edits_ = { { "account/account-0",
                           R"({"burst":20,"rate":)" + std::to_string(10 + i) + "}" } };
       static_cast<void>(ApplyChange(entities, change));
-      TouchEntities(cache, change.edits_);
+      MarkEntitiesChanged(cache, change.edits_);
       config = CompileConfig(cache, entities, { "dc0" }, change.version_);
     }
     const auto each = (CpuSeconds() - started) / kChanges;
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -93,7 +93,7 @@
     return Refusal{ ErrorCode::kMissingKey };
   }
   key->remove_prefix(dialect_.keyScheme_.size());
-  const ClientAccount* account = FindKey(*config_, KeyDigest(*key));
+  const ClientAccount* account = FindAccountByKeyDigest(*config_, KeyDigest(*key));
   if (account == nullptr) {
     return Refusal{ ErrorCode::kUnknownKey };
   }
@@ -123,11 +123,11 @@
 const ServiceId& Dispatcher::ChooseService(const Route& aRoute)
 {
   double total = 0;
-  for (const RoutePart& part : aRoute.split_) {
+  for (const WeightedService& part : aRoute.split_) {
     total += part.weight_;
   }
   double place = RandomFraction(routing_.random_) * total;
-  for (const RoutePart& part : aRoute.split_) {
+  for (const WeightedService& part : aRoute.split_) {
     place -= part.weight_;
     if (place < 0) {
       return part.service_;
@@ -481,10 +481,11 @@
   routing_.settings_.waitBetweenRegions_ = config_->policy_.waitBetweenRegions_;
   std::erase_if(ratios_, [this](const auto& aEntry) {
     return std::none_of(config_->routes_.begin(), config_->routes_.end(), [&](const Route& aRoute) {
-      return aRoute.service_ == aEntry.first ||
-             std::any_of(aRoute.split_.begin(), aRoute.split_.end(), [&](const RoutePart& aPart) {
-               return aPart.service_ == aEntry.first;
-             });
+      return aRoute.service_ == aEntry.first || std::any_of(aRoute.split_.begin(),
+                                                            aRoute.split_.end(),
+                                                            [&](const WeightedService& aPart) {
+                                                              return aPart.service_ == aEntry.first;
+                                                            });
     });
   });
 }
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -49,7 +49,7 @@
   std::vector<HostId> excluded = aCall->excluded_;
   while (true) {
     auto target =
-      ChooseTarget(routing_, *targets_, service, excluded, now, aCall->route_->objective_);
+      ChooseTarget(routing_, *targets_, service, excluded, now, aCall->route_->latencyObjective_);
     if (!target || std::find(excluded.begin(), excluded.end(), target->host_) != excluded.end()) {
       return std::nullopt;
     }
@@ -195,9 +195,10 @@
 RetryRatioSettings Dispatcher::RetrySettings(const ActiveCall& aCall) const
 {
   const Policy& policy = aCall.config_->policy_;
-  return {
-    policy.retryRatio_, policy.retryCap_, policy.leastRetryInterval_, policy.retryMayHaveRunCost_
-  };
+  return { policy.retryRatio_,
+           policy.retryBudgetCapacity_,
+           policy.guaranteedRetryInterval_,
+           policy.retryMayHaveRunCost_ };
 }
 
 bool Dispatcher::MayRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget)
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -261,9 +261,9 @@
 Result<std::vector<EntityEdit>> DirectoryEdits(const StoredConfig& aStored,
                                                const std::string& aDirectory)
 {
-  EntityPlaces places;
+  EntityLocations places;
   BOOST_OUTCOME_TRY(files, ReadConfigDirectory(aDirectory, &places));
-  auto merging = MergeFiles(aStored.entities_, files);
+  auto merging = MergeConfigFiles(aStored.entities_, files);
   if (merging.has_error()) {
     auto error = merging.assume_error();
     error.place_ = places[error.subject_];
@@ -287,7 +287,7 @@
 
 } // namespace
 
-Result<Entities> ReadConfigDirectory(const std::string& aDirectory, EntityPlaces* aPlaces)
+Result<Entities> ReadConfigDirectory(const std::string& aDirectory, EntityLocations* aPlaces)
 {
   namespace fs = std::filesystem;
   std::error_code failed;
@@ -434,7 +434,7 @@
   if (stored.has_error()) {
     return ReportLoadError(aPlatform, stored.assume_error(), aOptions);
   }
-  const auto key = NewKey();
+  const auto key = GenerateKey();
   const auto digest = KeyDigest(key);
   const auto edit = GrantKey(stored.assume_value().entities_, { aAccount }, digest, aLabel);
   if (edit.has_error()) {
--- a/peridotquay/process/OperatorCommands.h
+++ b/peridotquay/process/OperatorCommands.h
@@ -27,7 +27,7 @@
 /// Reads base.toml and all other *.toml files of a directory, as overlays, and checks them. Places
 /// are returned if aPlaces isn't null.
 Result<Entities> ReadConfigDirectory(const std::string& aDirectory,
-                                     EntityPlaces* aPlaces = nullptr);
+                                     EntityLocations* aPlaces = nullptr);
 
 /// check: checks the files of a directory without a platform.
 OperatorReport CheckCommand(const std::string& aDirectory);
--- a/peridotquay/process/ShareLease.cpp
+++ b/peridotquay/process/ShareLease.cpp
@@ -325,7 +325,8 @@
     const auto used = UnitsOfUse(ledger->second, account.ratePerSecond_);
     const bool isShort = IsShort(aLease, ledger->second, aNow);
     // Units beyond the site's part would lie idle here.
-    const auto most = static_cast<std::uint32_t>(std::ceil(account.siteRatePart_ * kShareUnits));
+    const auto most =
+      static_cast<std::uint32_t>(std::ceil(account.siteRateFraction_ * kShareUnits));
     if (isShort && aLease.needs_.size() < aLease.settings_.needs_) {
       const auto want = std::min(most, std::max(used, 2 * held) + kLeastNeed);
       if (want > held) {
@@ -741,8 +742,8 @@
   }
   // The overlay of the site may hold the data centre below what its units stand for.
   limit.ratePerSecond_ =
-    std::min(limit.ratePerSecond_, aAccount.ratePerSecond_ * aAccount.siteRatePart_);
-  limit.burst_ = std::min(limit.burst_, aAccount.burst_ * aAccount.siteRatePart_);
+    std::min(limit.ratePerSecond_, aAccount.ratePerSecond_ * aAccount.siteRateFraction_);
+  limit.burst_ = std::min(limit.burst_, aAccount.burst_ * aAccount.siteRateFraction_);
   return limit;
 }
 
--- a/peridotquay/version/Config.cpp
+++ b/peridotquay/version/Config.cpp
@@ -131,7 +131,7 @@
   return static_cast<Importance>(1 + std::min(kClasses - 1, rank * kClasses / ranks));
 }
 
-const ClientAccount* FindKey(const Config& aConfig, std::string_view aDigestHex)
+const ClientAccount* FindAccountByKeyDigest(const Config& aConfig, std::string_view aDigestHex)
 {
   if (aDigestHex.size() != kDigestDigits) {
     return nullptr;
--- a/peridotquay/version/Config.h
+++ b/peridotquay/version/Config.h
@@ -21,17 +21,17 @@
   double burst_ = 0;         ///< Requests; at least 1.
   /// Largest part of rate and burst that the data centre of this Config may hold; above 0, at most
   /// 1. Set below 1 by the overlay of a site only.
-  double siteRatePart_ = 1.0;
+  double siteRateFraction_ = 1.0;
   std::uint32_t priority_ = 0; ///< 0 is the most important; ranks before a route's priority.
   bool operator==(const ClientAccount&) const = default;
 };
 
 /// A service's part of a route's requests.
-struct RoutePart
+struct WeightedService
 {
   ServiceId service_;
   double weight_ = 0; ///< Relative to the other parts; not negative.
-  bool operator==(const RoutePart&) const = default;
+  bool operator==(const WeightedService&) const = default;
 };
 
 /// Maps a path prefix to a service.
@@ -41,15 +41,16 @@
   std::string host_;   ///< Host name that requests must carry; empty for any.
   std::string prefix_; ///< Begins with '/'. The longest matching prefix wins.
   ServiceId service_;
-  std::vector<RoutePart> split_; ///< If set, requests go to these in proportion, not to service_.
+  std::vector<WeightedService>
+    split_; ///< If set, requests go to these in proportion, not to service_.
   Importance importance_ = Importance::kNormal;
   std::uint32_t priority_ = 0;   ///< 0 is the most important.
   bool repeatable_ = true;       ///< False: runs at most once.
   bool open_ = false;            ///< True: needs no key and counts for no client account.
   std::uint32_t maxRetries_ = 3; ///< Upper bound of the retry budget; 0 to 16.
   Duration deadline_ =
-    milliseconds(2000);  ///< Used when the caller gives none, and its upper bound.
-  Duration objective_{}; ///< An answer within this has its full value; 0 if not stated.
+    milliseconds(2000);         ///< Used when the caller gives none, and its upper bound.
+  Duration latencyObjective_{}; ///< An answer within this has its full value; 0 if not stated.
   std::vector<ClientAccountId> clientAccounts_; ///< Allowed client accounts; empty allows all.
   bool operator==(const Route&) const = default;
 };
@@ -72,7 +73,7 @@
   Duration elasticLease_ = seconds(5); ///< Lease of elastic shares.
   double retryRatio_ = 0.1;            ///< Retries for each first try at a service; 0 to 1.
   /// Most retries that a host saves up for a service.
-  double retryCap_ = 10;
+  double retryBudgetCapacity_ = 10;
   /// Parts of the time that a call can spare that it waits before it crosses to another data centre
   /// or region; 0 to 1.
   double waitWithinRegion_ = 0;
@@ -80,7 +81,7 @@
   /// Tokens of the ratio for a retry of a call that may have run.
   double retryMayHaveRunCost_ = 1;
   /// Time after which a service may be retried once even if the ratio is spent.
-  Duration leastRetryInterval_ = seconds(1);
+  Duration guaranteedRetryInterval_ = seconds(1);
   std::uint32_t queueCapacity_ = 1024; ///< Calls queued at a guard; 0 to 1,024.
   double queueDeadlineFraction_ = 0.5; ///< Part of the time left that a call may spend queued.
   bool operator==(const Policy&) const = default;
@@ -115,7 +116,7 @@
 
 /// The client account of a key given by its digest, compared in constant time; null for unknown and
 /// withdrawn keys.
-const ClientAccount* FindKey(const Config& aConfig, std::string_view aDigestHex);
+const ClientAccount* FindAccountByKeyDigest(const Config& aConfig, std::string_view aDigestHex);
 
 /// SHA-256 of a caller's key as 64 lower-case hex digits.
 std::string KeyDigest(std::string_view aKey);
--- a/peridotquay/version/ConfigCompiler.cpp
+++ b/peridotquay/version/ConfigCompiler.cpp
@@ -55,7 +55,7 @@
     return Missing(aTable, "account");
   }
   if (source && *source != "file" && *source != "command") {
-    return Fail(ErrorCode::kOutOfRange, Subject(aTable, "source"), "file or command");
+    return Fail(ErrorCode::kOutOfRange, ErrorSubject(aTable, "source"), "file or command");
   }
   if (!withdrawn.value_or(false)) {
     aConfig.keys_[aDigest] = ClientAccountId{ *account };
@@ -89,7 +89,7 @@
   const auto importance = ParseImportance(*text);
   if (!importance) {
     return Fail(
-      ErrorCode::kOutOfRange, Subject(aTable, "importance"), "critical, high, normal or low");
+      ErrorCode::kOutOfRange, ErrorSubject(aTable, "importance"), "critical, high, normal or low");
   }
   return importance;
 }
@@ -148,12 +148,13 @@
   if (!IsPrefix(*prefix)) {
     return Fail(
       ErrorCode::kOutOfRange,
-      Subject(aTable, "prefix"),
+      ErrorSubject(aTable, "prefix"),
       "begins with '/', letters, digits and -._~/, no '//' or dot segments, no '/' at the "
       "end, at most 256 bytes");
   }
   if (route.open_ && !route.clientAccounts_.empty()) {
-    return Fail(ErrorCode::kContradiction, Subject(aTable, "accounts"), "empty on an open route");
+    return Fail(
+      ErrorCode::kContradiction, ErrorSubject(aTable, "accounts"), "empty on an open route");
   }
   route.prefix_ = *prefix;
   route.service_.value_ = *service;
@@ -191,8 +192,9 @@
     aPolicy.queueCapacity_ = static_cast<std::uint32_t>(*capacity);
   }
   if (aPolicy.elasticLease_ >= aPolicy.floorLease_) {
-    return Fail(
-      ErrorCode::kContradiction, Subject(aTable, "elastic_lease_ms"), "less than floor_lease_ms");
+    return Fail(ErrorCode::kContradiction,
+                ErrorSubject(aTable, "elastic_lease_ms"),
+                "less than floor_lease_ms");
   }
   return Success();
 }
@@ -205,7 +207,7 @@
     return Missing(aTable, "region");
   }
   if (!IsConfigId(*region)) {
-    return Fail(ErrorCode::kOutOfRange, Subject(aTable, "region"), std::string(kConfigIdRule));
+    return Fail(ErrorCode::kOutOfRange, ErrorSubject(aTable, "region"), std::string(kConfigIdRule));
   }
   BOOST_OUTCOME_TRY(overlay, ReadTable(aTable, "overlay"));
   return SiteEntity{ { DataCentreId{ aId }, RegionId{ *region } },
@@ -377,7 +379,7 @@
 
 auto Widens(const ConfigTable& aTable, const char* aKey, std::string aAllowed)
 {
-  return Fail(ErrorCode::kOverlayWidens, Subject(aTable, aKey), std::move(aAllowed));
+  return Fail(ErrorCode::kOverlayWidens, ErrorSubject(aTable, aKey), std::move(aAllowed));
 }
 
 /// Whether every account of the narrowed route may use the base route.
@@ -426,7 +428,7 @@
   }
   if (aRoute.open_ && !aRoute.clientAccounts_.empty()) {
     return Fail(
-      ErrorCode::kContradiction, Subject(aTable, "accounts"), "needs open = false as well");
+      ErrorCode::kContradiction, ErrorSubject(aTable, "accounts"), "needs open = false as well");
   }
   return Success();
 }
@@ -452,7 +454,7 @@
         return aRoute.id_ == wanted;
       });
     if (found == aBase.routes_.end()) {
-      return Fail(ErrorCode::kUnknownReference, Subject(*routes, id), "no route/" + id);
+      return Fail(ErrorCode::kUnknownReference, ErrorSubject(*routes, id), "no route/" + id);
     }
     BOOST_OUTCOME_TRY(table, ReadTable(*routes, id));
     BOOST_OUTCOME_TRYV(
@@ -460,7 +462,7 @@
     auto narrowed = *found;
     BOOST_OUTCOME_TRYV(ReadRouteLimits(*table, narrowed));
     BOOST_OUTCOME_TRYV(CheckNarrowed(*table, *found, narrowed));
-    BOOST_OUTCOME_TRYV(CheckAccountsKnown(narrowed, aBase, Subject(*table, "accounts")));
+    BOOST_OUTCOME_TRYV(CheckAccountsKnown(narrowed, aBase, ErrorSubject(*table, "accounts")));
     const auto index = static_cast<std::size_t>(found - aBase.routes_.begin());
     aOut.routes_.emplace_back(index, std::move(narrowed));
   }
@@ -475,7 +477,7 @@
   }
   for (const auto& [id, value] : accounts->json_->items()) {
     if (!aBase.clientAccounts_.contains(ClientAccountId{ id })) {
-      return Fail(ErrorCode::kUnknownReference, Subject(*accounts, id), "no account/" + id);
+      return Fail(ErrorCode::kUnknownReference, ErrorSubject(*accounts, id), "no account/" + id);
     }
     BOOST_OUTCOME_TRY(table, ReadTable(*accounts, id));
     BOOST_OUTCOME_TRYV(CheckKeys(*table, { "rate_part" }));
@@ -534,7 +536,7 @@
     aConfig.routes_[index] = std::move(route);
   }
   for (const auto& [id, part] : aNarrowing.rateParts_) {
-    aConfig.clientAccounts_.at(id).siteRatePart_ = part;
+    aConfig.clientAccounts_.at(id).siteRateFraction_ = part;
   }
   aConfig.policy_ = aNarrowing.policy_;
 }
@@ -574,14 +576,14 @@
 
 } // namespace
 
-void TouchEntities(ConfigCache& aCache, const std::vector<EntityEdit>& aEdits)
+void MarkEntitiesChanged(ConfigCache& aCache, const std::vector<EntityEdit>& aEdits)
 {
   for (const auto& edit : aEdits) {
     aCache.touched_.insert(edit.name_);
   }
 }
 
-void ForgetParsed(ConfigCache& aCache)
+void ResetConfigCache(ConfigCache& aCache)
 {
   aCache = ConfigCache{};
 }
@@ -593,7 +595,7 @@
 {
   auto compiled = Compile(aCache, aEntities, aDataCentre, aVersion);
   if (compiled.has_error()) {
-    ForgetParsed(aCache);
+    ResetConfigCache(aCache);
   } else {
     aCache.parsed_ = true;
   }
--- a/peridotquay/version/ConfigCompiler.h
+++ b/peridotquay/version/ConfigCompiler.h
@@ -42,11 +42,11 @@
 };
 
 /// Notes that entities were put or removed since the last compilation. Call it for each change that
-/// was applied, and ForgetParsed when all entities were replaced.
-void TouchEntities(ConfigCache& aCache, const std::vector<EntityEdit>& aEdits);
+/// was applied, and ResetConfigCache when all entities were replaced.
+void MarkEntitiesChanged(ConfigCache& aCache, const std::vector<EntityEdit>& aEdits);
 
 /// Makes the next compilation parse everything.
-void ForgetParsed(ConfigCache& aCache);
+void ResetConfigCache(ConfigCache& aCache);
 
 /// Checks all entities, applies the overlay of the data centre and returns its configuration. The
 /// check covers the overlays of every data centre, so it gives the same verdict at every host. A
--- a/peridotquay/version/ConfigParser.cpp
+++ b/peridotquay/version/ConfigParser.cpp
@@ -230,7 +230,7 @@
 
 Result<Entities> ParseConfigFiles(const ConfigFile& aBase,
                                   const std::vector<ConfigFile>& aOverlays,
-                                  EntityPlaces* aPlaces)
+                                  EntityLocations* aPlaces)
 {
   Places places;
   auto entities = ReadFiles(aBase, aOverlays, places);
@@ -247,7 +247,7 @@
   return entities;
 }
 
-Result<Entities> MergeFiles(const Entities& aPresent, const Entities& aFiles)
+Result<Entities> MergeConfigFiles(const Entities& aPresent, const Entities& aFiles)
 {
   auto merged = aFiles;
   for (auto entry = aPresent.lower_bound("key/");
--- a/peridotquay/version/ConfigReader.cpp
+++ b/peridotquay/version/ConfigReader.cpp
@@ -29,7 +29,7 @@
 
 auto WrongType(const ConfigTable& aTable, const std::string& aKey, const char* aWanted)
 {
-  return Fail(ErrorCode::kWrongType, Subject(aTable, aKey), aWanted);
+  return Fail(ErrorCode::kWrongType, ErrorSubject(aTable, aKey), aWanted);
 }
 
 } // namespace
@@ -42,7 +42,7 @@
                                "0123456789-._") == std::string_view::npos;
 }
 
-std::string Subject(const ConfigTable& aTable, const std::string& aKey)
+std::string ErrorSubject(const ConfigTable& aTable, const std::string& aKey)
 {
   return aTable.entity_ + ": " + aTable.path_ + aKey;
 }
@@ -55,7 +55,7 @@
       for (const auto& known : aKeys) {
         allowed += (allowed.empty() ? "" : ", ") + std::string(known);
       }
-      return Fail(ErrorCode::kUnknownSetting, Subject(aTable, key), allowed);
+      return Fail(ErrorCode::kUnknownSetting, ErrorSubject(aTable, key), allowed);
     }
   }
   return Success();
@@ -76,7 +76,7 @@
   const auto number = value->get<double>();
   // Negated, so that a NaN is out of range too.
   if (!(number >= aLeast && number <= aMost)) {
-    return Fail(ErrorCode::kOutOfRange, Subject(aTable, aKey), Range(aLeast, aMost));
+    return Fail(ErrorCode::kOutOfRange, ErrorSubject(aTable, aKey), Range(aLeast, aMost));
   }
   return std::optional<double>(number);
 }
@@ -97,7 +97,7 @@
   const bool wrapped = value->is_number_unsigned() && number < 0;
   if (wrapped || number < aLeast || number > aMost) {
     return Fail(ErrorCode::kOutOfRange,
-                Subject(aTable, aKey),
+                ErrorSubject(aTable, aKey),
                 std::to_string(aLeast) + " to " + std::to_string(aMost));
   }
   return std::optional<std::int64_t>(number);
@@ -128,8 +128,9 @@
   }
   auto text = value->get<std::string>();
   if (text.size() > aMost) {
-    return Fail(
-      ErrorCode::kOutOfRange, Subject(aTable, aKey), "at most " + std::to_string(aMost) + " bytes");
+    return Fail(ErrorCode::kOutOfRange,
+                ErrorSubject(aTable, aKey),
+                "at most " + std::to_string(aMost) + " bytes");
   }
   return std::optional<std::string>(std::move(text));
 }
@@ -151,7 +152,7 @@
   }
   if (value->size() > aMost) {
     return Fail(ErrorCode::kOutOfRange,
-                Subject(aTable, aKey),
+                ErrorSubject(aTable, aKey),
                 "at most " + std::to_string(aMost) + " elements");
   }
   return std::make_optional(value->get<std::vector<std::string>>());
--- a/peridotquay/version/ConfigReader.h
+++ b/peridotquay/version/ConfigReader.h
@@ -31,12 +31,12 @@
 bool IsConfigId(std::string_view aId);
 
 /// Subject of errors about a key: "<entity>: <path><key>".
-std::string Subject(const ConfigTable& aTable, const std::string& aKey);
+std::string ErrorSubject(const ConfigTable& aTable, const std::string& aKey);
 
 /// The failure for a required key that isn't there.
 inline auto Missing(const ConfigTable& aTable, const std::string& aKey)
 {
-  return Fail(ErrorCode::kMissingSetting, Subject(aTable, aKey), "required");
+  return Fail(ErrorCode::kMissingSetting, ErrorSubject(aTable, aKey), "required");
 }
 
 /// Errors: kUnknownSetting if the object has a key that isn't listed.
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -145,7 +145,7 @@
       // The change stays part of the stream as an empty one; every node treats it alike.
       aEffects.events_.push_back({ EventKind::kVersionRejected, Describe(applied.assume_error()) });
     } else {
-      TouchEntities(aState.compiled_, change.edits_);
+      MarkEntitiesChanged(aState.compiled_, change.edits_);
     }
     aState.version_ = change.version_;
     KeepRecent(aState, change);
@@ -171,7 +171,7 @@
     return;
   }
   aState.entities_ = std::move(aEntities);
-  ForgetParsed(aState.compiled_);
+  ResetConfigCache(aState.compiled_);
   aState.version_ = aVersion;
   aState.recent_.clear();
   aState.recentBytes_ = 0;
--- a/peridotquay/version/Keys.cpp
+++ b/peridotquay/version/Keys.cpp
@@ -61,7 +61,7 @@
 
 } // namespace
 
-std::string NewKey()
+std::string GenerateKey()
 {
   std::array<unsigned char, 32> bytes{};
   // A predictable key would be worse than none, so a failing generator ends the program.
--- a/peridotquay/version/Keys.h
+++ b/peridotquay/version/Keys.h
@@ -22,7 +22,7 @@
 };
 
 /// A new random key of 256 bits: "pq_" and 64 hex digits.
-std::string NewKey();
+std::string GenerateKey();
 
 /// All keys, by digest. Malformed entities are left out.
 std::vector<KeyRecord> ListKeys(const Entities& aEntities);
--- a/peridotquay/version/StoreFeed.cpp
+++ b/peridotquay/version/StoreFeed.cpp
@@ -11,17 +11,17 @@
 {
   aState.open_ = false;
   if (++aState.unanswered_ >= aState.settings_.unanswered_) {
-    aState.following_ = false;
+    aState.followingSource_ = false;
   }
 }
 
 } // namespace
 
-std::optional<FeedQuestion> DueQuestion(StoreFeedState& aState,
-                                        const std::optional<HostId>& aSource,
-                                        const RowVersions& aOwn,
-                                        TimePoint aNow,
-                                        Duration aSuspended)
+std::optional<FeedQuestion> CollectDueQuestion(StoreFeedState& aState,
+                                               const std::optional<HostId>& aSource,
+                                               const RowVersions& aOwn,
+                                               TimePoint aNow,
+                                               Duration aSuspended)
 {
   const StoreFeedSettings& settings = aState.settings_;
   if (aSource != aState.source_) {
@@ -29,7 +29,7 @@
     aState.open_ = false;
     aState.unanswered_ = 0;
     aState.missed_ = 0;
-    aState.following_ = aState.following_ && aSource.has_value();
+    aState.followingSource_ = aState.followingSource_ && aSource.has_value();
   }
   if (!aSource) {
     return std::nullopt;
@@ -46,13 +46,13 @@
   return FeedQuestion{ aState.nonce_, aOwn };
 }
 
-FeedStep NoteFeedAnswer(StoreFeedState& aState,
-                        const FeedAnswer& aAnswer,
-                        const RowVersions& aOwn,
-                        TimePoint aNow,
-                        Duration aSuspended)
+FeedAnswerResult ApplyFeedAnswer(StoreFeedState& aState,
+                                 const FeedAnswer& aAnswer,
+                                 const RowVersions& aOwn,
+                                 TimePoint aNow,
+                                 Duration aSuspended)
 {
-  FeedStep step;
+  FeedAnswerResult step;
   if (!aState.open_ || aAnswer.nonce_ != aState.nonce_) {
     return step;
   }
@@ -73,19 +73,19 @@
     step.readConfig_ = lacksConfig;
     step.readHosts_ = lacksHosts;
   }
-  aState.following_ = isSource && (aState.following_ || !lacksConfig);
+  aState.followingSource_ = isSource && (aState.followingSource_ || !lacksConfig);
   if (!lacksConfig && aAnswer.proofAgeMs_ <= kLongestProofAgeMs) {
-    step.proved_ = aNow - age(aAnswer.proofAgeMs_);
+    step.provedAt_ = aNow - age(aAnswer.proofAgeMs_);
   }
   return step;
 }
 
-void NoteAsked(StoreFeedState& aState, TimePoint aNow)
+void RecordFeedQuestion(StoreFeedState& aState, TimePoint aNow)
 {
   aState.wasAsked_ = aNow;
 }
 
-bool IsSource(const StoreFeedState& aState, TimePoint aNow)
+bool IsFeedSource(const StoreFeedState& aState, TimePoint aNow)
 {
   return aState.wasAsked_ != TimePoint{} && aNow - aState.wasAsked_ < aState.settings_.askedTime_;
 }
--- a/peridotquay/version/StoreFeed.h
+++ b/peridotquay/version/StoreFeed.h
@@ -39,7 +39,7 @@
 {
   StoreFeedSettings settings_;
   std::optional<HostId> source_; ///< The host that is asked; empty: none is known.
-  bool following_ = false;       ///< source_ answered, and the store answered it lately.
+  bool followingSource_ = false; ///< source_ answered, and the store answered it lately.
   std::uint64_t nonce_ = 0;      ///< Of the last question.
   bool open_ = false;            ///< It has no answer yet.
   TimePoint asked_{};            ///< When it was sent.
@@ -51,32 +51,32 @@
 
 /// Takes the host that should be asked and returns a question if one is due. Call about every
 /// 100 ms. aSuspended: how long this host was suspended since it started.
-std::optional<FeedQuestion> DueQuestion(StoreFeedState& aState,
-                                        const std::optional<HostId>& aSource,
-                                        const RowVersions& aOwn,
-                                        TimePoint aNow,
-                                        Duration aSuspended);
+std::optional<FeedQuestion> CollectDueQuestion(StoreFeedState& aState,
+                                               const std::optional<HostId>& aSource,
+                                               const RowVersions& aOwn,
+                                               TimePoint aNow,
+                                               Duration aSuspended);
 
 /// What a host learns from an answer.
-struct FeedStep
+struct FeedAnswerResult
 {
-  std::optional<TimePoint> proved_; ///< Up to then the own configuration was the newest.
-  bool readConfig_ = false;         ///< The newer configuration didn't come: read it.
-  bool readHosts_ = false;          ///< The same of the hosts.
-  bool operator==(const FeedStep&) const = default;
+  std::optional<TimePoint> provedAt_; ///< Up to then the own configuration was the newest.
+  bool readConfig_ = false;           ///< The newer configuration didn't come: read it.
+  bool readHosts_ = false;            ///< The same of the hosts.
+  bool operator==(const FeedAnswerResult&) const = default;
 };
 
 /// Takes an answer. One to an earlier question has no effect.
-FeedStep NoteFeedAnswer(StoreFeedState& aState,
-                        const FeedAnswer& aAnswer,
-                        const RowVersions& aOwn,
-                        TimePoint aNow,
-                        Duration aSuspended);
+FeedAnswerResult ApplyFeedAnswer(StoreFeedState& aState,
+                                 const FeedAnswer& aAnswer,
+                                 const RowVersions& aOwn,
+                                 TimePoint aNow,
+                                 Duration aSuspended);
 
 /// Notes that another host asked this one.
-void NoteAsked(StoreFeedState& aState, TimePoint aNow);
+void RecordFeedQuestion(StoreFeedState& aState, TimePoint aNow);
 
 /// Whether other hosts rely on the reads of this one.
-bool IsSource(const StoreFeedState& aState, TimePoint aNow);
+bool IsFeedSource(const StoreFeedState& aState, TimePoint aNow);
 
 } // namespace peridotquay
--- a/samples/minimal.cpp
+++ b/samples/minimal.cpp
@@ -48,7 +48,7 @@
   }
 
   // Authenticate: only the digest of the key is known.
-  const ClientAccount* account = FindKey(*config.assume_value(), KeyDigest(key));
+  const ClientAccount* account = FindAccountByKeyDigest(*config.assume_value(), KeyDigest(key));
   const Route* route = FindRoute(*config.assume_value(), "/profiles/bell-17");
   if (account == nullptr || route == nullptr) {
     std::cerr << "no account or route\n";
--- a/standins/lib/PlatformFaults.cpp
+++ b/standins/lib/PlatformFaults.cpp
@@ -34,7 +34,7 @@
       return outage;
     }
   }
-  return Fail(ErrorCode::kOutOfRange, Subject(aTable, "outage"), "none, refuse or silent");
+  return Fail(ErrorCode::kOutOfRange, ErrorSubject(aTable, "outage"), "none, refuse or silent");
 }
 
 } // namespace
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -366,7 +366,7 @@
   }
   const auto stored = Value(LoadConfig(*bench.client_));
   const auto config = Value(CompileConfig(stored.entities_, { "hof-1" }, stored.version_));
-  const auto* account = FindKey(*config, KeyDigest(key));
+  const auto* account = FindAccountByKeyDigest(*config, KeyDigest(key));
   REQUIRE(account != nullptr);
   CHECK(account->id_.value_ == "growers");
 }
--- a/tests/platform/DecoderTest.cpp
+++ b/tests/platform/DecoderTest.cpp
@@ -77,17 +77,17 @@
   CHECK(split->repeatable_);
   CHECK(split->maxRetries_ == 1);
   CHECK(split->deadline_ == milliseconds(1500));
-  CHECK(split->objective_ == milliseconds(900));
-  CHECK(split->split_ == std::vector<RoutePart>{ { { "s1" }, 90 }, { { "s2" }, 10 } });
+  CHECK(split->latencyObjective_ == milliseconds(900));
+  CHECK(split->split_ == std::vector<WeightedService>{ { { "s1" }, 90 }, { { "s2" }, 10 } });
   CHECK_FALSE(longer->repeatable_);
   CHECK(longer->open_);
   CHECK(longer->maxRetries_ == 0);
-  const ClientAccount* account = FindKey(*config, KeyDigest("k2"));
+  const ClientAccount* account = FindAccountByKeyDigest(*config, KeyDigest("k2"));
   REQUIRE(account != nullptr);
   CHECK(account->id_.value_ == "t1");
   CHECK(account->ratePerSecond_ == 51);
   CHECK(account->burst_ == 60);
-  CHECK(FindKey(*config, KeyDigest("k3")) == nullptr);
+  CHECK(FindAccountByKeyDigest(*config, KeyDigest("k3")) == nullptr);
   CHECK(config->clientAccounts_.at({ "t2" }).ratePerSecond_ == 0);
 }
 
--- a/tests/standins/FleetTest.cpp
+++ b/tests/standins/FleetTest.cpp
@@ -28,7 +28,7 @@
     const std::string path = "/" + profile.services_[0].name_ + "/" + profile.classes_[0].name_;
     REQUIRE(FindRoute(compiled, path) != nullptr);
     CHECK(FindRoute(compiled, path)->service_.value_ == profile.services_[0].name_);
-    CHECK(FindKey(compiled, KeyDigest(profile.accounts_[0].key_)) != nullptr);
+    CHECK(FindAccountByKeyDigest(compiled, KeyDigest(profile.accounts_[0].key_)) != nullptr);
     CHECK(FindRoute(compiled, "/" + profile.services_[1].name_ + "/work") != nullptr);
   }
 }
--- a/tests/version/ConfigDeltaTest.cpp
+++ b/tests/version/ConfigDeltaTest.cpp
@@ -139,7 +139,7 @@
         RC_ASSERT(!Allowed(route, account) || Allowed(base, account));
       }
     }
-    const auto part = narrowed.clientAccounts_.at({ "mill" }).siteRatePart_;
+    const auto part = narrowed.clientAccounts_.at({ "mill" }).siteRateFraction_;
     RC_ASSERT(part > 0 && part <= 1);
     RC_ASSERT(narrowed.policy_.queueCapacity_ <= north->policy_.queueCapacity_);
   }));
@@ -166,7 +166,7 @@
       Change change;
       change.edits_ = DiffEntities(entities, next);
       RC_ASSERT(ApplyChange(entities, change).has_value());
-      TouchEntities(cache, change.edits_);
+      MarkEntitiesChanged(cache, change.edits_);
       const auto stepwise = CompileConfig(cache, entities, { "south" }, version);
       const auto whole = CompileConfig(entities, { "south" }, version);
       RC_ASSERT(stepwise.has_value() == whole.has_value());
@@ -239,5 +239,5 @@
   REQUIRE(withdrawn.json_.has_value());
   entities[withdrawn.name_] = *withdrawn.json_;
   CHECK(Failure(WithdrawKey(entities, other)).code_ == ErrorCode::kNotFound);
-  CHECK(NewKey() != NewKey());
+  CHECK(GenerateKey() != GenerateKey());
 }
--- a/tests/version/ConfigParserTest.cpp
+++ b/tests/version/ConfigParserTest.cpp
@@ -160,10 +160,10 @@
   const std::string key = "key/" + std::string(64, 'a');
   const Entities files{ { key, R"({"account":"mill","source":"file"})" } };
   const Entities present{ { key, R"({"account":"mill","source":"file","withdrawn":true})" } };
-  CHECK(Failure(MergeFiles(present, files)).code_ == ErrorCode::kContradiction);
-  CHECK(Value(MergeFiles(present, {})).empty());
+  CHECK(Failure(MergeConfigFiles(present, files)).code_ == ErrorCode::kContradiction);
+  CHECK(Value(MergeConfigFiles(present, {})).empty());
   const Entities granted{ { key, R"({"account":"mill","source":"command"})" } };
-  CHECK(Value(MergeFiles(granted, {})) == granted);
+  CHECK(Value(MergeConfigFiles(granted, {})) == granted);
 }
 
 // Guards against example deployments that no longer pass the check.
--- a/tests/version/ConfigTest.cpp
+++ b/tests/version/ConfigTest.cpp
@@ -81,13 +81,13 @@
 TEST_CASE("only keys in force find their client account", "[config]")
 {
   const auto config = Value(CompileConfig(SampleEntities(), { "north" }, 7));
-  const auto* account = FindKey(*config, KeyDigest("secret"));
+  const auto* account = FindAccountByKeyDigest(*config, KeyDigest("secret"));
   REQUIRE(account != nullptr);
   CHECK(account->id_.value_ == "mill");
-  CHECK(FindKey(*config, KeyDigest("old")) == nullptr);
-  CHECK(FindKey(*config, KeyDigest("other")) == nullptr);
-  CHECK(FindKey(*config, KeyDigest("secret").substr(0, 63)) == nullptr);
-  CHECK(FindKey(*config, "") == nullptr);
+  CHECK(FindAccountByKeyDigest(*config, KeyDigest("old")) == nullptr);
+  CHECK(FindAccountByKeyDigest(*config, KeyDigest("other")) == nullptr);
+  CHECK(FindAccountByKeyDigest(*config, KeyDigest("secret").substr(0, 63)) == nullptr);
+  CHECK(FindAccountByKeyDigest(*config, "") == nullptr);
   CHECK(KeyDigest("abc") == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
@@ -101,8 +101,8 @@
   CHECK(FindRoute(*north, "/bells")->open_);
   CHECK_FALSE(FindRoute(*south, "/bells")->open_);
   CHECK(FindRoute(*south, "/bells/bookings")->deadline_ == milliseconds(500));
-  CHECK(FindKey(*south, KeyDigest("secret"))->siteRatePart_ == 0.5);
-  CHECK(FindKey(*south, KeyDigest("secret"))->ratePerSecond_ == 2.5);
+  CHECK(FindAccountByKeyDigest(*south, KeyDigest("secret"))->siteRateFraction_ == 0.5);
+  CHECK(FindAccountByKeyDigest(*south, KeyDigest("secret"))->ratePerSecond_ == 2.5);
   CHECK(south->version_ == 7);
   CHECK(Failure(CompileConfig(SampleEntities(), { "west" }, 7)).code_ == ErrorCode::kUnknownSite);
 }
