--- a/peridotquay/version/Config.cpp
+++ b/peridotquay/version/Config.cpp
@@ -14,21 +14,21 @@
 
 constexpr std::size_t kDigestDigits = 64;
 
-/// Leading hex digits by which keys are found before the constant-time comparison. A digest's
+/// Leading hex digits by which keys are looked up before the constant-time comparison. A digest's
 /// prefix doesn't help to guess the key, and 8 digits leave about one candidate.
-constexpr std::size_t kIndexDigits = 8;
+constexpr std::size_t kLookupDigits = 8;
 
 /// Value of a hex digit; 16 for any other character.
 unsigned HexValue(char aDigit)
 {
   constexpr std::string_view kDigits = "0123456789abcdef";
   const auto lower = static_cast<char>(std::tolower(static_cast<unsigned char>(aDigit)));
-  const auto place = kDigits.find(lower);
-  return place == std::string_view::npos ? 16 : static_cast<unsigned>(place);
+  const auto position = kDigits.find(lower);
+  return position == std::string_view::npos ? 16 : static_cast<unsigned>(position);
 }
 
-/// Whether a '%' begins an escape of a character that means the same unescaped, that structures the
-/// path, or that is a control character; or no escape at all.
+/// Whether a '%' begins an invalid escape, or the escape of a character that needs none, that
+/// separates parts of the path or that is a control character.
 bool IsAmbiguousEscape(std::string_view aEscape)
 {
   if (aEscape.size() < 3) {
@@ -40,19 +40,19 @@
     return true;
   }
   const auto decoded = static_cast<unsigned char>(high * 16 + low);
-  constexpr std::string_view kStructure = "-._~/\\;%";
+  constexpr std::string_view kAmbiguousCharacters = "-._~/\\;%";
   return decoded < 0x20 || decoded == 0x7f || std::isalnum(decoded) != 0 ||
-         kStructure.find(static_cast<char>(decoded)) != std::string_view::npos;
+         kAmbiguousCharacters.find(static_cast<char>(decoded)) != std::string_view::npos;
 }
 
-/// Whether a target could resolve the path to another one. Such a path could pass as an open route
-/// and run as a keyed one.
+/// Whether a target could resolve the path to a different one. A request with such a path could
+/// match an open route here and be served as a route that needs a key.
 bool IsAmbiguousPath(std::string_view aPath)
 {
   for (std::size_t i = 0; i < aPath.size(); ++i) {
     const auto byte = static_cast<unsigned char>(aPath[i]);
-    const bool structure = aPath[i] == '\\' || aPath[i] == ';' || aPath[i] == '#';
-    if (structure || byte <= 0x20 || byte == 0x7f ||
+    const bool separator = aPath[i] == '\\' || aPath[i] == ';' || aPath[i] == '#';
+    if (separator || byte <= 0x20 || byte == 0x7f ||
         (aPath[i] == '%' && IsAmbiguousEscape(aPath.substr(i, 3)))) {
       return true;
     }
@@ -68,7 +68,8 @@
   return false;
 }
 
-const Route* FindPrefix(const Config& aConfig, std::string_view aPrefix)
+/// Returns the route with exactly this prefix, or null.
+const Route* FindRouteByPrefix(const Config& aConfig, std::string_view aPrefix)
 {
   const auto found = std::lower_bound(aConfig.routes_.begin(),
                                       aConfig.routes_.end(),
@@ -91,9 +92,9 @@
   if (aPath.empty() || aPath.front() != '/' || IsAmbiguousPath(aPath)) {
     return nullptr;
   }
-  // Tries the path and each part of it that ends before or after a '/', longest first.
+  // Tries the path and each of its prefixes that ends before or after a '/', longest first.
   for (auto candidate = aPath; !candidate.empty();) {
-    if (const auto* route = FindPrefix(aConfig, candidate)) {
+    if (const auto* route = FindRouteByPrefix(aConfig, candidate)) {
       return route;
     }
     if (candidate.back() == '/') {
@@ -107,7 +108,7 @@
 
 const Route* FindHostRoute(const Config& aConfig, std::string_view aHost, std::string_view aPath)
 {
-  // Routes are sorted by falling prefix length, so the first match is the longest.
+  // Routes are sorted by descending prefix length, so the first match is the longest.
   const auto found =
     std::find_if(aConfig.routes_.begin(), aConfig.routes_.end(), [&](const Route& aRoute) {
       return aPath.starts_with(aRoute.prefix_) && aRoute.host_ == aHost;
@@ -117,18 +118,20 @@
 
 Importance ImportanceFor(const Config& aConfig, const ClientAccount& aAccount, const Route& aRoute)
 {
-  std::uint32_t accounts = 0;
+  std::uint32_t maxAccountPriority = 0;
   for (const auto& [id, account] : aConfig.clientAccounts_) {
-    accounts = std::max(accounts, account.priority_);
+    maxAccountPriority = std::max(maxAccountPriority, account.priority_);
   }
-  std::uint32_t routes = 0;
+  std::uint32_t maxRoutePriority = 0;
   for (const Route& route : aConfig.routes_) {
-    routes = std::max(routes, route.priority_);
+    maxRoutePriority = std::max(maxRoutePriority, route.priority_);
   }
-  const std::uint32_t ranks = (accounts + 1) * (routes + 1);
-  const std::uint32_t rank = aAccount.priority_ * (routes + 1) + aRoute.priority_;
-  constexpr std::uint32_t kClasses = kImportanceClasses - 1;
-  return static_cast<Importance>(1 + std::min(kClasses - 1, rank * kClasses / ranks));
+  const std::uint32_t rankCount = (maxAccountPriority + 1) * (maxRoutePriority + 1);
+  const std::uint32_t rank = aAccount.priority_ * (maxRoutePriority + 1) + aRoute.priority_;
+  // The ranks are spread over all classes but the first, kCritical.
+  constexpr std::uint32_t kAccountClasses = kImportanceClasses - 1;
+  return static_cast<Importance>(1 +
+                                 std::min(kAccountClasses - 1, rank * kAccountClasses / rankCount));
 }
 
 const ClientAccount* FindAccountByKeyDigest(const Config& aConfig, std::string_view aDigestHex)
@@ -136,11 +139,12 @@
   if (aDigestHex.size() != kDigestDigits) {
     return nullptr;
   }
-  const std::string index(aDigestHex.substr(0, kIndexDigits));
+  const std::string lookupPrefix(aDigestHex.substr(0, kLookupDigits));
   const ClientAccountId* account = nullptr;
-  for (auto key = aConfig.keys_.lower_bound(index);
-       key != aConfig.keys_.end() && key->first.compare(0, kIndexDigits, index) == 0;
+  for (auto key = aConfig.keys_.lower_bound(lookupPrefix);
+       key != aConfig.keys_.end() && key->first.compare(0, kLookupDigits, lookupPrefix) == 0;
        ++key) {
+    // Goes through all candidates, so that the time doesn't tell which one matched.
     const bool equal = key->first.size() == kDigestDigits &&
                        CRYPTO_memcmp(key->first.data(), aDigestHex.data(), kDigestDigits) == 0;
     account = equal ? &key->second : account;
--- a/peridotquay/version/ConfigCompiler.cpp
+++ b/peridotquay/version/ConfigCompiler.cpp
@@ -1,4 +1,4 @@
-// Checks entities against their schema and each other, and applies the overlay of a data centre.
+// Checks entities by their schema and against each other, and applies the overlay of a data centre.
 #include "peridotquay/version/ConfigCompiler.h"
 
 #include "peridotquay/version/ConfigReader.h"
@@ -26,10 +26,10 @@
   BOOST_OUTCOME_TRY(burst, ReadNumber(aTable, "burst", 1, 1e6));
   BOOST_OUTCOME_TRYV(ReadText(aTable, "description", 256));
   if (!rate) {
-    return Missing(aTable, "rate");
+    return MissingKeyFailure(aTable, "rate");
   }
   if (!burst) {
-    return Missing(aTable, "burst");
+    return MissingKeyFailure(aTable, "burst");
   }
   account.ratePerSecond_ = *rate;
   account.burst_ = *burst;
@@ -52,7 +52,7 @@
   BOOST_OUTCOME_TRY(source, ReadText(aTable, "source", 16));
   BOOST_OUTCOME_TRY(withdrawn, ReadFlag(aTable, "withdrawn"));
   if (!account) {
-    return Missing(aTable, "account");
+    return MissingKeyFailure(aTable, "account");
   }
   if (source && *source != "file" && *source != "command") {
     return Fail(ErrorCode::kOutOfRange, ErrorSubject(aTable, "source"), "file or command");
@@ -64,7 +64,7 @@
 }
 
 /// Whether a prefix can be matched at a '/' boundary without ambiguity.
-bool IsPrefix(std::string_view aPrefix)
+bool IsRoutePrefix(std::string_view aPrefix)
 {
   if (aPrefix == "/") {
     return true;
@@ -94,14 +94,14 @@
   return importance;
 }
 
-/// Reads the keys that base and overlay have in common.
-Result<void> ReadRouteLimits(const ConfigTable& aTable, Route& aRoute)
+/// Reads the keys of a route that an overlay may set as well as the base.
+Result<void> ReadOverridableRouteKeys(const ConfigTable& aTable, Route& aRoute)
 {
   BOOST_OUTCOME_TRY(importance, ReadImportance(aTable));
   BOOST_OUTCOME_TRY(open, ReadFlag(aTable, "open"));
   BOOST_OUTCOME_TRY(retries, ReadInteger(aTable, "max_retries", 0, 16));
   BOOST_OUTCOME_TRY(deadline, ReadInteger(aTable, "deadline_ms", 1, 600000));
-  BOOST_OUTCOME_TRY(accounts, ReadTexts(aTable, "accounts", kMaxClientAccounts));
+  BOOST_OUTCOME_TRY(accounts, ReadTextList(aTable, "accounts", kMaxClientAccounts));
   aRoute.importance_ = importance.value_or(aRoute.importance_);
   aRoute.open_ = open.value_or(aRoute.open_);
   if (retries) {
@@ -138,14 +138,14 @@
   BOOST_OUTCOME_TRY(service, ReadText(aTable, "service", 64));
   BOOST_OUTCOME_TRY(repeatable, ReadFlag(aTable, "repeatable"));
   BOOST_OUTCOME_TRYV(ReadText(aTable, "description", 256));
-  BOOST_OUTCOME_TRYV(ReadRouteLimits(aTable, route));
+  BOOST_OUTCOME_TRYV(ReadOverridableRouteKeys(aTable, route));
   if (!prefix) {
-    return Missing(aTable, "prefix");
+    return MissingKeyFailure(aTable, "prefix");
   }
   if (!service) {
-    return Missing(aTable, "service");
+    return MissingKeyFailure(aTable, "service");
   }
-  if (!IsPrefix(*prefix)) {
+  if (!IsRoutePrefix(*prefix)) {
     return Fail(
       ErrorCode::kOutOfRange,
       ErrorSubject(aTable, "prefix"),
@@ -179,12 +179,12 @@
   BOOST_OUTCOME_TRY(retryRatio, ReadNumber(aTable, "retry_ratio", 0, 1));
   BOOST_OUTCOME_TRY(capacity, ReadInteger(aTable, "queue_capacity", 0, 1024));
   BOOST_OUTCOME_TRY(fraction, ReadNumber(aTable, "queue_deadline_fraction", 0, 1));
-  const auto setTime = [](Duration& aOut, const std::optional<std::int64_t>& aValue) {
+  const auto setDuration = [](Duration& aOut, const std::optional<std::int64_t>& aValue) {
     aOut = aValue ? Duration(milliseconds(*aValue)) : aOut;
   };
-  setTime(aPolicy.keyFreshnessBound_, bound);
-  setTime(aPolicy.floorLease_, floorLease);
-  setTime(aPolicy.elasticLease_, elasticLease);
+  setDuration(aPolicy.keyFreshnessBound_, bound);
+  setDuration(aPolicy.floorLease_, floorLease);
+  setDuration(aPolicy.elasticLease_, elasticLease);
   aPolicy.floorFraction_ = floor.value_or(aPolicy.floorFraction_);
   aPolicy.retryRatio_ = retryRatio.value_or(aPolicy.retryRatio_);
   aPolicy.queueDeadlineFraction_ = fraction.value_or(aPolicy.queueDeadlineFraction_);
@@ -204,7 +204,7 @@
   BOOST_OUTCOME_TRYV(CheckKeys(aTable, { "region", "overlay" }));
   BOOST_OUTCOME_TRY(region, ReadText(aTable, "region", 64));
   if (!region) {
-    return Missing(aTable, "region");
+    return MissingKeyFailure(aTable, "region");
   }
   if (!IsConfigId(*region)) {
     return Fail(ErrorCode::kOutOfRange, ErrorSubject(aTable, "region"), std::string(kConfigIdRule));
@@ -241,7 +241,7 @@
   } else if (aKind == "policy" && aId == "default") {
     return ReadPolicy(aTable, aParsed.base_.policy_);
   } else if (aKind == "policy" && aId == "replaced") {
-    // Kept by the commands for waits on withdrawals; it doesn't concern nodes.
+    // The operator commands store it to know how long to wait for a withdrawal. Nodes ignore it.
     BOOST_OUTCOME_TRYV(CheckKeys(aTable, { "key_freshness_bound_ms", "until_ms" }));
   } else {
     return Fail(ErrorCode::kUnknownSetting,
@@ -251,7 +251,7 @@
   return Success();
 }
 
-/// An entity's name in its two parts.
+/// Splits an entity's name at the first '/' into kind and id.
 std::pair<std::string, std::string> SplitName(const std::string& aName)
 {
   const auto slash = aName.find('/');
@@ -268,7 +268,7 @@
   return ReadEntity(kind, id, { &json, aName, "" }, aParsed);
 }
 
-/// Removes what was parsed from an entity.
+/// Removes the parsed form of an entity from the cache.
 void RemoveParsed(const std::string& aName, ConfigCache& aParsed)
 {
   const auto [kind, id] = SplitName(aName);
@@ -300,8 +300,8 @@
   });
 }
 
-/// Brings the cache up to date with the entities.
-Result<void> ParseTouched(const Entities& aEntities, ConfigCache& aCache)
+/// Parses the entities that the cache lacks or that changed, and removes those that are gone.
+Result<void> ParseChanged(const Entities& aEntities, ConfigCache& aCache)
 {
   if (!aCache.parsed_) {
     aCache = ConfigCache{};
@@ -309,13 +309,13 @@
       BOOST_OUTCOME_TRYV(ParseEntity(name, text, aCache));
     }
   }
-  for (const auto& name : aCache.touched_) {
+  for (const auto& name : aCache.changed_) {
     RemoveParsed(name, aCache);
     if (const auto entity = aEntities.find(name); entity != aEntities.end()) {
       BOOST_OUTCOME_TRYV(ParseEntity(name, entity->second, aCache));
     }
   }
-  aCache.touched_.clear();
+  aCache.changed_.clear();
   SortRoutes(aCache.base_.routes_);
   return Success();
 }
@@ -377,13 +377,13 @@
   return CheckRoutes(aParsed);
 }
 
-auto Widens(const ConfigTable& aTable, const char* aKey, std::string aAllowed)
+auto WidensFailure(const ConfigTable& aTable, const char* aKey, std::string aAllowed)
 {
   return Fail(ErrorCode::kOverlayWidens, ErrorSubject(aTable, aKey), std::move(aAllowed));
 }
 
-/// Whether every account of the narrowed route may use the base route.
-bool AccountsNarrow(const Route& aBase, const Route& aRoute)
+/// Whether every account that the overlay's route lists may use the base route.
+bool AllAccountsAllowed(const Route& aBase, const Route& aRoute)
 {
   if (aBase.clientAccounts_.empty()) {
     return true;
@@ -397,34 +397,34 @@
                      });
 }
 
-/// Checks that the overlay's route allows nothing that the base route doesn't.
-Result<void> CheckNarrowed(const ConfigTable& aTable, const Route& aBase, const Route& aRoute)
+/// Checks that the overlay's route permits nothing that the base route doesn't.
+Result<void> CheckRouteNarrows(const ConfigTable& aTable, const Route& aBase, const Route& aRoute)
 {
   if (aRoute.importance_ != aBase.importance_) {
     if (aBase.importance_ == Importance::kCritical) {
-      return Widens(aTable, "importance", "can't change on a critical route");
+      return WidensFailure(aTable, "importance", "can't change on a critical route");
     }
     if (aRoute.importance_ < aBase.importance_) {
-      return Widens(
+      return WidensFailure(
         aTable, "importance", "at most " + std::string(ImportanceName(aBase.importance_)));
     }
   }
   if (aRoute.open_ && !aBase.open_) {
-    return Widens(aTable, "open", "false");
+    return WidensFailure(aTable, "open", "false");
   }
   if (aRoute.maxRetries_ > aBase.maxRetries_) {
-    return Widens(aTable, "max_retries", "at most " + std::to_string(aBase.maxRetries_));
+    return WidensFailure(aTable, "max_retries", "at most " + std::to_string(aBase.maxRetries_));
   }
   if (aRoute.deadline_ > aBase.deadline_) {
     const auto base = std::chrono::duration_cast<milliseconds>(aBase.deadline_).count();
-    return Widens(aTable, "deadline_ms", "at most " + std::to_string(base));
+    return WidensFailure(aTable, "deadline_ms", "at most " + std::to_string(base));
   }
   // An empty list would allow all accounts.
   if (aRoute.clientAccounts_.empty() && !aBase.clientAccounts_.empty()) {
-    return Widens(aTable, "accounts", "not empty");
+    return WidensFailure(aTable, "accounts", "not empty");
   }
-  if (!AccountsNarrow(aBase, aRoute)) {
-    return Widens(aTable, "accounts", "accounts of the base route");
+  if (!AllAccountsAllowed(aBase, aRoute)) {
+    return WidensFailure(aTable, "accounts", "accounts of the base route");
   }
   if (aRoute.open_ && !aRoute.clientAccounts_.empty()) {
     return Fail(
@@ -433,25 +433,27 @@
   return Success();
 }
 
-/// What an overlay changes in the base, checked.
-struct Narrowing
+/// Changes by an overlay to the base configuration, after they were checked.
+struct CheckedOverlay
 {
-  std::vector<std::pair<std::size_t, Route>> routes_; ///< By index in the base.
-  std::vector<std::pair<ClientAccountId, double>> rateParts_;
+  std::vector<std::pair<std::size_t, Route>> routes_; ///< With their index in Config::routes_.
+  std::vector<std::pair<ClientAccountId, double>> rateFractions_;
   Policy policy_;
 };
 
-Result<void> NarrowRoutes(const ConfigTable& aOverlay, const Config& aBase, Narrowing& aOut)
+Result<void> CheckRouteOverlays(const ConfigTable& aOverlay,
+                                const Config& aBase,
+                                CheckedOverlay& aOut)
 {
   BOOST_OUTCOME_TRY(routes, ReadTable(aOverlay, "routes"));
   if (!routes) {
     return Success();
   }
   for (const auto& [id, value] : routes->json_->items()) {
-    const RouteId wanted{ id };
+    const RouteId routeId{ id };
     const auto found =
-      std::find_if(aBase.routes_.begin(), aBase.routes_.end(), [&wanted](const Route& aRoute) {
-        return aRoute.id_ == wanted;
+      std::find_if(aBase.routes_.begin(), aBase.routes_.end(), [&routeId](const Route& aRoute) {
+        return aRoute.id_ == routeId;
       });
     if (found == aBase.routes_.end()) {
       return Fail(ErrorCode::kUnknownReference, ErrorSubject(*routes, id), "no route/" + id);
@@ -460,8 +462,8 @@
     BOOST_OUTCOME_TRYV(
       CheckKeys(*table, { "importance", "open", "max_retries", "deadline_ms", "accounts" }));
     auto narrowed = *found;
-    BOOST_OUTCOME_TRYV(ReadRouteLimits(*table, narrowed));
-    BOOST_OUTCOME_TRYV(CheckNarrowed(*table, *found, narrowed));
+    BOOST_OUTCOME_TRYV(ReadOverridableRouteKeys(*table, narrowed));
+    BOOST_OUTCOME_TRYV(CheckRouteNarrows(*table, *found, narrowed));
     BOOST_OUTCOME_TRYV(CheckAccountsKnown(narrowed, aBase, ErrorSubject(*table, "accounts")));
     const auto index = static_cast<std::size_t>(found - aBase.routes_.begin());
     aOut.routes_.emplace_back(index, std::move(narrowed));
@@ -469,7 +471,9 @@
   return Success();
 }
 
-Result<void> NarrowAccounts(const ConfigTable& aOverlay, const Config& aBase, Narrowing& aOut)
+Result<void> CheckAccountOverlays(const ConfigTable& aOverlay,
+                                  const Config& aBase,
+                                  CheckedOverlay& aOut)
 {
   BOOST_OUTCOME_TRY(accounts, ReadTable(aOverlay, "accounts"));
   if (!accounts) {
@@ -482,69 +486,70 @@
     BOOST_OUTCOME_TRY(table, ReadTable(*accounts, id));
     BOOST_OUTCOME_TRYV(CheckKeys(*table, { "rate_part" }));
     BOOST_OUTCOME_TRY(part, ReadNumber(*table, "rate_part", 0.001, 1));
-    aOut.rateParts_.emplace_back(ClientAccountId{ id }, part.value_or(1.0));
+    aOut.rateFractions_.emplace_back(ClientAccountId{ id }, part.value_or(1.0));
   }
   return Success();
 }
 
-Result<void> NarrowPolicy(const ConfigTable& aOverlay, const Policy& aBase, Policy& aPolicy)
+Result<void> CheckPolicyOverlay(const ConfigTable& aOverlay, const Policy& aBase, Policy& aPolicy)
 {
   BOOST_OUTCOME_TRY(table, ReadTable(aOverlay, "policy"));
   if (!table) {
     return Success();
   }
-  // Leases and floors are agreements between data centres, so no site can set them alone.
+  // All data centres must use the same leases and floors, so an overlay can't set them.
   BOOST_OUTCOME_TRYV(CheckKeys(
     *table,
     { "key_freshness_bound_ms", "retry_ratio", "queue_capacity", "queue_deadline_fraction" }));
   BOOST_OUTCOME_TRYV(ReadPolicy(*table, aPolicy));
   if (aPolicy.keyFreshnessBound_ > aBase.keyFreshnessBound_) {
     const auto bound = std::chrono::duration_cast<milliseconds>(aBase.keyFreshnessBound_).count();
-    return Widens(*table, "key_freshness_bound_ms", "at most " + std::to_string(bound));
+    return WidensFailure(*table, "key_freshness_bound_ms", "at most " + std::to_string(bound));
   }
   if (aPolicy.retryRatio_ > aBase.retryRatio_) {
-    return Widens(*table, "retry_ratio", "at most " + std::to_string(aBase.retryRatio_));
+    return WidensFailure(*table, "retry_ratio", "at most " + std::to_string(aBase.retryRatio_));
   }
   if (aPolicy.queueCapacity_ > aBase.queueCapacity_) {
-    return Widens(*table, "queue_capacity", "at most " + std::to_string(aBase.queueCapacity_));
+    return WidensFailure(
+      *table, "queue_capacity", "at most " + std::to_string(aBase.queueCapacity_));
   }
   if (aPolicy.queueDeadlineFraction_ > aBase.queueDeadlineFraction_) {
-    return Widens(
+    return WidensFailure(
       *table, "queue_deadline_fraction", "at most " + std::to_string(aBase.queueDeadlineFraction_));
   }
   return Success();
 }
 
-/// Checks the overlay of a site against the base.
-Result<Narrowing> CheckOverlay(const Config& aBase, const SiteEntity& aSite)
+/// Checks that the overlay of a site only narrows the base.
+Result<CheckedOverlay> CheckOverlay(const Config& aBase, const SiteEntity& aSite)
 {
   const auto json = ConfigJson::parse(aSite.overlay_, nullptr, false);
   const ConfigTable overlay{ &json, "site/" + aSite.site_.dataCentre_.value_, "overlay." };
-  Narrowing narrowing;
-  narrowing.policy_ = aBase.policy_;
+  CheckedOverlay checked;
+  checked.policy_ = aBase.policy_;
   BOOST_OUTCOME_TRYV(CheckKeys(overlay, { "routes", "accounts", "policy" }));
-  BOOST_OUTCOME_TRYV(NarrowRoutes(overlay, aBase, narrowing));
-  BOOST_OUTCOME_TRYV(NarrowAccounts(overlay, aBase, narrowing));
-  BOOST_OUTCOME_TRYV(NarrowPolicy(overlay, aBase.policy_, narrowing.policy_));
-  return narrowing;
+  BOOST_OUTCOME_TRYV(CheckRouteOverlays(overlay, aBase, checked));
+  BOOST_OUTCOME_TRYV(CheckAccountOverlays(overlay, aBase, checked));
+  BOOST_OUTCOME_TRYV(CheckPolicyOverlay(overlay, aBase.policy_, checked.policy_));
+  return checked;
 }
 
-/// Applies a checked overlay to a copy of the base that it was checked against.
-void ApplyNarrowing(Narrowing&& aNarrowing, Config& aConfig)
+/// Applies a checked overlay to a copy of the base against which it was checked.
+void ApplyOverlay(CheckedOverlay&& aChecked, Config& aConfig)
 {
-  for (auto& [index, route] : aNarrowing.routes_) {
+  for (auto& [index, route] : aChecked.routes_) {
     aConfig.routes_[index] = std::move(route);
   }
-  for (const auto& [id, part] : aNarrowing.rateParts_) {
+  for (const auto& [id, part] : aChecked.rateFractions_) {
     aConfig.clientAccounts_.at(id).siteRateFraction_ = part;
   }
-  aConfig.policy_ = aNarrowing.policy_;
+  aConfig.policy_ = aChecked.policy_;
 }
 
-/// Parses what was touched and checks the base; the cache is invalid after a failure.
+/// Parses the changed entities and checks the base. The cache is invalid after a failure.
 Result<void> ParseAndCheck(const Entities& aEntities, ConfigCache& aCache)
 {
-  BOOST_OUTCOME_TRYV(ParseTouched(aEntities, aCache));
+  BOOST_OUTCOME_TRYV(ParseChanged(aEntities, aCache));
   BOOST_OUTCOME_TRYV(CheckReferences(aCache));
   return Success();
 }
@@ -559,16 +564,16 @@
   if (!base.sites_.empty() && !base.sites_.contains(aDataCentre)) {
     return Fail(ErrorCode::kUnknownSite, aDataCentre.value_, "a site of the configuration");
   }
-  std::optional<Narrowing> own;
+  std::optional<CheckedOverlay> own;
   for (const auto& [dataCentre, site] : aCache.sites_) {
-    BOOST_OUTCOME_TRY(narrowing, CheckOverlay(base, site));
+    BOOST_OUTCOME_TRY(checked, CheckOverlay(base, site));
     if (dataCentre == aDataCentre) {
-      own = std::move(narrowing);
+      own = std::move(checked);
     }
   }
   auto compiled = std::make_shared<Config>(base);
   if (own) {
-    ApplyNarrowing(std::move(*own), *compiled);
+    ApplyOverlay(std::move(*own), *compiled);
   }
   compiled->version_ = aVersion;
   return std::shared_ptr<const Config>(std::move(compiled));
@@ -579,7 +584,7 @@
 void MarkEntitiesChanged(ConfigCache& aCache, const std::vector<EntityEdit>& aEdits)
 {
   for (const auto& edit : aEdits) {
-    aCache.touched_.insert(edit.name_);
+    aCache.changed_.insert(edit.name_);
   }
 }
 
--- a/peridotquay/version/ConfigDelta.cpp
+++ b/peridotquay/version/ConfigDelta.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-/// Parses JSON text without exceptions; a discarded value if the text is malformed.
+/// Parses JSON text without exceptions; returns a discarded value if the text is malformed.
 Json ParseJson(std::string_view aText)
 {
   return Json::parse(aText.begin(), aText.end(), nullptr, false);
@@ -25,7 +25,7 @@
   return aJson.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-const Json* Member(const Json& aObject, const char* aName)
+const Json* FindMember(const Json& aObject, const char* aName)
 {
   const auto found = aObject.find(aName);
   return found == aObject.end() ? nullptr : &*found;
@@ -33,7 +33,7 @@
 
 bool ReadString(const Json& aObject, const char* aName, std::string& aOut)
 {
-  const auto* value = Member(aObject, aName);
+  const auto* value = FindMember(aObject, aName);
   if (value == nullptr || !value->is_string()) {
     return false;
   }
@@ -44,7 +44,7 @@
 template<typename T>
 bool ReadUnsigned(const Json& aObject, const char* aName, T& aOut)
 {
-  const auto* value = Member(aObject, aName);
+  const auto* value = FindMember(aObject, aName);
   if (value == nullptr || !value->is_number_unsigned()) {
     return false;
   }
@@ -55,7 +55,7 @@
 
 bool ReadStrings(const Json& aObject, const char* aName, std::vector<std::string>& aOut)
 {
-  const auto* value = Member(aObject, aName);
+  const auto* value = FindMember(aObject, aName);
   if (value == nullptr || !value->is_array()) {
     return false;
   }
@@ -70,7 +70,8 @@
 
 Json EditJson(const EntityEdit& aEdit)
 {
-  // Entities are embedded as text, so that they keep their bytes on the way through other writers.
+  // Entities are embedded as text, so that other writers that parse and rewrite the row don't
+  // change their bytes.
   Json json = { { "name", aEdit.name_ } };
   json["json"] = aEdit.json_ ? Json(*aEdit.json_) : Json(nullptr);
   return json;
@@ -81,7 +82,7 @@
   if (!aJson.is_object() || !ReadString(aJson, "name", aOut.name_)) {
     return false;
   }
-  const auto* value = Member(aJson, "json");
+  const auto* value = FindMember(aJson, "json");
   if (value == nullptr || !(value->is_null() || value->is_string())) {
     return false;
   }
@@ -100,8 +101,8 @@
   return bytes;
 }
 
-/// Size of the entities after a change whose edits have different names.
-std::size_t BytesAfter(const Entities& aEntities, const Change& aChange)
+/// Size of the entities after a change. No two edits of the change may have the same name.
+std::size_t EntitiesBytesAfter(const Entities& aEntities, const Change& aChange)
 {
   auto bytes = EntitiesBytes(aEntities);
   for (const auto& edit : aChange.edits_) {
@@ -171,11 +172,11 @@
   std::set<std::string> names;
   for (const auto& edit : aChange.edits_) {
     if (!names.insert(edit.name_).second) {
-      return Fail(ErrorCode::kContradiction, edit.name_, "edited once in a change");
+      return Fail(ErrorCode::kContradiction, edit.name_, "a change may edit an entity only once");
     }
     BOOST_OUTCOME_TRYV(CheckEdit(aEntities, edit));
   }
-  if (BytesAfter(aEntities, aChange) > kMaxConfigBytes) {
+  if (EntitiesBytesAfter(aEntities, aChange) > kMaxConfigBytes) {
     return Fail(ErrorCode::kChangeTooLarge,
                 "configuration",
                 "at most " + std::to_string(kMaxConfigBytes) + " bytes");
@@ -217,7 +218,7 @@
                      ReadString(json, "operation_id", change.operationId_) &&
                      ReadUnsigned(json, "wall_ms", change.wallMs_) &&
                      ReadString(json, "summary", change.summary_);
-  const auto* edits = valid ? Member(json, "edits") : nullptr;
+  const auto* edits = valid ? FindMember(json, "edits") : nullptr;
   if (edits == nullptr || !edits->is_array()) {
     return Fail(ErrorCode::kPlatformMalformed, "change");
   }
@@ -254,8 +255,8 @@
 
 Result<Snapshot> DecodeSnapshot(std::string_view aText)
 {
-  // Quotes escaped in JSON inside JSON and the punctuation at most triple the size; the exact check
-  // follows.
+  // Escapes and punctuation at most triple the size of the entities. Their exact size is checked
+  // after parsing.
   if (aText.size() > 3 * kMaxConfigBytes) {
     return Fail(ErrorCode::kChangeTooLarge, "snapshot", std::to_string(kMaxConfigBytes) + " bytes");
   }
@@ -264,7 +265,7 @@
   if (!json.is_object() || !ReadUnsigned(json, "version", snapshot.version_)) {
     return Fail(ErrorCode::kPlatformMalformed, "snapshot");
   }
-  const auto* entities = Member(json, "entities");
+  const auto* entities = FindMember(json, "entities");
   if (entities == nullptr || !entities->is_object()) {
     return Fail(ErrorCode::kPlatformMalformed, "snapshot entities");
   }
--- a/peridotquay/version/ConfigDelta.h
+++ b/peridotquay/version/ConfigDelta.h
@@ -1,4 +1,5 @@
-// The configuration as named entities, changes to it, and their JSON text in the platform.
+// The configuration as named entities, changes to it, and the JSON text in which the platform
+// stores both.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -12,33 +13,33 @@
 
 namespace peridotquay {
 
-/// The whole configuration, by entity name, as canonical JSON: objects with sorted keys and no
-/// white space. Names: account/<id>, key/<digest>, route/<id>, service/<id>, site/<data centre>,
-/// policy/default.
+/// The whole configuration: canonical JSON (objects with sorted keys and no white space) by entity
+/// name. Names: account/<id>, key/<digest>, route/<id>, service/<id>, site/<data centre>,
+/// policy/default, policy/replaced.
 using Entities = std::map<std::string, std::string>;
 
-/// Largest change in bytes of JSON text.
+/// Maximum size of a change, as JSON text.
 inline constexpr std::size_t kMaxChangeBytes = 65536;
 
-/// Largest configuration in bytes, names and JSON text together.
+/// Maximum size of a configuration, names and JSON text together.
 inline constexpr std::size_t kMaxConfigBytes = std::size_t{ 8 } << 20U;
 
-/// Versions between two snapshots in the object store.
+/// Number of versions from one snapshot in the object store to the next.
 inline constexpr Version kSnapshotInterval = 256;
 
-/// Row that holds the latest version as {"version":N}.
+/// Key of the row that holds the latest version as {"version":N}.
 inline constexpr std::string_view kHeadRowKey = "config/head";
 
-/// Row of one change: config/change/ and the version with 16 digits.
+/// Key of the row of a change: config/change/<version>, with 16 digits.
 std::string ChangeRowKey(Version aVersion);
 
-/// Object of one snapshot: config/snapshot/<version>.
+/// Name of the object that holds a snapshot: config/snapshot/<version>.
 std::string SnapshotName(Version aVersion);
 
-/// Edits that turn aFrom into aTo, sorted by name.
+/// Returns the edits that turn aFrom into aTo, sorted by name.
 std::vector<EntityEdit> DiffEntities(const Entities& aFrom, const Entities& aTo);
 
-/// Applies the edits of a change as a whole; the entities are untouched on failure. Errors:
+/// Applies all edits of a change. On failure none is applied. Errors:
 /// kChangeTooLarge, kSyntax (an entity isn't a JSON object), kContradiction (an entity is edited
 /// twice), kNotFound (an absent entity is removed).
 Result<void> ApplyChange(Entities& aEntities, const Change& aChange);
@@ -69,19 +70,20 @@
 /// Parses the text of a snapshot. Errors: kPlatformMalformed, kChangeTooLarge.
 Result<Snapshot> DecodeSnapshot(std::string_view aText);
 
-/// What the control side reports of one data centre in row watermark/<data centre>.
+/// Configuration version that the hosts of a data centre have reached. The control plane stores it
+/// in row watermark/<data centre>.
 struct Watermark
 {
   DataCentreId dataCentre_;
-  Version version_ = 0;     ///< Least version in force at the hosts that can be reached.
-  std::uint32_t nodes_ = 0; ///< Hosts that the watermark covers.
-  std::vector<std::string> lagging_;
-  std::vector<std::string> unreachable_;
-  std::uint64_t writtenMs_ = 0; ///< Wall clock of the writer; for people only.
+  Version version_ = 0;              ///< Lowest version in force at the hosts that can be reached.
+  std::uint32_t nodes_ = 0;          ///< Number of hosts that the watermark covers.
+  std::vector<std::string> lagging_; ///< Some of the hosts that hold version_ back.
+  std::vector<std::string> unreachable_; ///< Hosts that can't be reached.
+  std::uint64_t writtenMs_ = 0; ///< Wall clock of the writer in milliseconds; for display only.
   bool operator==(const Watermark&) const = default;
 };
 
-/// Row of the watermark of a data centre.
+/// Key of the row of a data centre's watermark.
 std::string WatermarkRowKey(const DataCentreId& aDataCentre);
 
 /// JSON text of a watermark row.
--- a/peridotquay/version/ConfigParser.cpp
+++ b/peridotquay/version/ConfigParser.cpp
@@ -1,5 +1,6 @@
-// Parses configuration files. Each TOML value is copied to the JSON of its entity, and its place is
-// kept under the subject that errors of the entity checks name.
+// Parses configuration files. Each TOML value is copied to the JSON of its entity. Its location in
+// the file is stored under the subject that errors about it have, so that an error from the checks
+// of the entities can name the file and line.
 #include "peridotquay/version/ConfigParser.h"
 
 #include "peridotquay/process/TomlPlaces.h"
@@ -17,11 +18,11 @@
 
 namespace {
 
-/// Places of all keys, by the subject of errors about them.
-using Places = std::map<std::string, SourcePlace>;
+/// Locations of all keys, by the subject of errors about them.
+using LocationsBySubject = std::map<std::string, SourcePlace>;
 
-/// Tables of the base file and the kind of entity that each of their members becomes.
-constexpr std::array<std::pair<const char*, const char*>, 5> kTables = { {
+/// Tables of the base file and the kind of entity that their members become.
+constexpr std::array<std::pair<const char*, const char*>, 5> kEntityTables = { {
   { "accounts", "account" },
   { "keys", "key" },
   { "routes", "route" },
@@ -29,49 +30,53 @@
   { "sites", "site" },
 } };
 
-auto FailAt(ErrorCode aCode, std::string aSubject, std::string aAllowed, const SourcePlace& aPlace)
+auto FailAt(ErrorCode aCode,
+            std::string aSubject,
+            std::string aAllowed,
+            const SourcePlace& aLocation)
 {
   return BOOST_OUTCOME_V2_NAMESPACE::failure(
-    Error{ aCode, std::move(aSubject), std::move(aAllowed), aPlace });
+    Error{ aCode, std::move(aSubject), std::move(aAllowed), aLocation });
 }
 
-/// Where a file's values go.
-struct Target
+/// The file whose values are converted, and where their locations are stored.
+struct ConversionContext
 {
   const std::string* file_;
-  Places* places_;
+  LocationsBySubject* locations_;
 };
 
-Result<ConfigJson> ConvertNode(const Target& aTarget,
+Result<ConfigJson> ConvertNode(const ConversionContext& aContext,
                                const toml::node& aNode,
                                const std::string& aSubject);
 
-Result<ConfigJson> ConvertTable(const Target& aTarget,
+/// Converts a table to a JSON object. The prefix and a key make the subject of errors about it.
+Result<ConfigJson> ConvertTable(const ConversionContext& aContext,
                                 const toml::table& aTable,
                                 const std::string& aPrefix)
 {
   auto json = ConfigJson::object();
   for (const auto& [key, node] : aTable) {
     const auto subject = aPrefix + std::string(key.str());
-    (*aTarget.places_)[subject] = PlaceOf(key.source(), *aTarget.file_);
-    BOOST_OUTCOME_TRY(value, ConvertNode(aTarget, node, subject));
+    (*aContext.locations_)[subject] = PlaceOf(key.source(), *aContext.file_);
+    BOOST_OUTCOME_TRY(value, ConvertNode(aContext, node, subject));
     json[std::string(key.str())] = std::move(value);
   }
   return json;
 }
 
-Result<ConfigJson> ConvertNode(const Target& aTarget,
+Result<ConfigJson> ConvertNode(const ConversionContext& aContext,
                                const toml::node& aNode,
                                const std::string& aSubject)
 {
-  const auto place = PlaceOf(aNode.source(), *aTarget.file_);
+  const auto location = PlaceOf(aNode.source(), *aContext.file_);
   if (const auto* table = aNode.as_table()) {
-    return ConvertTable(aTarget, *table, aSubject + ".");
+    return ConvertTable(aContext, *table, aSubject + ".");
   }
   if (const auto* list = aNode.as_array()) {
     auto json = ConfigJson::array();
     for (const auto& element : *list) {
-      BOOST_OUTCOME_TRY(value, ConvertNode(aTarget, element, aSubject));
+      BOOST_OUTCOME_TRY(value, ConvertNode(aContext, element, aSubject));
       json.push_back(std::move(value));
     }
     return json;
@@ -87,19 +92,22 @@
   }
   const auto number = aNode.value_exact<double>();
   if (!number) {
-    return FailAt(ErrorCode::kWrongType, aSubject, "no date or time", place);
+    return FailAt(ErrorCode::kWrongType, aSubject, "dates and times aren't allowed", location);
   }
   if (!std::isfinite(*number)) {
-    return FailAt(ErrorCode::kOutOfRange, aSubject, "a finite number", place);
+    return FailAt(ErrorCode::kOutOfRange, aSubject, "a finite number", location);
   }
   return ConfigJson(*number);
 }
 
-/// The place of an error: that of its subject, else of the closest table around it.
-SourcePlace FindPlace(const Places& aPlaces, std::string aSubject, const std::string& aFile)
+/// Returns the location of an error: that of its subject if known, otherwise of the innermost known
+/// table around it.
+SourcePlace FindLocation(const LocationsBySubject& aLocations,
+                         std::string aSubject,
+                         const std::string& aFile)
 {
   for (;;) {
-    if (const auto found = aPlaces.find(aSubject); found != aPlaces.end()) {
+    if (const auto found = aLocations.find(aSubject); found != aLocations.end()) {
       return found->second;
     }
     const auto dot = aSubject.rfind('.');
@@ -114,7 +122,7 @@
   }
 }
 
-/// Checks that a file gives an entity no key that only commands and overlays set.
+/// Checks that the base file sets no key of an entity that only commands and overlays may set.
 Result<void> CheckFileKeys(const std::string& aKind, const ConfigTable& aTable)
 {
   if (aKind == "key") {
@@ -126,14 +134,15 @@
   return Success();
 }
 
-Result<void> ReadEntityTable(const Target& aTarget,
+/// Adds an entity of the base file to aOut.
+Result<void> ReadEntityTable(const ConversionContext& aContext,
                              const std::string& aKind,
                              const std::string& aId,
                              const toml::table& aTable,
                              std::map<std::string, ConfigJson>& aOut)
 {
   const auto entity = aKind + "/" + aId;
-  BOOST_OUTCOME_TRY(json, ConvertTable(aTarget, aTable, entity + ": "));
+  BOOST_OUTCOME_TRY(json, ConvertTable(aContext, aTable, entity + ": "));
   BOOST_OUTCOME_TRYV(CheckFileKeys(aKind, { &json, entity, "" }));
   if (aKind == "key") {
     json["source"] = "file";
@@ -142,46 +151,51 @@
   return Success();
 }
 
+/// Parses the base file and adds its entities to aOut, by name.
 Result<void> ReadBase(const ConfigFile& aBase,
-                      Places& aPlaces,
+                      LocationsBySubject& aLocations,
                       std::map<std::string, ConfigJson>& aOut)
 {
   BOOST_OUTCOME_TRY(table, ParseToml(aBase.text_, aBase.name_));
-  const Target target{ &aBase.name_, &aPlaces };
+  const ConversionContext context{ &aBase.name_, &aLocations };
   for (const auto& [key, node] : table) {
     const auto name = std::string(key.str());
-    const auto place = PlaceOf(key.source(), aBase.name_);
+    const auto location = PlaceOf(key.source(), aBase.name_);
     const auto* members = node.as_table();
-    const auto* const kind = std::find_if(
-      kTables.begin(), kTables.end(), [&name](const auto& aEntry) { return name == aEntry.first; });
-    if (kind == kTables.end() && name != "policy") {
-      return FailAt(
-        ErrorCode::kUnknownSetting, name, "accounts, keys, policy, routes, services, sites", place);
+    const auto* const kind =
+      std::find_if(kEntityTables.begin(), kEntityTables.end(), [&name](const auto& aEntry) {
+        return name == aEntry.first;
+      });
+    if (kind == kEntityTables.end() && name != "policy") {
+      return FailAt(ErrorCode::kUnknownSetting,
+                    name,
+                    "accounts, keys, policy, routes, services, sites",
+                    location);
     }
     if (members == nullptr) {
-      return FailAt(ErrorCode::kWrongType, name, "a table", place);
+      return FailAt(ErrorCode::kWrongType, name, "a table", location);
     }
     if (name == "policy") {
-      aPlaces["policy/default"] = place;
-      BOOST_OUTCOME_TRYV(ReadEntityTable(target, "policy", "default", *members, aOut));
+      aLocations["policy/default"] = location;
+      BOOST_OUTCOME_TRYV(ReadEntityTable(context, "policy", "default", *members, aOut));
       continue;
     }
     for (const auto& [id, member] : *members) {
       const auto entity = std::string(kind->second) + "/" + std::string(id.str());
-      aPlaces[entity] = PlaceOf(id.source(), aBase.name_);
+      aLocations[entity] = PlaceOf(id.source(), aBase.name_);
       if (!member.is_table()) {
-        return FailAt(ErrorCode::kWrongType, entity, "a table", aPlaces[entity]);
+        return FailAt(ErrorCode::kWrongType, entity, "a table", aLocations[entity]);
       }
       BOOST_OUTCOME_TRYV(
-        ReadEntityTable(target, kind->second, std::string(id.str()), *member.as_table(), aOut));
+        ReadEntityTable(context, kind->second, std::string(id.str()), *member.as_table(), aOut));
     }
   }
   return Success();
 }
 
-/// Adds an overlay to the entity of its site.
+/// Parses an overlay file and adds it to the entity of its site.
 Result<void> ReadOverlay(const ConfigFile& aFile,
-                         Places& aPlaces,
+                         LocationsBySubject& aLocations,
                          std::map<std::string, ConfigJson>& aOut)
 {
   BOOST_OUTCOME_TRY(table, ParseToml(aFile.text_, aFile.name_));
@@ -189,34 +203,36 @@
   if (node == nullptr) {
     return FailAt(ErrorCode::kMissingSetting, "data_centre", "required", { aFile.name_, 1, 1 });
   }
-  const auto place = PlaceOf(node->source(), aFile.name_);
+  const auto location = PlaceOf(node->source(), aFile.name_);
   const auto dataCentre = node->value_exact<std::string>();
   if (!dataCentre) {
-    return FailAt(ErrorCode::kWrongType, "data_centre", "a string", place);
+    return FailAt(ErrorCode::kWrongType, "data_centre", "a string", location);
   }
   const auto entity = "site/" + *dataCentre;
   const auto site = aOut.find(entity);
   if (site == aOut.end()) {
-    return FailAt(ErrorCode::kUnknownSite, *dataCentre, "a site of the base file", place);
+    return FailAt(ErrorCode::kUnknownSite, *dataCentre, "a site of the base file", location);
   }
   if (site->second.contains("overlay")) {
-    return FailAt(ErrorCode::kContradiction, *dataCentre, "one overlay for each site", place);
+    return FailAt(
+      ErrorCode::kContradiction, *dataCentre, "at most one overlay for each site", location);
   }
   table.erase("data_centre");
-  BOOST_OUTCOME_TRY(json, ConvertTable({ &aFile.name_, &aPlaces }, table, entity + ": overlay."));
-  aPlaces.emplace(entity + ": overlay", SourcePlace{ aFile.name_, 1, 1 });
+  BOOST_OUTCOME_TRY(json,
+                    ConvertTable({ &aFile.name_, &aLocations }, table, entity + ": overlay."));
+  aLocations.emplace(entity + ": overlay", SourcePlace{ aFile.name_, 1, 1 });
   site->second["overlay"] = std::move(json);
   return Success();
 }
 
 Result<Entities> ReadFiles(const ConfigFile& aBase,
                            const std::vector<ConfigFile>& aOverlays,
-                           Places& aPlaces)
+                           LocationsBySubject& aLocations)
 {
   std::map<std::string, ConfigJson> parsed;
-  BOOST_OUTCOME_TRYV(ReadBase(aBase, aPlaces, parsed));
+  BOOST_OUTCOME_TRYV(ReadBase(aBase, aLocations, parsed));
   for (const auto& overlay : aOverlays) {
-    BOOST_OUTCOME_TRYV(ReadOverlay(overlay, aPlaces, parsed));
+    BOOST_OUTCOME_TRYV(ReadOverlay(overlay, aLocations, parsed));
   }
   Entities entities;
   for (const auto& [name, json] : parsed) {
@@ -230,18 +246,18 @@
 
 Result<Entities> ParseConfigFiles(const ConfigFile& aBase,
                                   const std::vector<ConfigFile>& aOverlays,
-                                  EntityLocations* aPlaces)
+                                  EntityLocations* aLocations)
 {
-  Places places;
-  auto entities = ReadFiles(aBase, aOverlays, places);
+  LocationsBySubject locations;
+  auto entities = ReadFiles(aBase, aOverlays, locations);
   if (entities.has_error() && entities.assume_error().place_.file_.empty()) {
     auto error = entities.assume_error();
-    error.place_ = FindPlace(places, error.subject_, aBase.name_);
+    error.place_ = FindLocation(locations, error.subject_, aBase.name_);
     return BOOST_OUTCOME_V2_NAMESPACE::failure(std::move(error));
   }
-  if (aPlaces != nullptr && entities.has_value()) {
+  if (aLocations != nullptr && entities.has_value()) {
     for (const auto& [name, json] : entities.assume_value()) {
-      (*aPlaces)[name] = FindPlace(places, name, aBase.name_);
+      (*aLocations)[name] = FindLocation(locations, name, aBase.name_);
     }
   }
   return entities;
--- a/peridotquay/version/ConfigParser.h
+++ b/peridotquay/version/ConfigParser.h
@@ -1,4 +1,4 @@
-// Parses the TOML base file and the overlays of sites into entities.
+// Parses the TOML base file and the overlay files of sites into entities.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -10,26 +10,26 @@
 
 namespace peridotquay {
 
-/// Text of one configuration file; the name is used in errors only.
+/// One configuration file. The name is only used in errors.
 struct ConfigFile
 {
   std::string name_;
   std::string text_;
 };
 
-/// Where the files define each entity.
+/// Location in the files where each entity is defined, by entity name.
 using EntityLocations = std::map<std::string, SourcePlace>;
 
 /// Parses and checks the base file with all overlays. Errors name the file, line, column and key
-/// and the allowed values; their codes are those of CheckEntities and ParseToml. Places are
-/// returned if aPlaces isn't null.
+/// and the allowed values; their codes are those of CheckEntities and ParseToml. Unless aLocations
+/// is null, it receives the location of each entity.
 Result<Entities> ParseConfigFiles(const ConfigFile& aBase,
                                   const std::vector<ConfigFile>& aOverlays,
-                                  EntityLocations* aPlaces = nullptr);
+                                  EntityLocations* aLocations = nullptr);
 
-/// The configuration that applying files to a present configuration gives: the entities of the
-/// files, and the keys that were granted by command. Errors: kContradiction if the files list a key
-/// that was withdrawn; it would be granted again otherwise.
+/// Returns the configuration after the files are applied to the present one: the entities of the
+/// files and the keys that were granted by command. Errors: kContradiction if the files list a
+/// withdrawn key, which would otherwise be granted again.
 Result<Entities> MergeConfigFiles(const Entities& aPresent, const Entities& aFiles);
 
 } // namespace peridotquay
--- a/peridotquay/version/ConfigReader.cpp
+++ b/peridotquay/version/ConfigReader.cpp
@@ -1,4 +1,4 @@
-// Typed access to the JSON of an entity.
+// Reads typed values from the JSON of an entity.
 #include "peridotquay/version/ConfigReader.h"
 
 #include <algorithm>
@@ -8,7 +8,8 @@
 
 namespace {
 
-const ConfigJson* Find(const ConfigTable& aTable, const std::string& aKey)
+/// Returns the value of a key, or null.
+const ConfigJson* FindValue(const ConfigTable& aTable, const std::string& aKey)
 {
   const auto found = aTable.json_->find(aKey);
   return found == aTable.json_->end() ? nullptr : &*found;
@@ -22,22 +23,22 @@
   return text.str();
 }
 
-std::string Range(double aLeast, double aMost)
+std::string FormatRange(double aMin, double aMax)
 {
-  return FormatNumber(aLeast) + " to " + FormatNumber(aMost);
+  return FormatNumber(aMin) + " to " + FormatNumber(aMax);
 }
 
-auto WrongType(const ConfigTable& aTable, const std::string& aKey, const char* aWanted)
+auto WrongTypeFailure(const ConfigTable& aTable, const std::string& aKey, const char* aExpected)
 {
-  return Fail(ErrorCode::kWrongType, ErrorSubject(aTable, aKey), aWanted);
+  return Fail(ErrorCode::kWrongType, ErrorSubject(aTable, aKey), aExpected);
 }
 
 } // namespace
 
 bool IsConfigId(std::string_view aId)
 {
-  const bool dots = aId == "." || aId == "..";
-  return !aId.empty() && !dots && aId.size() <= 64 &&
+  const bool dotSegment = aId == "." || aId == "..";
+  return !aId.empty() && !dotSegment && aId.size() <= 64 &&
          aId.find_first_not_of("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
                                "0123456789-._") == std::string_view::npos;
 }
@@ -63,83 +64,84 @@
 
 Result<std::optional<double>> ReadNumber(const ConfigTable& aTable,
                                          const std::string& aKey,
-                                         double aLeast,
-                                         double aMost)
+                                         double aMin,
+                                         double aMax)
 {
-  const auto* value = Find(aTable, aKey);
+  const auto* value = FindValue(aTable, aKey);
   if (value == nullptr) {
     return std::optional<double>{};
   }
   if (!value->is_number()) {
-    return WrongType(aTable, aKey, "a number");
+    return WrongTypeFailure(aTable, aKey, "a number");
   }
   const auto number = value->get<double>();
-  // Negated, so that a NaN is out of range too.
-  if (!(number >= aLeast && number <= aMost)) {
-    return Fail(ErrorCode::kOutOfRange, ErrorSubject(aTable, aKey), Range(aLeast, aMost));
+  // Negated, so that NaN is out of range too.
+  if (!(number >= aMin && number <= aMax)) {
+    return Fail(ErrorCode::kOutOfRange, ErrorSubject(aTable, aKey), FormatRange(aMin, aMax));
   }
   return std::optional<double>(number);
 }
 
 Result<std::optional<std::int64_t>> ReadInteger(const ConfigTable& aTable,
                                                 const std::string& aKey,
-                                                std::int64_t aLeast,
-                                                std::int64_t aMost)
+                                                std::int64_t aMin,
+                                                std::int64_t aMax)
 {
-  const auto* value = Find(aTable, aKey);
+  const auto* value = FindValue(aTable, aKey);
   if (value == nullptr) {
     return std::optional<std::int64_t>{};
   }
   if (!value->is_number_integer()) {
-    return WrongType(aTable, aKey, "an integer");
+    return WrongTypeFailure(aTable, aKey, "an integer");
   }
   const auto number = value->get<std::int64_t>();
+  // Unsigned numbers above the range of int64_t become negative.
   const bool wrapped = value->is_number_unsigned() && number < 0;
-  if (wrapped || number < aLeast || number > aMost) {
+  if (wrapped || number < aMin || number > aMax) {
     return Fail(ErrorCode::kOutOfRange,
                 ErrorSubject(aTable, aKey),
-                std::to_string(aLeast) + " to " + std::to_string(aMost));
+                std::to_string(aMin) + " to " + std::to_string(aMax));
   }
   return std::optional<std::int64_t>(number);
 }
 
 Result<std::optional<bool>> ReadFlag(const ConfigTable& aTable, const std::string& aKey)
 {
-  const auto* value = Find(aTable, aKey);
+  const auto* value = FindValue(aTable, aKey);
   if (value == nullptr) {
     return std::optional<bool>{};
   }
   if (!value->is_boolean()) {
-    return WrongType(aTable, aKey, "true or false");
+    return WrongTypeFailure(aTable, aKey, "true or false");
   }
   return std::optional<bool>(value->get<bool>());
 }
 
 Result<std::optional<std::string>> ReadText(const ConfigTable& aTable,
                                             const std::string& aKey,
-                                            std::size_t aMost)
+                                            std::size_t aMaxBytes)
 {
-  const auto* value = Find(aTable, aKey);
+  const auto* value = FindValue(aTable, aKey);
   if (value == nullptr) {
     return std::optional<std::string>{};
   }
   if (!value->is_string()) {
-    return WrongType(aTable, aKey, "a string");
+    return WrongTypeFailure(aTable, aKey, "a string");
   }
   auto text = value->get<std::string>();
-  if (text.size() > aMost) {
+  if (text.size() > aMaxBytes) {
     return Fail(ErrorCode::kOutOfRange,
                 ErrorSubject(aTable, aKey),
-                "at most " + std::to_string(aMost) + " bytes");
+                "at most " + std::to_string(aMaxBytes) + " bytes");
   }
   return std::optional<std::string>(std::move(text));
 }
 
-Result<std::optional<std::vector<std::string>>> ReadTexts(const ConfigTable& aTable,
-                                                          const std::string& aKey,
-                                                          std::size_t aMost)
+Result<std::optional<std::vector<std::string>>> ReadTextList(const ConfigTable& aTable,
+                                                             const std::string& aKey,
+                                                             std::size_t aMaxElements)
 {
-  const auto* value = Find(aTable, aKey);
+  const auto* value = FindValue(aTable, aKey);
   if (value == nullptr) {
     return std::optional<std::vector<std::string>>{};
   }
@@ -148,24 +150,24 @@
       return aElement.is_string();
     });
   if (!strings) {
-    return WrongType(aTable, aKey, "a list of strings");
+    return WrongTypeFailure(aTable, aKey, "a list of strings");
   }
-  if (value->size() > aMost) {
+  if (value->size() > aMaxElements) {
     return Fail(ErrorCode::kOutOfRange,
                 ErrorSubject(aTable, aKey),
-                "at most " + std::to_string(aMost) + " elements");
+                "at most " + std::to_string(aMaxElements) + " elements");
   }
   return std::make_optional(value->get<std::vector<std::string>>());
 }
 
 Result<std::optional<ConfigTable>> ReadTable(const ConfigTable& aTable, const std::string& aKey)
 {
-  const auto* value = Find(aTable, aKey);
+  const auto* value = FindValue(aTable, aKey);
   if (value == nullptr) {
     return std::optional<ConfigTable>{};
   }
   if (!value->is_object()) {
-    return WrongType(aTable, aKey, "a table");
+    return WrongTypeFailure(aTable, aKey, "a table");
   }
   return std::make_optional(ConfigTable{ value, aTable.entity_, aTable.path_ + aKey + "." });
 }
--- a/peridotquay/version/ConfigReader.h
+++ b/peridotquay/version/ConfigReader.h
@@ -16,58 +16,59 @@
 
 using ConfigJson = nlohmann::json;
 
-/// One JSON object inside an entity. Refers to JSON that must outlive it.
+/// A JSON object inside an entity. The JSON must outlive it.
 struct ConfigTable
 {
   const ConfigJson* json_ = nullptr; ///< Always an object.
   std::string entity_;               ///< For example "site/north-1".
-  std::string path_; ///< Keys from the entity to this object, each with a '.' after.
+  std::string path_; ///< Keys from the entity to this object, each followed by a '.'.
 };
 
-/// Rule that ids in the configuration follow.
+/// Format of ids in the configuration, as stated in errors.
 inline constexpr std::string_view kConfigIdRule = "1 to 64 letters, digits or -._";
 
-/// Whether an id follows kConfigIdRule.
+/// Whether an id follows kConfigIdRule and isn't "." or "..".
 bool IsConfigId(std::string_view aId);
 
 /// Subject of errors about a key: "<entity>: <path><key>".
 std::string ErrorSubject(const ConfigTable& aTable, const std::string& aKey);
 
-/// The failure for a required key that isn't there.
-inline auto Missing(const ConfigTable& aTable, const std::string& aKey)
+/// The failure for a required key that is absent.
+inline auto MissingKeyFailure(const ConfigTable& aTable, const std::string& aKey)
 {
   return Fail(ErrorCode::kMissingSetting, ErrorSubject(aTable, aKey), "required");
 }
 
-/// Errors: kUnknownSetting if the object has a key that isn't listed.
+/// Checks that the object has no other keys than these. Errors: kUnknownSetting.
 Result<void> CheckKeys(const ConfigTable& aTable, std::initializer_list<std::string_view> aKeys);
 
-// Each reader returns empty if the key is absent. Errors: kWrongType, kOutOfRange.
+// Each of the following functions reads one key and returns an empty optional if it is absent.
+// Errors: kWrongType, kOutOfRange.
 
-/// A number from aLeast to aMost.
+/// A number from aMin to aMax.
 Result<std::optional<double>> ReadNumber(const ConfigTable& aTable,
                                          const std::string& aKey,
-                                         double aLeast,
-                                         double aMost);
+                                         double aMin,
+                                         double aMax);
 
-/// An integer from aLeast to aMost.
+/// An integer from aMin to aMax.
 Result<std::optional<std::int64_t>> ReadInteger(const ConfigTable& aTable,
                                                 const std::string& aKey,
-                                                std::int64_t aLeast,
-                                                std::int64_t aMost);
+                                                std::int64_t aMin,
+                                                std::int64_t aMax);
 
-/// true or false.
+/// A boolean.
 Result<std::optional<bool>> ReadFlag(const ConfigTable& aTable, const std::string& aKey);
 
-/// A string of at most aMost bytes.
+/// A string of at most aMaxBytes bytes.
 Result<std::optional<std::string>> ReadText(const ConfigTable& aTable,
                                             const std::string& aKey,
-                                            std::size_t aMost);
+                                            std::size_t aMaxBytes);
 
-/// A list of at most aMost strings.
-Result<std::optional<std::vector<std::string>>> ReadTexts(const ConfigTable& aTable,
-                                                          const std::string& aKey,
-                                                          std::size_t aMost);
+/// A list of at most aMaxElements strings.
+Result<std::optional<std::vector<std::string>>> ReadTextList(const ConfigTable& aTable,
+                                                             const std::string& aKey,
+                                                             std::size_t aMaxElements);
 
 /// An object.
 Result<std::optional<ConfigTable>> ReadTable(const ConfigTable& aTable, const std::string& aKey);
--- a/peridotquay/version/Ids.h
+++ b/peridotquay/version/Ids.h
@@ -16,7 +16,7 @@
     auto operator<=>(const aName&) const = default;                                                \
   };
 
-/// Name of a host, unique in the fleet, from its settings.
+/// Name of a host from its settings; unique in the fleet.
 PERIDOTQUAY_STRING_ID(HostId)
 /// Name of a data centre.
 PERIDOTQUAY_STRING_ID(DataCentreId)
@@ -31,14 +31,14 @@
 
 #undef PERIDOTQUAY_STRING_ID
 
-/// Distinguishes lives of one host: milliseconds of the wall clock at process start, raised to
-/// refute suspicion.
+/// Distinguishes successive processes of one host: wall clock in milliseconds at process start. A
+/// host raises its incarnation to refute a suspicion.
 using Incarnation = std::uint64_t;
 
-/// Number of a configuration version. 0 means none; versions only grow.
+/// Number of a configuration version. 0 means none; numbers only increase.
 using Version = std::uint64_t;
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct Address
 {
   std::string ip_;
--- a/peridotquay/version/Keys.cpp
+++ b/peridotquay/version/Keys.cpp
@@ -1,4 +1,4 @@
-// Keys of client accounts.
+// Generates and edits the keys of client accounts.
 #include "peridotquay/version/Keys.h"
 
 #include "peridotquay/version/ConfigReader.h"
@@ -16,12 +16,12 @@
 
 constexpr std::string_view kKeyPrefix = "key/";
 
-/// Fewest digits that name a key; fewer would often be ambiguous.
-constexpr std::size_t kLeastDigits = 8;
+/// Minimum digits of a digest by which a key can be withdrawn; fewer would often be ambiguous.
+constexpr std::size_t kMinDigestDigits = 8;
 
-constexpr std::size_t kMaxLabel = 128;
+constexpr std::size_t kMaxLabelBytes = 128;
 
-std::string TextOf(const ConfigJson& aJson, const char* aName)
+std::string StringMember(const ConfigJson& aJson, const char* aName)
 {
   const auto found = aJson.find(aName);
   return found != aJson.end() && found->is_string() ? found->get<std::string>() : std::string();
@@ -40,21 +40,23 @@
   return json;
 }
 
-/// The only key in force whose digest begins with the text.
-Result<KeyRecord> FindByDigits(const Entities& aEntities, std::string_view aDigits)
+/// Returns the key in force whose digest begins with the prefix. Fails unless there is exactly one.
+Result<KeyRecord> FindByDigestPrefix(const Entities& aEntities, std::string_view aPrefix)
 {
   std::vector<KeyRecord> matches;
   for (auto& key : ListKeys(aEntities)) {
-    if (!key.withdrawn_ && key.digest_.compare(0, aDigits.size(), aDigits) == 0) {
+    if (!key.withdrawn_ && key.digest_.compare(0, aPrefix.size(), aPrefix) == 0) {
       matches.push_back(std::move(key));
     }
   }
   if (matches.empty()) {
     return Fail(
-      ErrorCode::kNotFound, "key/" + std::string(aDigits), "the digest of a key in force");
+      ErrorCode::kNotFound, "key/" + std::string(aPrefix), "the digest of a key in force");
   }
   if (matches.size() > 1) {
-    return Fail(ErrorCode::kContradiction, "key/" + std::string(aDigits), "several keys begin so");
+    return Fail(ErrorCode::kContradiction,
+                "key/" + std::string(aPrefix),
+                "several keys begin with these digits");
   }
   return matches.front();
 }
@@ -64,9 +66,9 @@
 std::string GenerateKey()
 {
   std::array<unsigned char, 32> bytes{};
-  // A predictable key would be worse than none, so a failing generator ends the program.
+  // A predictable key would be worse than none, so a failure of the generator ends the program.
   if (RAND_bytes(bytes.data(), static_cast<int>(bytes.size())) != 1) {
-    throw std::runtime_error("the random generator failed");
+    throw std::runtime_error("the random number generator failed");
   }
   constexpr std::string_view kHex = "0123456789abcdef";
   std::string key = "pq_";
@@ -89,9 +91,9 @@
     }
     const auto withdrawn = json.find("withdrawn");
     keys.push_back({ entry->first.substr(kKeyPrefix.size()),
-                     { TextOf(json, "account") },
-                     TextOf(json, "label"),
-                     TextOf(json, "source") != "command",
+                     { StringMember(json, "account") },
+                     StringMember(json, "label"),
+                     StringMember(json, "source") != "command",
                      withdrawn != json.end() && *withdrawn == ConfigJson(true) });
   }
   return keys;
@@ -106,13 +108,13 @@
   if (!aEntities.contains("account/" + aAccount.value_)) {
     return Fail(ErrorCode::kUnknownReference, entity, "no account/" + aAccount.value_);
   }
-  if (aLabel.size() > kMaxLabel) {
+  if (aLabel.size() > kMaxLabelBytes) {
     return Fail(ErrorCode::kOutOfRange,
                 entity + ": label",
-                "at most " + std::to_string(kMaxLabel) + " bytes");
+                "at most " + std::to_string(kMaxLabelBytes) + " bytes");
   }
   if (aEntities.contains(entity)) {
-    return Fail(ErrorCode::kContradiction, entity, "a digest that isn't there yet");
+    return Fail(ErrorCode::kContradiction, entity, "a digest that doesn't exist yet");
   }
   const KeyRecord key{ std::string(aDigest), aAccount, aLabel, false, false };
   return EntityEdit{ entity,
@@ -122,10 +124,10 @@
 Result<EntityEdit> WithdrawKey(const Entities& aEntities, std::string_view aDigest)
 {
   const bool hex = aDigest.find_first_not_of("0123456789abcdef") == std::string_view::npos;
-  if (!hex || aDigest.size() < kLeastDigits || aDigest.size() > 64) {
+  if (!hex || aDigest.size() < kMinDigestDigits || aDigest.size() > 64) {
     return Fail(ErrorCode::kOutOfRange, "digest", "8 to 64 lower-case hex digits");
   }
-  BOOST_OUTCOME_TRY(key, FindByDigits(aEntities, aDigest));
+  BOOST_OUTCOME_TRY(key, FindByDigestPrefix(aEntities, aDigest));
   EntityEdit edit{ std::string(kKeyPrefix) + key.digest_, std::nullopt };
   if (key.fromFile_) {
     key.withdrawn_ = true;
--- a/peridotquay/version/Keys.h
+++ b/peridotquay/version/Keys.h
@@ -1,4 +1,4 @@
-// Keys of client accounts: making, granting, withdrawing and listing them.
+// Generates, grants, withdraws and lists the keys of client accounts.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -10,7 +10,7 @@
 
 namespace peridotquay {
 
-/// One key as the configuration knows it.
+/// A key in the configuration.
 struct KeyRecord
 {
   std::string digest_; ///< SHA-256, 64 lower-case hex digits.
@@ -21,22 +21,23 @@
   bool operator==(const KeyRecord&) const = default;
 };
 
-/// A new random key of 256 bits: "pq_" and 64 hex digits.
+/// Generates a random key of 256 bits: "pq_" and 64 hex digits.
 std::string GenerateKey();
 
-/// All keys, by digest. Malformed entities are left out.
+/// Returns all keys, sorted by digest. Malformed entities are left out.
 std::vector<KeyRecord> ListKeys(const Entities& aEntities);
 
-/// The edit that grants a key to a client account. Errors: kUnknownReference, kOutOfRange (label),
-/// kContradiction (the digest is there already).
+/// Returns the edit that grants a key to a client account. Errors: kUnknownReference, kOutOfRange
+/// (label), kContradiction (the digest exists already).
 Result<EntityEdit> GrantKey(const Entities& aEntities,
                             const ClientAccountId& aAccount,
                             std::string_view aDigest,
                             const std::string& aLabel);
 
-/// The edit that withdraws a key, named by its digest or by at least 8 leading digits of it. A key
-/// of the base file stays as withdrawn until the file no longer lists it, so that applying the file
-/// can't grant it again. Errors: kNotFound, kContradiction (several keys begin so), kOutOfRange.
+/// Returns the edit that withdraws a key, given its digest or at least 8 leading digits of it. A
+/// key of the base file stays in the configuration as withdrawn until the file no longer lists it,
+/// so that applying the file can't grant it again. Errors: kNotFound, kContradiction (several keys
+/// in force begin with these digits), kOutOfRange.
 Result<EntityEdit> WithdrawKey(const Entities& aEntities, std::string_view aDigest);
 
 } // namespace peridotquay
--- a/peridotquay/version/StoreFeed.cpp
+++ b/peridotquay/version/StoreFeed.cpp
@@ -1,4 +1,4 @@
-// Questions to the host that reads the store, and when to do without it.
+// Decides when to ask the source and when to follow it instead of reading the store.
 #include "peridotquay/version/StoreFeed.h"
 
 #include <algorithm>
@@ -7,10 +7,10 @@
 
 namespace {
 
-void NoteUnanswered(StoreFeedState& aState)
+void RecordUnansweredQuestion(StoreFeedState& aState)
 {
-  aState.open_ = false;
-  if (++aState.unanswered_ >= aState.settings_.unanswered_) {
+  aState.questionPending_ = false;
+  if (++aState.unanswered_ >= aState.settings_.maxUnanswered_) {
     aState.followingSource_ = false;
   }
 }
@@ -19,75 +19,79 @@
 
 std::optional<FeedQuestion> CollectDueQuestion(StoreFeedState& aState,
                                                const std::optional<HostId>& aSource,
-                                               const RowVersions& aOwn,
+                                               const RowVersions& aHeld,
                                                TimePoint aNow,
                                                Duration aSuspended)
 {
   const StoreFeedSettings& settings = aState.settings_;
   if (aSource != aState.source_) {
     aState.source_ = aSource;
-    aState.open_ = false;
+    aState.questionPending_ = false;
     aState.unanswered_ = 0;
-    aState.missed_ = 0;
+    aState.answersWithMissingRows_ = 0;
     aState.followingSource_ = aState.followingSource_ && aSource.has_value();
   }
   if (!aSource) {
     return std::nullopt;
   }
-  if (aState.open_ && aNow - aState.asked_ >= settings.answerTime_) {
-    NoteUnanswered(aState);
-  } else if (aState.open_ || aNow - aState.asked_ < settings.askInterval_) {
+  if (aState.questionPending_ && aNow - aState.questionSentAt_ >= settings.answerTimeout_) {
+    RecordUnansweredQuestion(aState);
+  } else if (aState.questionPending_ ||
+             aNow - aState.questionSentAt_ < settings.questionInterval_) {
     return std::nullopt;
   }
   ++aState.nonce_;
-  aState.open_ = true;
-  aState.asked_ = aNow;
-  aState.suspended_ = aSuspended;
-  return FeedQuestion{ aState.nonce_, aOwn };
+  aState.questionPending_ = true;
+  aState.questionSentAt_ = aNow;
+  aState.suspendedWhenSent_ = aSuspended;
+  return FeedQuestion{ aState.nonce_, aHeld };
 }
 
 FeedAnswerResult ApplyFeedAnswer(StoreFeedState& aState,
                                  const FeedAnswer& aAnswer,
-                                 const RowVersions& aOwn,
+                                 const RowVersions& aHeld,
                                  TimePoint aNow,
                                  Duration aSuspended)
 {
-  FeedAnswerResult step;
-  if (!aState.open_ || aAnswer.nonce_ != aState.nonce_) {
-    return step;
+  FeedAnswerResult result;
+  if (!aState.questionPending_ || aAnswer.nonce_ != aState.nonce_) {
+    return result;
   }
-  aState.open_ = false;
+  aState.questionPending_ = false;
   aState.unanswered_ = 0;
-  // Counted from before the question was sent, so that the way of the answer and a suspension make
-  // the proof look older, never younger.
-  const Duration way = (aNow - aState.asked_) + (aSuspended - aState.suspended_);
+  // Ages count from when the question was sent, and include suspension because the monotonic clock
+  // stops meanwhile. So a proof may look older than it is, but never younger.
+  const Duration elapsed =
+    (aNow - aState.questionSentAt_) + (aSuspended - aState.suspendedWhenSent_);
   const auto age = [&](std::uint64_t aMs) {
-    return way + milliseconds(static_cast<std::int64_t>(std::min(aMs, kLongestProofAgeMs + 1)));
+    return elapsed + milliseconds(static_cast<std::int64_t>(std::min(aMs, kLongestProofAgeMs + 1)));
   };
-  const bool isSource = age(aAnswer.answerAgeMs_) <= aState.settings_.oldestAnswer_;
-  const bool lacksConfig = aAnswer.newest_.config_ > aOwn.config_;
-  const bool lacksHosts = aAnswer.newest_.hosts_ > aOwn.hosts_;
-  aState.missed_ = lacksConfig || lacksHosts ? aState.missed_ + 1 : 0;
-  if (aState.missed_ >= aState.settings_.missedRows_) {
-    aState.missed_ = 0;
-    step.readConfig_ = lacksConfig;
-    step.readHosts_ = lacksHosts;
+  const bool storeAnsweredSource = age(aAnswer.answerAgeMs_) <= aState.settings_.maxStoreAnswerAge_;
+  const bool lacksConfig = aAnswer.newest_.config_ > aHeld.config_;
+  const bool lacksHosts = aAnswer.newest_.hosts_ > aHeld.hosts_;
+  aState.answersWithMissingRows_ =
+    lacksConfig || lacksHosts ? aState.answersWithMissingRows_ + 1 : 0;
+  if (aState.answersWithMissingRows_ >= aState.settings_.maxAnswersWithMissingRows_) {
+    aState.answersWithMissingRows_ = 0;
+    result.readConfig_ = lacksConfig;
+    result.readHosts_ = lacksHosts;
   }
-  aState.followingSource_ = isSource && (aState.followingSource_ || !lacksConfig);
+  aState.followingSource_ = storeAnsweredSource && (aState.followingSource_ || !lacksConfig);
   if (!lacksConfig && aAnswer.proofAgeMs_ <= kLongestProofAgeMs) {
-    step.provedAt_ = aNow - age(aAnswer.proofAgeMs_);
+    result.provedAt_ = aNow - age(aAnswer.proofAgeMs_);
   }
-  return step;
+  return result;
 }
 
 void RecordFeedQuestion(StoreFeedState& aState, TimePoint aNow)
 {
-  aState.wasAsked_ = aNow;
+  aState.lastQuestionReceivedAt_ = aNow;
 }
 
 bool IsFeedSource(const StoreFeedState& aState, TimePoint aNow)
 {
-  return aState.wasAsked_ != TimePoint{} && aNow - aState.wasAsked_ < aState.settings_.askedTime_;
+  return aState.lastQuestionReceivedAt_ != TimePoint{} &&
+         aNow - aState.lastQuestionReceivedAt_ < aState.settings_.sourceLifetime_;
 }
 
 } // namespace peridotquay
--- a/peridotquay/version/StoreFeed.h
+++ b/peridotquay/version/StoreFeed.h
@@ -1,6 +1,6 @@
-// Lets one host of a data centre read the platform's store for the others: they ask it for proofs
-// that what they hold is the newest, and get changed rows from it. A host that gets no such proof
-// reads the store itself.
+// Lets the hosts of a data centre share one reader of the platform's store, the source. Followers
+// ask the source for proof that what they hold is the newest and receive changed rows from it. A
+// host without a working source reads the store itself.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -15,68 +15,73 @@
 /// Settings of the feed.
 struct StoreFeedSettings
 {
-  /// Time between two questions. A change must be in force 2.5 s after it was accepted, also when
-  /// the source is lost just before: silence, one read of the store and the pauses fit into that.
-  Duration askInterval_ = milliseconds(500);
-  /// An answer within the data centre takes a few milliseconds; a slow source is no source.
-  Duration answerTime_ = milliseconds(250);
-  /// Questions in a row without an answer after which the host reads for itself.
-  std::uint32_t unanswered_ = 2;
-  /// A source that the store hasn't answered for this long is no source. It asks the store every
-  /// proofInterval_.
-  Duration oldestAnswer_ = milliseconds(1500);
-  /// Time between two proofs of a host that others ask.
+  /// Time between two questions. A change must be in force 2.5 s after the store accepted it, even
+  /// if the source fails just before; the unanswered questions, one read of the store and the
+  /// intervals between them fit into that time.
+  Duration questionInterval_ = milliseconds(500);
+  /// A question without an answer after this time counts as unanswered. An answer within the data
+  /// centre takes a few milliseconds.
+  Duration answerTimeout_ = milliseconds(250);
+  /// Consecutive unanswered questions after which the host reads the store itself.
+  std::uint32_t maxUnanswered_ = 2;
+  /// The source is not followed if the store's last answer to it is older than this. The source
+  /// asks the store every proofInterval_.
+  Duration maxStoreAnswerAge_ = milliseconds(1500);
+  /// Time between two reads by which a source proves that its configuration is the newest.
   Duration proofInterval_ = milliseconds(700);
-  /// A host that wasn't asked for this long reads for itself alone.
-  Duration askedTime_ = milliseconds(2000);
-  /// Answers in a row that name newer rows which didn't come after which the host reads them.
-  std::uint32_t missedRows_ = 2;
+  /// A host counts as a source for this long after it received a question.
+  Duration sourceLifetime_ = milliseconds(2000);
+  /// Consecutive answers that name newer rows than the host holds after which it reads these rows
+  /// from the store.
+  std::uint32_t maxAnswersWithMissingRows_ = 2;
   bool operator==(const StoreFeedSettings&) const = default;
 };
 
-/// State of one host. Changed only through the functions below.
+/// Feed state of one host. Changed only by the functions below.
 struct StoreFeedState
 {
   StoreFeedSettings settings_;
-  std::optional<HostId> source_; ///< The host that is asked; empty: none is known.
-  bool followingSource_ = false; ///< source_ answered, and the store answered it lately.
-  std::uint64_t nonce_ = 0;      ///< Of the last question.
-  bool open_ = false;            ///< It has no answer yet.
-  TimePoint asked_{};            ///< When it was sent.
-  Duration suspended_{};         ///< Time that this host was suspended until then.
-  std::uint32_t unanswered_ = 0; ///< Questions in a row without an answer.
-  std::uint32_t missed_ = 0;     ///< Answers in a row that named rows which this host lacks.
-  TimePoint wasAsked_{};         ///< When another host asked this one last.
+  std::optional<HostId> source_; ///< Host to ask; empty if none is known.
+  bool followingSource_ = false; ///< The source answers and the store recently answered it, so this
+                                 ///< host needn't read the store.
+  std::uint64_t nonce_ = 0;      ///< Nonce of the last question.
+  bool questionPending_ = false; ///< The last question has neither an answer nor timed out.
+  TimePoint questionSentAt_{};   ///< When the last question was sent.
+  Duration suspendedWhenSent_{}; ///< Total suspension of this host when the last question was sent.
+  std::uint32_t unanswered_ = 0; ///< Consecutive unanswered questions.
+  std::uint32_t answersWithMissingRows_ =
+    0;                                 ///< Consecutive answers that name rows this host lacks.
+  TimePoint lastQuestionReceivedAt_{}; ///< When another host last asked this one.
 };
 
-/// Takes the host that should be asked and returns a question if one is due. Call about every
-/// 100 ms. aSuspended: how long this host was suspended since it started.
+/// Sets the host to ask and returns a question if one is due. Called every 100 ms.
+/// aSuspended: total time that this host was suspended since it started.
 std::optional<FeedQuestion> CollectDueQuestion(StoreFeedState& aState,
                                                const std::optional<HostId>& aSource,
-                                               const RowVersions& aOwn,
+                                               const RowVersions& aHeld,
                                                TimePoint aNow,
                                                Duration aSuspended);
 
-/// What a host learns from an answer.
+/// What a host learns from an answer and must do about it.
 struct FeedAnswerResult
 {
-  std::optional<TimePoint> provedAt_; ///< Up to then the own configuration was the newest.
-  bool readConfig_ = false;           ///< The newer configuration didn't come: read it.
-  bool readHosts_ = false;            ///< The same of the hosts.
+  std::optional<TimePoint> provedAt_; ///< When the held configuration was known to be the newest.
+  bool readConfig_ = false; ///< Read the configuration: a newer one exists but didn't arrive.
+  bool readHosts_ = false;  ///< Read the rows of hosts: newer ones exist but didn't arrive.
   bool operator==(const FeedAnswerResult&) const = default;
 };
 
-/// Takes an answer. One to an earlier question has no effect.
+/// Applies an answer to the last question. An answer to an earlier question has no effect.
 FeedAnswerResult ApplyFeedAnswer(StoreFeedState& aState,
                                  const FeedAnswer& aAnswer,
-                                 const RowVersions& aOwn,
+                                 const RowVersions& aHeld,
                                  TimePoint aNow,
                                  Duration aSuspended);
 
-/// Notes that another host asked this one.
+/// Records that another host asked this one.
 void RecordFeedQuestion(StoreFeedState& aState, TimePoint aNow);
 
-/// Whether other hosts rely on the reads of this one.
+/// Whether other hosts rely on this host's reads of the store.
 bool IsFeedSource(const StoreFeedState& aState, TimePoint aNow);
 
 } // namespace peridotquay
--- a/peridotquay/version/TargetView.h
+++ b/peridotquay/version/TargetView.h
@@ -1,4 +1,4 @@
-// Immutable view of the targets that a node may call, published by membership to the data path.
+// Immutable view of the targets that a node may call. Membership publishes it to the data path.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -9,37 +9,37 @@
 
 namespace peridotquay {
 
-/// What a target announced of itself.
+/// State that a target announced for itself.
 enum class TargetState : std::uint8_t
 {
-  kCold,     ///< Started lately; gets a rising part of the traffic.
-  kReady,    ///< Takes its full part.
-  kDraining, ///< Gets no new work.
-  kLeft      ///< Gone on purpose.
+  kCold,     ///< Started recently; in slow start, so its share of the traffic rises.
+  kReady,    ///< Receives its full share of the traffic.
+  kDraining, ///< Receives no new requests.
+  kLeft      ///< Left the fleet deliberately.
 };
 
-/// One target with the guard before it.
+/// One target and the guard through which it is called.
 struct Target
 {
   HostId host_;
   Incarnation incarnation_ = 0;
-  Address peer_; ///< Where its guard accepts peer connections.
+  Address peer_; ///< Where the guard accepts peer connections.
   DataCentreId dataCentre_;
   RegionId region_;
   ServiceId service_;
   TargetState state_ = TargetState::kReady;
-  TimePoint readySince_{};   ///< Since when, by this node's clock, the target is seen as usable;
-                             ///< start of its ramp.
-  std::uint32_t slots_ = 0;  ///< Announced slots; 0 if not announced.
-  double announcedLoad_ = 0; ///< Announced part of slots in use, 0 to 1; may lag or mislead.
+  TimePoint readySince_{};   ///< When this node first saw the target as usable, by its own clock;
+                             ///< the slow start begins here.
+  std::uint32_t slots_ = 0;  ///< Announced concurrent requests; 0 if not announced.
+  double announcedLoad_ = 0; ///< Announced fraction of slots in use, 0 to 1. May be late or wrong.
   bool operator==(const Target&) const = default;
 };
 
-/// All usable targets by service. Members that are dead, unreachable or left are absent.
+/// All usable targets by service. Members that are dead or unreachable or have left are absent.
 struct TargetView
 {
   std::map<ServiceId, std::vector<Target>> targets_; ///< Sorted by host.
-  std::map<HostId, Address> hosts_; ///< Every living host, for calls by request id.
+  std::map<HostId, Address> hosts_; ///< Peer addresses of all hosts alive, for calls by request id.
   bool operator==(const TargetView&) const = default;
 };
 
--- a/tests/version/ConfigDeltaTest.cpp
+++ b/tests/version/ConfigDeltaTest.cpp
@@ -1,4 +1,4 @@
-// Property tests of changes and overlays, and hostile input to the decoders.
+// Property tests of changes and overlays, tests of keys, and malformed input to the decoders.
 #include "peridotquay/version/ConfigDelta.h"
 
 #include "peridotquay/version/Config.h"
@@ -18,8 +18,8 @@
 
 namespace {
 
-/// Up to 12 entities with few names and values, so that two draws overlap.
-Entities AnyEntities()
+/// Up to 12 random entities from few names and values, so that two results overlap.
+Entities RandomEntities()
 {
   Entities entities;
   for (int i = 0; i < 12; ++i) {
@@ -42,28 +42,28 @@
   return change;
 }
 
-ConfigJson AnyOverlay()
+ConfigJson RandomOverlay()
 {
   auto overlay = ConfigJson::object();
-  const auto maybe = [](ConfigJson& aTable, const char* aKey, const ConfigJson& aValue) {
+  const auto setMaybe = [](ConfigJson& aTable, const char* aKey, const ConfigJson& aValue) {
     if (*rc::gen::arbitrary<bool>()) {
       aTable[aKey] = aValue;
     }
   };
   auto& route = overlay["routes"][*rc::gen::element("open", "book", "any")] = ConfigJson::object();
-  maybe(route, "deadline_ms", *rc::gen::inRange(1, 2000));
-  maybe(route, "max_retries", *rc::gen::inRange(0, 6));
-  maybe(route, "open", *rc::gen::arbitrary<bool>());
-  maybe(route, "importance", *rc::gen::element("critical", "high", "normal", "low"));
-  maybe(route,
-        "accounts",
-        *rc::gen::element(ConfigJson::array(),
-                          ConfigJson::array({ "mill" }),
-                          ConfigJson::array({ "mill", "harbour" }),
-                          ConfigJson::array({ "harbour" })));
+  setMaybe(route, "deadline_ms", *rc::gen::inRange(1, 2000));
+  setMaybe(route, "max_retries", *rc::gen::inRange(0, 6));
+  setMaybe(route, "open", *rc::gen::arbitrary<bool>());
+  setMaybe(route, "importance", *rc::gen::element("critical", "high", "normal", "low"));
+  setMaybe(route,
+           "accounts",
+           *rc::gen::element(ConfigJson::array(),
+                             ConfigJson::array({ "mill" }),
+                             ConfigJson::array({ "mill", "harbour" }),
+                             ConfigJson::array({ "harbour" })));
   auto& account = overlay["accounts"]["mill"] = ConfigJson::object();
-  maybe(account, "rate_part", *rc::gen::inRange(-1, 30) / 10.0);
-  maybe(overlay["policy"], "queue_capacity", *rc::gen::inRange(0, 200));
+  setMaybe(account, "rate_part", *rc::gen::inRange(-1, 30) / 10.0);
+  setMaybe(overlay["policy"], "queue_capacity", *rc::gen::inRange(0, 200));
   if (overlay["policy"].is_null()) {
     overlay.erase("policy");
   }
@@ -85,8 +85,8 @@
            { "site/south", ConfigJson{ { "region", "r" }, { "overlay", aOverlay } }.dump() } };
 }
 
-/// Whether a client account, or nobody if empty, may use a route.
-bool Allowed(const Route& aRoute, const std::string& aAccount)
+/// Whether a client account may use a route. An empty account stands for a request without a key.
+bool MayUse(const Route& aRoute, const std::string& aAccount)
 {
   const auto& list = aRoute.clientAccounts_;
   return aRoute.open_ ||
@@ -97,12 +97,13 @@
 
 } // namespace
 
-// Guards against a difference that misses an edit.
-TEST_CASE("a difference applied gives the target state", "[config]")
+// Guards against a difference that misses an edit, and against changes and snapshots that are
+// altered by encoding and decoding.
+TEST_CASE("applying the difference of two configurations gives the second", "[config]")
 {
   CHECK(rc::check([] {
-    const auto from = AnyEntities();
-    const auto to = AnyEntities();
+    const auto from = RandomEntities();
+    const auto to = RandomEntities();
     auto state = from;
     const auto change = ChangeWith(DiffEntities(from, to));
     RC_ASSERT(ApplyChange(state, change).has_value());
@@ -114,12 +115,13 @@
   }));
 }
 
-// Guards against an overlay that lets a client account do more, or makes a route less protected.
-TEST_CASE("an accepted overlay never widens", "[config]")
+// Guards against an accepted overlay that permits a client account more than the base does, or that
+// raises a route's limits or importance.
+TEST_CASE("an accepted overlay permits nothing that the base doesn't", "[config]")
 {
   int accepted = 0;
   CHECK(rc::check([&accepted] {
-    const auto entities = EntitiesWith(AnyOverlay());
+    const auto entities = EntitiesWith(RandomOverlay());
     const auto south = CompileConfig(entities, { "south" }, 1);
     if (south.has_error()) {
       return;
@@ -136,19 +138,19 @@
       RC_ASSERT(route.importance_ >= base.importance_);
       RC_ASSERT(base.importance_ != Importance::kCritical || route.importance_ == base.importance_);
       for (const char* account : { "", "mill", "harbour" }) {
-        RC_ASSERT(!Allowed(route, account) || Allowed(base, account));
+        RC_ASSERT(!MayUse(route, account) || MayUse(base, account));
       }
     }
-    const auto part = narrowed.clientAccounts_.at({ "mill" }).siteRateFraction_;
-    RC_ASSERT(part > 0 && part <= 1);
+    const auto fraction = narrowed.clientAccounts_.at({ "mill" }).siteRateFraction_;
+    RC_ASSERT(fraction > 0 && fraction <= 1);
     RC_ASSERT(narrowed.policy_.queueCapacity_ <= north->policy_.queueCapacity_);
   }));
   CHECK(accepted > 0);
 }
 
-// Guards against a node that follows the versions and gets another configuration than one that
-// starts with the latest.
-TEST_CASE("compiling change by change equals compiling at once", "[config]")
+// Guards against a node that applies each change in turn and obtains a different configuration than
+// a node that starts with the latest version.
+TEST_CASE("incremental compilation equals full compilation", "[config]")
 {
   int accepted = 0;
   int rejected = 0;
@@ -156,8 +158,8 @@
     ConfigCache cache;
     auto entities = EntitiesWith(ConfigJson::object());
     for (Version version = 1; version <= 6; ++version) {
-      auto next = EntitiesWith(AnyOverlay());
-      // Some entities are absent, so that references break and mend again.
+      auto next = EntitiesWith(RandomOverlay());
+      // Some entities are absent, so that references become invalid and valid again.
       for (const auto& [name, json] : EntitiesWith(ConfigJson::object())) {
         if (*rc::gen::inRange(0, 12) == 0) {
           next.erase(name);
@@ -167,37 +169,39 @@
       change.edits_ = DiffEntities(entities, next);
       RC_ASSERT(ApplyChange(entities, change).has_value());
       MarkEntitiesChanged(cache, change.edits_);
-      const auto stepwise = CompileConfig(cache, entities, { "south" }, version);
-      const auto whole = CompileConfig(entities, { "south" }, version);
-      RC_ASSERT(stepwise.has_value() == whole.has_value());
-      if (whole.has_value()) {
-        RC_ASSERT(*stepwise.assume_value() == *whole.assume_value());
+      const auto incremental = CompileConfig(cache, entities, { "south" }, version);
+      const auto full = CompileConfig(entities, { "south" }, version);
+      RC_ASSERT(incremental.has_value() == full.has_value());
+      if (full.has_value()) {
+        RC_ASSERT(*incremental.assume_value() == *full.assume_value());
       }
-      ++(whole.has_value() ? accepted : rejected);
+      ++(full.has_value() ? accepted : rejected);
     }
   }));
   CHECK(accepted > 0);
   CHECK(rejected > 0);
 }
 
-// Guards against changes that are applied in part, twice, or beyond their size.
-TEST_CASE("a faulty change leaves the entities untouched", "[config]")
+// Guards against an invalid change that is applied in part, and against changes that edit an entity
+// twice or exceed the maximum size.
+TEST_CASE("an invalid change leaves the entities unchanged", "[config]")
 {
   const Entities before{ { "service/a", "{}" } };
   auto state = before;
-  const auto code = [&state](std::vector<EntityEdit> aEdits) {
+  const auto failureCode = [&state](std::vector<EntityEdit> aEdits) {
     return Failure(ApplyChange(state, ChangeWith(std::move(aEdits)))).code_;
   };
-  CHECK(code({ { "service/b", "{}" }, { "service/c", std::nullopt } }) == ErrorCode::kNotFound);
-  CHECK(code({ { "service/b", "{}" }, { "service/b", "{}" } }) == ErrorCode::kContradiction);
-  CHECK(code({ { "service/b", "{}" }, { "service/c", "[" } }) == ErrorCode::kSyntax);
+  CHECK(failureCode({ { "service/b", "{}" }, { "service/c", std::nullopt } }) ==
+        ErrorCode::kNotFound);
+  CHECK(failureCode({ { "service/b", "{}" }, { "service/b", "{}" } }) == ErrorCode::kContradiction);
+  CHECK(failureCode({ { "service/b", "{}" }, { "service/c", "[" } }) == ErrorCode::kSyntax);
   const auto large = "{\"x\":\"" + std::string(kMaxChangeBytes, 'x') + "\"}";
-  CHECK(code({ { "service/b", large } }) == ErrorCode::kChangeTooLarge);
+  CHECK(failureCode({ { "service/b", large } }) == ErrorCode::kChangeTooLarge);
   CHECK(state == before);
 }
 
-// Guards against rows of other writers that crash the decoders; seed 2.
-TEST_CASE("mutated rows decode or fail with a type", "[config]")
+// Guards against malformed rows in the platform that crash the decoders; seed 2.
+TEST_CASE("mutated rows decode or return an error", "[config]")
 {
   const auto change = EncodeChange(ChangeWith({ { "service/b", "{}" }, { "x", std::nullopt } }));
   const auto snapshot = EncodeSnapshot({ 512, { { "service/b", "{}" } } });
@@ -217,7 +221,8 @@
   CHECK(SnapshotName(256) == "config/snapshot/256");
 }
 
-// Guards against keys that are stored, withdrawn by an ambiguous name, or granted to nobody.
+// Guards against keys that are stored instead of their digests, that are granted twice or to an
+// unknown account, and against withdrawing the wrong key because the given digits are ambiguous.
 TEST_CASE("keys are granted and withdrawn by digest", "[keys]")
 {
   const auto digest = KeyDigest("k");
--- a/tests/version/ConfigParserTest.cpp
+++ b/tests/version/ConfigParserTest.cpp
@@ -1,4 +1,4 @@
-// Tests of configuration files: places and codes of errors, overlays, hostile input.
+// Tests of configuration files: locations and codes of errors, overlays, malformed input.
 #include "peridotquay/version/ConfigParser.h"
 
 #include "peridotquay/process/OperatorCommands.h"
@@ -43,12 +43,12 @@
 accounts = ["mill"]
 )";
 
-Error BaseFailure(const std::string& aBase)
+Error ParseBaseFailure(const std::string& aBase)
 {
   return Failure(ParseConfigFiles({ "base.toml", aBase }, {}));
 }
 
-Error OverlayFailure(const std::string& aOverlay)
+Error ParseOverlayFailure(const std::string& aOverlay)
 {
   return Failure(ParseConfigFiles({ "base.toml", kBase }, { { "north.toml", aOverlay } }));
 }
@@ -71,90 +71,95 @@
 
 } // namespace
 
-// Guards against errors of the base file that are accepted or reported at the wrong place.
-TEST_CASE("errors of the base file carry their place", "[config]")
+// Guards against mistakes in the base file that are accepted or reported at the wrong location.
+TEST_CASE("errors in the base file are reported with their location", "[config]")
 {
   REQUIRE(ParseConfigFiles({ "base.toml", kBase }, {}).has_value());
-  CheckError(BaseFailure("[policy]\nqueue = 1\n"), ErrorCode::kUnknownSetting, "base.toml", 2);
-  CheckError(BaseFailure("[polic]\n"), ErrorCode::kUnknownSetting, "base.toml", 1);
+  CheckError(ParseBaseFailure("[policy]\nqueue = 1\n"), ErrorCode::kUnknownSetting, "base.toml", 2);
+  CheckError(ParseBaseFailure("[polic]\n"), ErrorCode::kUnknownSetting, "base.toml", 1);
   CheckError(
-    BaseFailure("[policy]\nqueue_capacity = 1025\n"), ErrorCode::kOutOfRange, "base.toml", 2);
+    ParseBaseFailure("[policy]\nqueue_capacity = 1025\n"), ErrorCode::kOutOfRange, "base.toml", 2);
   CheckError(
-    BaseFailure("[policy]\n\nretry_ratio = \"x\"\n"), ErrorCode::kWrongType, "base.toml", 3);
-  CheckError(BaseFailure("[policy]\nretry_ratio = nan\n"), ErrorCode::kOutOfRange, "base.toml", 2);
-  CheckError(BaseFailure("[policy]\nx = 1979-05-27\n"), ErrorCode::kWrongType, "base.toml", 2);
-  CheckError(BaseFailure("[accounts.a]\nrate = 1\n"), ErrorCode::kMissingSetting, "base.toml", 1);
-  CheckError(BaseFailure("a = \n"), ErrorCode::kSyntax, "base.toml", 1);
-  CheckError(BaseFailure("\n[.a]\n"), ErrorCode::kSyntax, "base.toml", 2);
-  CheckError(BaseFailure("[sites.a]\nregion = \"r\"\noverlay = {}\n"),
+    ParseBaseFailure("[policy]\n\nretry_ratio = \"x\"\n"), ErrorCode::kWrongType, "base.toml", 3);
+  CheckError(
+    ParseBaseFailure("[policy]\nretry_ratio = nan\n"), ErrorCode::kOutOfRange, "base.toml", 2);
+  CheckError(ParseBaseFailure("[policy]\nx = 1979-05-27\n"), ErrorCode::kWrongType, "base.toml", 2);
+  CheckError(
+    ParseBaseFailure("[accounts.a]\nrate = 1\n"), ErrorCode::kMissingSetting, "base.toml", 1);
+  CheckError(ParseBaseFailure("a = \n"), ErrorCode::kSyntax, "base.toml", 1);
+  CheckError(ParseBaseFailure("\n[.a]\n"), ErrorCode::kSyntax, "base.toml", 2);
+  CheckError(ParseBaseFailure("[sites.a]\nregion = \"r\"\noverlay = {}\n"),
              ErrorCode::kUnknownSetting,
              "base.toml",
              3);
-  CheckError(BaseFailure("[policy]\nelastic_lease_ms = 20000\nfloor_lease_ms = 20000\n"),
+  CheckError(ParseBaseFailure("[policy]\nelastic_lease_ms = 20000\nfloor_lease_ms = 20000\n"),
              ErrorCode::kContradiction,
              "base.toml",
              2);
-  const auto lines = 26U;
-  CheckError(BaseFailure(kBase + "[routes.twice]\nprefix = \"/book\"\nservice = \"bells\"\n"),
+  const auto baseLines = 26U;
+  CheckError(ParseBaseFailure(kBase + "[routes.twice]\nprefix = \"/book\"\nservice = \"bells\"\n"),
              ErrorCode::kContradiction,
              "base.toml",
-             lines + 1);
-  CheckError(BaseFailure(kBase + "[routes.x]\nprefix = \"/x\"\nservice = \"none\"\n"),
+             baseLines + 1);
+  CheckError(ParseBaseFailure(kBase + "[routes.x]\nprefix = \"/x\"\nservice = \"none\"\n"),
              ErrorCode::kUnknownReference,
              "base.toml",
-             lines + 2);
-  CheckError(
-    BaseFailure(kBase + "[routes.x]\nprefix = \"/x\"\nservice = \"bells\"\naccounts = [\"no\"]\n"),
-    ErrorCode::kUnknownReference,
-    "base.toml",
-    lines + 3);
-  CheckError(BaseFailure(kBase + "[routes.x]\nprefix = \"/x/../y\"\nservice = \"bells\"\n"),
+             baseLines + 2);
+  CheckError(ParseBaseFailure(
+               kBase + "[routes.x]\nprefix = \"/x\"\nservice = \"bells\"\naccounts = [\"no\"]\n"),
+             ErrorCode::kUnknownReference,
+             "base.toml",
+             baseLines + 3);
+  CheckError(ParseBaseFailure(kBase + "[routes.x]\nprefix = \"/x/../y\"\nservice = \"bells\"\n"),
              ErrorCode::kOutOfRange,
              "base.toml",
-             lines + 1);
+             baseLines + 1);
 }
 
-// Guards against an overlay that widens, or that touches the importance of a critical route.
-TEST_CASE("overlays that widen are rejected with their place", "[config]")
+// Guards against an overlay that permits more than the base, or that changes the importance of a
+// critical route.
+TEST_CASE("overlays that widen the base are rejected with their location", "[config]")
 {
   const std::string head = "data_centre = \"north\"\n";
-  const auto widens = [&head](const std::string& aText, unsigned aLine) {
-    CheckError(OverlayFailure(head + aText), ErrorCode::kOverlayWidens, "north.toml", aLine);
+  const auto expectWidens = [&head](const std::string& aText, unsigned aLine) {
+    CheckError(ParseOverlayFailure(head + aText), ErrorCode::kOverlayWidens, "north.toml", aLine);
   };
-  widens("[routes.book]\ndeadline_ms = 1001\n", 3);
-  widens("[routes.book]\nmax_retries = 3\n", 3);
-  widens("[routes.book]\nopen = true\n", 3);
-  widens("[routes.book]\naccounts = [\"mill\", \"harbour\"]\n", 3);
-  widens("[routes.book]\naccounts = []\n", 3);
-  widens("[routes.book]\nimportance = \"high\"\n", 3);
-  widens("[routes.open]\n\nimportance = \"critical\"\n", 4);
-  widens("[policy]\nqueue_capacity = 101\n", 3);
-  widens("[policy]\nkey_freshness_bound_ms = 10001\n", 3);
-  CheckError(OverlayFailure(head + "[accounts.mill]\nrate = 20\n"),
+  expectWidens("[routes.book]\ndeadline_ms = 1001\n", 3);
+  expectWidens("[routes.book]\nmax_retries = 3\n", 3);
+  expectWidens("[routes.book]\nopen = true\n", 3);
+  expectWidens("[routes.book]\naccounts = [\"mill\", \"harbour\"]\n", 3);
+  expectWidens("[routes.book]\naccounts = []\n", 3);
+  expectWidens("[routes.book]\nimportance = \"high\"\n", 3);
+  expectWidens("[routes.open]\n\nimportance = \"critical\"\n", 4);
+  expectWidens("[policy]\nqueue_capacity = 101\n", 3);
+  expectWidens("[policy]\nkey_freshness_bound_ms = 10001\n", 3);
+  CheckError(ParseOverlayFailure(head + "[accounts.mill]\nrate = 20\n"),
              ErrorCode::kUnknownSetting,
              "north.toml",
              3);
-  CheckError(OverlayFailure(head + "[accounts.mill]\nrate_part = 1.5\n"),
+  CheckError(ParseOverlayFailure(head + "[accounts.mill]\nrate_part = 1.5\n"),
              ErrorCode::kOutOfRange,
              "north.toml",
              3);
-  CheckError(OverlayFailure(head + "[policy]\nfloor_fraction = 0.1\n"),
+  CheckError(ParseOverlayFailure(head + "[policy]\nfloor_fraction = 0.1\n"),
              ErrorCode::kUnknownSetting,
              "north.toml",
              3);
-  CheckError(OverlayFailure(head + "[routes.none]\nmax_retries = 0\n"),
+  CheckError(ParseOverlayFailure(head + "[routes.none]\nmax_retries = 0\n"),
              ErrorCode::kUnknownReference,
              "north.toml",
              2);
-  CheckError(OverlayFailure(head + "[routes.open]\naccounts = [\"mill\"]\n"),
+  CheckError(ParseOverlayFailure(head + "[routes.open]\naccounts = [\"mill\"]\n"),
              ErrorCode::kContradiction,
              "north.toml",
              3);
-  CheckError(OverlayFailure("data_centre = \"west\"\n"), ErrorCode::kUnknownSite, "north.toml", 1);
-  CheckError(OverlayFailure(""), ErrorCode::kMissingSetting, "north.toml", 1);
+  CheckError(
+    ParseOverlayFailure("data_centre = \"west\"\n"), ErrorCode::kUnknownSite, "north.toml", 1);
+  CheckError(ParseOverlayFailure(""), ErrorCode::kMissingSetting, "north.toml", 1);
 }
 
-// Guards against a withdrawn key of the base file that comes back when the file is applied again.
+// Guards against a withdrawn key of the base file that is valid again after the file is applied
+// again.
 TEST_CASE("files can't grant a withdrawn key again", "[config]")
 {
   const std::string key = "key/" + std::string(64, 'a');
@@ -166,7 +171,7 @@
   CHECK(Value(MergeConfigFiles(granted, {})) == granted);
 }
 
-// Guards against example deployments that no longer pass the check.
+// Guards against example deployments that no longer pass the checks.
 TEST_CASE("the example deployments compile at every site", "[config]")
 {
   for (const char* name : { "foundry", "landesamt" }) {
@@ -185,8 +190,8 @@
   }
 }
 
-// Guards against hostile files that crash the parser or give errors without a file; seed 1.
-TEST_CASE("mutated files give entities that compile or an error with a place", "[config]")
+// Guards against malformed files that crash the parser or whose errors name no file; seed 1.
+TEST_CASE("mutated files give valid entities or an error with a location", "[config]")
 {
   const auto base = ReadText(std::string(PQ_SOURCE_DIR) + "/examples/foundry/base.toml");
   const auto overlay = ReadText(std::string(PQ_SOURCE_DIR) + "/examples/foundry/aegean-2.toml");
@@ -205,7 +210,7 @@
       CHECK(CheckEntities(parsed.assume_value()).has_value());
     }
   }
-  // Mutations of comments and descriptions are harmless, so some files stay valid.
+  // Mutations of comments and descriptions have no effect, so some files stay valid.
   CHECK(accepted > 0);
   CHECK(accepted < 3000);
 }
--- a/tests/version/ConfigTest.cpp
+++ b/tests/version/ConfigTest.cpp
@@ -1,4 +1,4 @@
-// Tests of look-ups in a configuration.
+// Tests of look-ups in a compiled configuration.
 #include "peridotquay/version/Config.h"
 
 #include "peridotquay/version/ConfigCompiler.h"
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// Two accounts, a keyed and an open route, two sites; south narrows both.
+/// Two accounts, two sites, an open route and a route that needs a key. The overlay of south
+/// narrows both routes.
 Entities SampleEntities()
 {
   return {
@@ -34,7 +35,8 @@
 
 } // namespace
 
-// Guards against a prefix that matches inside a path segment, and against a shorter prefix winning.
+// Guards against a prefix that matches inside a path segment, and against a shorter prefix that is
+// preferred to a longer one.
 TEST_CASE("the longest prefix at a segment boundary wins", "[config]")
 {
   const auto config = Value(CompileConfig(SampleEntities(), { "north" }, 7));
@@ -48,7 +50,8 @@
   CHECK(FindRoute(*config, "") == nullptr);
 }
 
-// Guards against a path that passes as an open route and that a target resolves to a keyed one.
+// Guards against a path that matches an open route but that a target resolves to a route that needs
+// a key.
 TEST_CASE("ambiguous paths match no route", "[config]")
 {
   const auto config = Value(CompileConfig(SampleEntities(), { "north" }, 7));
@@ -77,7 +80,7 @@
   }
 }
 
-// Guards against withdrawn or unknown keys that still find an account.
+// Guards against withdrawn, unknown or truncated keys that are accepted for an account.
 TEST_CASE("only keys in force find their client account", "[config]")
 {
   const auto config = Value(CompileConfig(SampleEntities(), { "north" }, 7));
@@ -91,8 +94,8 @@
   CHECK(KeyDigest("abc") == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-// Guards against an overlay that reaches another data centre, or that is ignored in its own.
-TEST_CASE("an overlay narrows its own data centre only", "[config]")
+// Guards against an overlay that is applied in another data centre, or not in its own.
+TEST_CASE("an overlay narrows only its own data centre", "[config]")
 {
   const auto north = Value(CompileConfig(SampleEntities(), { "north" }, 7));
   const auto south = Value(CompileConfig(SampleEntities(), { "south" }, 7));
--- a/tests/version/Mutate.h
+++ b/tests/version/Mutate.h
@@ -1,4 +1,4 @@
-// Damages text for parser tests, the same way for the same seed.
+// Randomly damages text for parser tests, reproducibly for a given seed.
 #pragma once
 
 #include <cstdint>
@@ -7,31 +7,33 @@
 
 namespace peridotquay {
 
-/// A copy of the text with one to four bytes changed, inserted, removed or repeated, or cut off.
+/// Returns a copy of the text after one to four mutations. Each flips a bit, inserts a byte,
+/// removes or repeats some bytes, or truncates the text.
 inline std::string Mutate(const std::string& aText, std::mt19937_64& aRandom)
 {
-  const auto below = [&aRandom](std::size_t aLimit) {
+  const auto atMost = [&aRandom](std::size_t aLimit) {
     return static_cast<std::size_t>(aRandom() % (aLimit + 1));
   };
   auto text = aText;
-  for (auto left = 1 + below(3); left > 0; --left) {
-    const auto place = below(text.size());
+  for (auto remaining = 1 + atMost(3); remaining > 0; --remaining) {
+    const auto position = atMost(text.size());
     switch (aRandom() % 5) {
       case 0:
-        text.insert(place, 1, static_cast<char>(aRandom()));
+        text.insert(position, 1, static_cast<char>(aRandom()));
         break;
       case 1:
-        text.erase(place, 1 + below(8));
+        text.erase(position, 1 + atMost(8));
         break;
       case 2:
-        text.insert(place, text.substr(place, below(40)));
+        text.insert(position, text.substr(position, atMost(40)));
         break;
       case 3:
-        text.resize(place);
+        text.resize(position);
         break;
       default:
-        if (place < text.size()) {
-          text[place] = static_cast<char>(text[place] ^ static_cast<char>(1U << (aRandom() % 8)));
+        if (position < text.size()) {
+          text[position] =
+            static_cast<char>(text[position] ^ static_cast<char>(1U << (aRandom() % 8)));
         }
     }
   }
--- a/tests/version/ResultValue.h
+++ b/tests/version/ResultValue.h
@@ -1,4 +1,4 @@
-// Access to a Result in tests, where a failure ends the test with its description.
+// Access to the value or error of a Result in tests.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -9,7 +9,7 @@
 
 namespace peridotquay {
 
-/// The value; fails the test with the error's text if there is none.
+/// Returns the value. If there is an error, fails the test with its description.
 template<typename T>
 T Value(Result<T> aResult)
 {
@@ -19,7 +19,7 @@
   return std::move(aResult).assume_value();
 }
 
-/// The error; fails the test if there is a value.
+/// Returns the error. If there is a value, fails the test.
 template<typename T>
 Error Failure(Result<T> aResult)
 {
--- a/tests/version/StoreFeedTest.cpp
+++ b/tests/version/StoreFeedTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the feed by which one host of a data centre reads the store for the others.
+// Tests of the feed through which one host of a data centre reads the store for the others.
 #include "peridotquay/version/StoreFeed.h"
 
 #include <catch2/catch.hpp>
@@ -10,8 +10,8 @@
 const HostId kSource{ "h1" };
 const RowVersions kHeld{ 40, 70 };
 
-/// A host that asks h1 and steps of 100 ms.
-struct Asker
+/// A host that asks h1 for proofs, with a simulated clock that advances by 100 ms.
+struct Follower
 {
   StoreFeedState state_;
   TimePoint now_{ seconds(1000) };
@@ -31,14 +31,14 @@
         return *question;
       }
     }
-    FAIL("no question is due");
+    FAIL("no question is due within 2 s");
     return {};
   }
 
-  FeedAnswerResult Answer(const FeedQuestion& aQuestion,
-                          std::uint64_t aProofAgeMs,
-                          const RowVersions& aNewest = kHeld,
-                          std::uint64_t aAnswerAgeMs = 10)
+  FeedAnswerResult ReceiveAnswer(const FeedQuestion& aQuestion,
+                                 std::uint64_t aProofAgeMs,
+                                 const RowVersions& aNewest = kHeld,
+                                 std::uint64_t aAnswerAgeMs = 10)
   {
     return ApplyFeedAnswer(
       state_, { aQuestion.nonce_, aProofAgeMs, aAnswerAgeMs, aNewest }, held_, now_, suspended_);
@@ -47,125 +47,129 @@
 
 } // namespace
 
-// Guards against a proof that is counted from when the answer came: a withdrawn key would work on
-// for as long as the answer took.
-TEST_CASE("a proof is as old as its source says and the answer took", "[feed]")
+// Guards against a proof whose age counts from when the answer arrived. A withdrawn key would then
+// be accepted longer, by the time that the answer took.
+TEST_CASE("the age of a proof includes the time since the question was sent", "[feed]")
 {
-  Asker asker;
-  const FeedQuestion question = asker.NextQuestion();
-  const TimePoint asked = asker.now_;
-  asker.now_ += milliseconds(80);
-  const FeedAnswerResult step = asker.Answer(question, 300);
-  REQUIRE(step.provedAt_);
-  CHECK(*step.provedAt_ == asked - milliseconds(300));
-  CHECK(asker.state_.followingSource_);
+  Follower follower;
+  const FeedQuestion question = follower.NextQuestion();
+  const TimePoint asked = follower.now_;
+  follower.now_ += milliseconds(80);
+  const FeedAnswerResult result = follower.ReceiveAnswer(question, 300);
+  REQUIRE(result.provedAt_);
+  CHECK(*result.provedAt_ == asked - milliseconds(300));
+  CHECK(follower.state_.followingSource_);
 }
 
-// Guards against a host that was suspended between question and answer and takes the old proof for
-// a new one: the monotonic clock stands still meanwhile.
-TEST_CASE("time in suspension makes a proof older", "[feed]")
+// Guards against a host that is suspended between question and answer and then accepts the old
+// proof as a new one, because the monotonic clock stops during suspension.
+TEST_CASE("the age of a proof includes the time that the host was suspended", "[feed]")
 {
-  Asker asker;
-  const FeedQuestion question = asker.NextQuestion();
-  asker.suspended_ += seconds(4);
-  const FeedAnswerResult step = asker.Answer(question, 10);
-  REQUIRE(step.provedAt_);
-  CHECK(*step.provedAt_ == asker.now_ - milliseconds(4010));
-  CHECK_FALSE(asker.state_.followingSource_);
+  Follower follower;
+  const FeedQuestion question = follower.NextQuestion();
+  follower.suspended_ += seconds(4);
+  const FeedAnswerResult result = follower.ReceiveAnswer(question, 10);
+  REQUIRE(result.provedAt_);
+  CHECK(*result.provedAt_ == follower.now_ - milliseconds(4010));
+  CHECK_FALSE(follower.state_.followingSource_);
 }
 
-// Guards against a follower that learns of nothing because its source is gone: within 1.2 s it
-// reads the store itself.
-TEST_CASE("a source that is silent is given up", "[feed]")
+// Guards against a follower that misses changes because its source has failed: it must read the
+// store itself within 1.2 s.
+TEST_CASE("a follower abandons a source that stops answering", "[feed]")
 {
-  Asker asker;
-  asker.Answer(asker.NextQuestion(), 10);
-  REQUIRE(asker.state_.followingSource_);
-  const TimePoint answered = asker.now_;
-  while (asker.state_.followingSource_) {
-    asker.Tick();
-    REQUIRE(asker.now_ - answered <= milliseconds(1200));
+  Follower follower;
+  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  REQUIRE(follower.state_.followingSource_);
+  const TimePoint answered = follower.now_;
+  while (follower.state_.followingSource_) {
+    follower.Tick();
+    REQUIRE(follower.now_ - answered <= milliseconds(1200));
   }
-  // One lost datagram is no reason.
-  const FeedQuestion question = asker.NextQuestion();
-  asker.Answer(question, 10);
-  REQUIRE(asker.state_.followingSource_);
-  asker.NextQuestion();
-  asker.NextQuestion();
-  CHECK(asker.state_.followingSource_);
+  // One lost datagram isn't enough to abandon the source.
+  const FeedQuestion question = follower.NextQuestion();
+  follower.ReceiveAnswer(question, 10);
+  REQUIRE(follower.state_.followingSource_);
+  follower.NextQuestion();
+  follower.NextQuestion();
+  CHECK(follower.state_.followingSource_);
 }
 
-// Guards against a source that answers but is cut off from the store: no change would come from it.
-TEST_CASE("a source that the store doesn't answer is given up", "[feed]")
+// Guards against following a source that answers but is disconnected from the store: its followers
+// would receive no changes.
+TEST_CASE("a follower abandons a source that the store doesn't answer", "[feed]")
 {
-  Asker asker;
-  asker.Answer(asker.NextQuestion(), 10);
-  REQUIRE(asker.state_.followingSource_);
-  asker.Answer(asker.NextQuestion(), 10, kHeld, 1600);
-  CHECK_FALSE(asker.state_.followingSource_);
-  // A source that has no answer yet, or whose counter is broken, is none.
-  asker.Answer(asker.NextQuestion(), 10, kHeld, ~std::uint64_t{ 0 });
-  CHECK_FALSE(asker.state_.followingSource_);
+  Follower follower;
+  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  REQUIRE(follower.state_.followingSource_);
+  follower.ReceiveAnswer(follower.NextQuestion(), 10, kHeld, 1600);
+  CHECK_FALSE(follower.state_.followingSource_);
+  // The largest age comes from a source that the store hasn't answered yet, or from a corrupt
+  // counter. It must not overflow.
+  follower.ReceiveAnswer(follower.NextQuestion(), 10, kHeld, ~std::uint64_t{ 0 });
+  CHECK_FALSE(follower.state_.followingSource_);
 }
 
-// Guards against a proof that is made younger than the source's own, which is older than its last
-// answer of the store while other rows change.
-TEST_CASE("an old proof stays old, and none is none", "[feed]")
+// Guards against a proof that is dated by the store's last answer to the source. The source's own
+// proof can be older than that answer while other rows change. An age above the maximum means that
+// the source has no proof.
+TEST_CASE("a proof isn't newer than the proof of its source", "[feed]")
 {
-  Asker asker;
-  const FeedAnswerResult old = asker.Answer(asker.NextQuestion(), 2600);
+  Follower follower;
+  const FeedAnswerResult old = follower.ReceiveAnswer(follower.NextQuestion(), 2600);
   REQUIRE(old.provedAt_);
-  CHECK(*old.provedAt_ == asker.now_ - milliseconds(2600));
-  CHECK(asker.state_.followingSource_);
-  CHECK_FALSE(asker.Answer(asker.NextQuestion(), kLongestProofAgeMs + 1).provedAt_);
-  CHECK_FALSE(asker.Answer(asker.NextQuestion(), ~std::uint64_t{ 0 }).provedAt_);
+  CHECK(*old.provedAt_ == follower.now_ - milliseconds(2600));
+  CHECK(follower.state_.followingSource_);
+  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), kLongestProofAgeMs + 1).provedAt_);
+  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), ~std::uint64_t{ 0 }).provedAt_);
 }
 
-// Guards against freshness for an old configuration, and against rows that never come because the
-// connection that carries them is silent.
-TEST_CASE("rows that the source holds and the host lacks are read", "[feed]")
+// Guards against an old configuration that is considered fresh, and against rows that never arrive
+// because the connection that carries them is stalled.
+TEST_CASE("a follower reads rows that its source names but that don't arrive", "[feed]")
 {
-  Asker asker;
-  const FeedAnswerResult first = asker.Answer(asker.NextQuestion(), 10, { 41, 70 });
+  Follower follower;
+  const FeedAnswerResult first = follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 70 });
   CHECK_FALSE(first.provedAt_);
   CHECK_FALSE(first.readConfig_);
-  const FeedAnswerResult second = asker.Answer(asker.NextQuestion(), 10, { 41, 71 });
+  const FeedAnswerResult second = follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 });
   CHECK_FALSE(second.provedAt_);
   CHECK(second.readConfig_);
   CHECK(second.readHosts_);
-  asker.held_ = { 41, 71 };
-  CHECK(asker.Answer(asker.NextQuestion(), 10, { 41, 71 }).provedAt_);
-  // A host that holds a newer row than its source has the newest.
-  asker.held_ = { 45, 75 };
-  CHECK(asker.Answer(asker.NextQuestion(), 10, { 41, 71 }).provedAt_);
+  follower.held_ = { 41, 71 };
+  CHECK(follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 }).provedAt_);
+  // A host that holds a newer configuration than its source accepts the source's proof too.
+  follower.held_ = { 45, 75 };
+  CHECK(follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 }).provedAt_);
 }
 
-// Guards against an answer that is late or repeated and counts for another question.
-TEST_CASE("only the answer to the last question counts", "[feed]")
+// Guards against a late or duplicate answer that is applied to a different question.
+TEST_CASE("only the first answer to the last question is applied", "[feed]")
 {
-  Asker asker;
-  const FeedQuestion first = asker.NextQuestion();
-  const FeedQuestion second = asker.NextQuestion();
-  CHECK(asker.Answer(first, 10) == FeedAnswerResult{});
-  CHECK(asker.Answer(second, 10).provedAt_);
-  CHECK(asker.Answer(second, 10) == FeedAnswerResult{});
+  Follower follower;
+  const FeedQuestion first = follower.NextQuestion();
+  const FeedQuestion second = follower.NextQuestion();
+  CHECK(follower.ReceiveAnswer(first, 10) == FeedAnswerResult{});
+  CHECK(follower.ReceiveAnswer(second, 10).provedAt_);
+  CHECK(follower.ReceiveAnswer(second, 10) == FeedAnswerResult{});
 }
 
-// Guards against a host that goes on with the proofs of a source that it no longer has.
-TEST_CASE("without a source a host reads for itself", "[feed]")
+// Guards against a host that continues to rely on a source after there is none.
+TEST_CASE("a host without a source reads the store itself", "[feed]")
 {
-  Asker asker;
-  asker.Answer(asker.NextQuestion(), 10);
-  CHECK_FALSE(asker.Tick(std::nullopt));
-  CHECK_FALSE(asker.state_.followingSource_);
-  // The next source takes over without a gap, or is given up as any silent one.
-  asker.Answer(asker.NextQuestion(), 10);
-  asker.Tick(HostId{ "h2" });
-  CHECK(asker.state_.followingSource_);
+  Follower follower;
+  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  CHECK_FALSE(follower.Tick(std::nullopt));
+  CHECK_FALSE(follower.state_.followingSource_);
+  // A change of the source doesn't interrupt following; the new source may still be abandoned.
+  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  follower.Tick(HostId{ "h2" });
+  CHECK(follower.state_.followingSource_);
 }
 
-// Guards against proofs every 0.7 s at a host that nobody asks: each of them is paid for.
-TEST_CASE("a host is a source while it is asked", "[feed]")
+// Guards against a host that proves every 0.7 s although no other host asks it. The platform
+// charges for each of these reads.
+TEST_CASE("a host is a source only while other hosts ask it", "[feed]")
 {
   StoreFeedState state;
   const TimePoint now{ seconds(50) };
