--- a/peridotquay/version/ConfigCompiler.h
+++ b/peridotquay/version/ConfigCompiler.h
@@ -8,9 +8,8 @@
 //   service/<id>      {}
 //   site/<dc>         {"region":"<id>"}, optional "overlay" with routes, accounts and policy
 //   policy/default    {}, all keys optional
-//   policy/replaced   {"key_freshness_bound_ms":10000,"until_ms":0}, the previous bound after it
-//   was
-//                     lowered
+//   policy/replaced   {"key_freshness_bound_ms":10000,"until_ms":0}, the bound
+//                     before it was lowered
 #pragma once
 
 #include "peridotquay/process/Error.h"
