--- a/peridotquay/version/Config.cpp
+++ b/peridotquay/version/Config.cpp
@@ -129,7 +129,7 @@
   const std::uint32_t rankCount = (maxAccountPriority + 1) * (maxRoutePriority + 1);
   const std::uint32_t rank = aAccount.priority_ * (maxRoutePriority + 1) + aRoute.priority_;
   // The ranks are spread over all classes but the first, kCritical.
-  constexpr std::uint32_t kAccountClasses = kImportanceClasses - 1;
+  constexpr std::uint32_t kAccountClasses = kImportanceClassCount - 1;
   return static_cast<Importance>(1 +
                                  std::min(kAccountClasses - 1, rank * kAccountClasses / rankCount));
 }
--- a/peridotquay/version/ConfigParser.cpp
+++ b/peridotquay/version/ConfigParser.cpp
@@ -3,7 +3,7 @@
 // of the entities can name the file and line.
 #include "peridotquay/version/ConfigParser.h"
 
-#include "peridotquay/process/TomlPlaces.h"
+#include "peridotquay/process/TomlFile.h"
 #include "peridotquay/version/ConfigCompiler.h"
 #include "peridotquay/version/ConfigReader.h"
 
@@ -19,7 +19,7 @@
 namespace {
 
 /// Locations of all keys, by the subject of errors about them.
-using LocationsBySubject = std::map<std::string, SourcePlace>;
+using LocationsBySubject = std::map<std::string, SourceLocation>;
 
 /// Tables of the base file and the kind of entity that their members become.
 constexpr std::array<std::pair<const char*, const char*>, 5> kEntityTables = { {
@@ -33,7 +33,7 @@
 auto FailAt(ErrorCode aCode,
             std::string aSubject,
             std::string aAllowed,
-            const SourcePlace& aLocation)
+            const SourceLocation& aLocation)
 {
   return BOOST_OUTCOME_V2_NAMESPACE::failure(
     Error{ aCode, std::move(aSubject), std::move(aAllowed), aLocation });
@@ -58,7 +58,7 @@
   auto json = ConfigJson::object();
   for (const auto& [key, node] : aTable) {
     const auto subject = aPrefix + std::string(key.str());
-    (*aContext.locations_)[subject] = PlaceOf(key.source(), *aContext.file_);
+    (*aContext.locations_)[subject] = SourceLocationOf(key.source(), *aContext.file_);
     BOOST_OUTCOME_TRY(value, ConvertNode(aContext, node, subject));
     json[std::string(key.str())] = std::move(value);
   }
@@ -69,7 +69,7 @@
                                const toml::node& aNode,
                                const std::string& aSubject)
 {
-  const auto location = PlaceOf(aNode.source(), *aContext.file_);
+  const auto location = SourceLocationOf(aNode.source(), *aContext.file_);
   if (const auto* table = aNode.as_table()) {
     return ConvertTable(aContext, *table, aSubject + ".");
   }
@@ -102,9 +102,9 @@
 
 /// Returns the location of an error: that of its subject if known, otherwise of the innermost known
 /// table around it.
-SourcePlace FindLocation(const LocationsBySubject& aLocations,
-                         std::string aSubject,
-                         const std::string& aFile)
+SourceLocation FindLocation(const LocationsBySubject& aLocations,
+                            std::string aSubject,
+                            const std::string& aFile)
 {
   for (;;) {
     if (const auto found = aLocations.find(aSubject); found != aLocations.end()) {
@@ -160,7 +160,7 @@
   const ConversionContext context{ &aBase.name_, &aLocations };
   for (const auto& [key, node] : table) {
     const auto name = std::string(key.str());
-    const auto location = PlaceOf(key.source(), aBase.name_);
+    const auto location = SourceLocationOf(key.source(), aBase.name_);
     const auto* members = node.as_table();
     const auto* const kind =
       std::find_if(kEntityTables.begin(), kEntityTables.end(), [&name](const auto& aEntry) {
@@ -182,7 +182,7 @@
     }
     for (const auto& [id, member] : *members) {
       const auto entity = std::string(kind->second) + "/" + std::string(id.str());
-      aLocations[entity] = PlaceOf(id.source(), aBase.name_);
+      aLocations[entity] = SourceLocationOf(id.source(), aBase.name_);
       if (!member.is_table()) {
         return FailAt(ErrorCode::kWrongType, entity, "a table", aLocations[entity]);
       }
@@ -203,7 +203,7 @@
   if (node == nullptr) {
     return FailAt(ErrorCode::kMissingSetting, "data_centre", "required", { aFile.name_, 1, 1 });
   }
-  const auto location = PlaceOf(node->source(), aFile.name_);
+  const auto location = SourceLocationOf(node->source(), aFile.name_);
   const auto dataCentre = node->value_exact<std::string>();
   if (!dataCentre) {
     return FailAt(ErrorCode::kWrongType, "data_centre", "a string", location);
@@ -220,7 +220,7 @@
   table.erase("data_centre");
   BOOST_OUTCOME_TRY(json,
                     ConvertTable({ &aFile.name_, &aLocations }, table, entity + ": overlay."));
-  aLocations.emplace(entity + ": overlay", SourcePlace{ aFile.name_, 1, 1 });
+  aLocations.emplace(entity + ": overlay", SourceLocation{ aFile.name_, 1, 1 });
   site->second["overlay"] = std::move(json);
   return Success();
 }
@@ -250,9 +250,9 @@
 {
   LocationsBySubject locations;
   auto entities = ReadFiles(aBase, aOverlays, locations);
-  if (entities.has_error() && entities.assume_error().place_.file_.empty()) {
+  if (entities.has_error() && entities.assume_error().location_.file_.empty()) {
     auto error = entities.assume_error();
-    error.place_ = FindLocation(locations, error.subject_, aBase.name_);
+    error.location_ = FindLocation(locations, error.subject_, aBase.name_);
     return BOOST_OUTCOME_V2_NAMESPACE::failure(std::move(error));
   }
   if (aLocations != nullptr && entities.has_value()) {
