--- a/bench/policy_trials.cpp
+++ b/bench/policy_trials.cpp
@@ -1,7 +1,7 @@
 // Compares policies for one service behind one guard in virtual time. Same seed, same figures.
 // Usage: policy_trials [--seed N] [--profile NAME] [--scene NAME] [--variant NAME]
 #include "peridotquay/request/Admission.h"
-#include "peridotquay/request/RandomStep.h"
+#include "peridotquay/request/Random.h"
 #include "peridotquay/request/RetryBudget.h"
 
 #include <algorithm>
@@ -227,11 +227,12 @@
     , random_(aSeed)
   {
     guard_.settings_.queueDeadlineFraction_ = variant_.queueFraction_;
-    for (UpstreamLevel& upstream : upstream_) {
+    for (ReceivedAdmissionLevel& upstream : upstream_) {
       upstream.random_ = RandomBits(random_);
     }
     if (scene_.beyond_ != Beyond::kQueues) {
-      AnnounceSlots(guard_, profile_.slots_ * (scene_.beyond_ == Beyond::kOverstates ? 2 : 1));
+      ApplyAnnouncedSlots(guard_,
+                          profile_.slots_ * (scene_.beyond_ == Beyond::kOverstates ? 2 : 1));
     }
     if (variant_.limit_ == Limit::kFixedSlots || variant_.limit_ == Limit::kFixedFour) {
       guard_.announcedSlots_ = 0;
@@ -317,7 +318,7 @@
     call.deadline_ = now_ + kDeadline;
     call.host_ = static_cast<int>(RandomIndex(random_, kHosts));
     calls_.push_back(call);
-    NoteFirstTry(ratio_[call.host_], { .perFirstTry_ = variant_.retryRatio_ });
+    RecordFirstAttempt(ratio_[call.host_], { .tokensPerFirstAttempt_ = variant_.retryRatio_ });
     ++firstTries_;
     Send(calls_.size() - 1);
   }
@@ -325,7 +326,7 @@
   void Send(std::size_t aCall)
   {
     ClientCall& call = calls_[aCall];
-    if (variant_.upstream_ && !UpstreamAdmits(upstream_[call.host_], call.importance_, now_)) {
+    if (variant_.upstream_ && !ShouldSendCall(upstream_[call.host_], call.importance_, now_)) {
       call.ended_ = true;
       return;
     }
@@ -381,7 +382,7 @@
   /// The guard's queue is switched off; a stack for each class takes its place.
   void OfferLifo(std::uint64_t aId)
   {
-    AdmissionStep step = OfferCall(guard_, MakeWaiting(aId), now_);
+    AdmissionActions step = OfferCall(guard_, MakeWaiting(aId), now_);
     if (!step.refuse_.empty() && step.refuse_[0].code_ == ErrorCode::kShed) {
       const auto index = static_cast<std::size_t>(calls_[attempts_[aId - 1].call_].importance_);
       stacks_[index].push_back(aId);
@@ -411,7 +412,7 @@
     }
   }
 
-  void Apply(const AdmissionStep& aStep)
+  void Apply(const AdmissionActions& aStep)
   {
     for (const std::uint64_t id : aStep.start_) {
       StartAtTarget(id);
@@ -432,7 +433,7 @@
     } else if (queues && inside_.size() + running_ < profile_.connections_) {
       inside_.push_back(aId);
     } else {
-      At(now_ + microseconds(500), [this, aId] { End(aId, CallEnd::kTargetRefused); });
+      At(now_ + microseconds(500), [this, aId] { End(aId, ExecutionResult::kTargetRefused); });
     }
   }
 
@@ -448,21 +449,21 @@
         inside_.pop_front();
         RunAtTarget(next);
       }
-      End(aId, CallEnd::kAnswered);
+      End(aId, ExecutionResult::kAnswered);
     });
   }
 
-  void End(std::uint64_t aId, CallEnd aEnd)
+  void End(std::uint64_t aId, ExecutionResult aEnd)
   {
     if (variant_.naive_) {
-      Reply(aId, aEnd == CallEnd::kAnswered);
+      Reply(aId, aEnd == ExecutionResult::kAnswered);
       return;
     }
     const Duration service = now_ - attempts_[aId - 1].started_;
     if (variant_.limit_ == Limit::kAimd) {
       // AIMD may use the announced slots as its bound, as the product does.
       const double most = guard_.announcedSlots_ > 0 ? guard_.announcedSlots_ : 1000;
-      if (aEnd == CallEnd::kAnswered) {
+      if (aEnd == ExecutionResult::kAnswered) {
         aimd_.Note(ToSeconds(service));
       } else {
         aimd_.limit_ = std::max(2.0, aimd_.limit_ * 0.98);
@@ -470,8 +471,8 @@
       aimd_.limit_ = std::min(aimd_.limit_, most);
       FixLimit(static_cast<std::uint32_t>(aimd_.limit_));
     }
-    const AdmissionStep step = FinishCall(guard_, aEnd, service, now_);
-    Reply(aId, aEnd == CallEnd::kAnswered);
+    const AdmissionActions step = FinishCall(guard_, aEnd, service, now_);
+    Reply(aId, aEnd == ExecutionResult::kAnswered);
     Apply(step);
     if (variant_.order_ == Order::kLifo) {
       StartLifo();
@@ -480,7 +481,7 @@
 
   void Reply(std::uint64_t aId, bool aAnswered)
   {
-    const AdmissionLevel level = CurrentLevel(guard_, now_);
+    const AdmissionLevel level = CurrentAdmissionLevel(guard_, now_);
     At(now_ + kOneWay, [this, aId, aAnswered, level] { ReachCaller(aId, aAnswered, level); });
   }
 
@@ -488,7 +489,7 @@
   {
     const std::size_t index = attempts_[aId - 1].call_;
     ClientCall& call = calls_[index];
-    NoteLevel(upstream_[call.host_], aLevel, now_);
+    RecordAdmissionLevel(upstream_[call.host_], aLevel, now_);
     if (aAnswered) {
       late_ += now_ > call.deadline_ ? 1 : 0;
       if (!call.ended_ && now_ <= call.deadline_) {
@@ -502,7 +503,7 @@
       return;
     }
     if (variant_.retryRatio_ < 0 || call.retries_ >= 3 || now_ >= call.deadline_ ||
-        !TakeRetryToken(ratio_[call.host_], {}, now_)) {
+        !ConsumeRetryToken(ratio_[call.host_], {}, now_)) {
       call.ended_ = true;
       return;
     }
@@ -530,7 +531,7 @@
   {
     const TimePoint from = kStart + seconds(5);
     const TimePoint to = kStart + FromSeconds(scene_.seconds_);
-    std::array<std::array<double, kAccounts>, kImportanceClasses> demands{};
+    std::array<std::array<double, kAccounts>, kImportanceClassCount> demands{};
     std::array<double, kAccounts> served{};
     double answered = 0;
     double critical = 0;
@@ -626,8 +627,8 @@
   std::uint64_t order_ = 0;
   AdmissionState guard_;
   Aimd aimd_;
-  std::array<std::deque<std::uint64_t>, kImportanceClasses> stacks_;
-  std::array<UpstreamLevel, kHosts> upstream_;
+  std::array<std::deque<std::uint64_t>, kImportanceClassCount> stacks_;
+  std::array<ReceivedAdmissionLevel, kHosts> upstream_;
   std::array<RetryRatio, kHosts> ratio_;
   std::vector<ClientCall> calls_;
   std::vector<Attempt> attempts_;
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -3,7 +3,7 @@
 
 #include "peridotquay/process/Events.h"
 #include "peridotquay/process/OwnAnswer.h"
-#include "peridotquay/request/RandomStep.h"
+#include "peridotquay/request/Random.h"
 
 #include <nlohmann/json.hpp>
 
@@ -387,24 +387,24 @@
   }
   const auto queue = waiting_.find(account);
   const bool othersWait = queue != waiting_.end() && !queue->second.empty();
-  TakeStep step = TakeToken(
+  AcquireResult step = AcquireToken(
     tokens_, account, othersWait ? static_cast<std::uint32_t>(queue->second.size()) : 0, now);
-  if (step.ask_ && requestTokens_) {
-    requestTokens_(*step.ask_);
+  if (step.shareRequest_ && requestTokens_) {
+    requestTokens_(*step.shareRequest_);
   }
-  switch (step.result_) {
-    case TakeResult::kTaken:
+  switch (step.status_) {
+    case AcquireStatus::kAcquired:
       Begin(aCall);
       return;
-    case TakeResult::kRefused:
+    case AcquireStatus::kRefused:
       metrics_.Add(Counter::kRefusedRate);
       Refuse(aCall, ErrorCode::kOverRate, step.retryAfterMs_);
       return;
-    case TakeResult::kWait:
+    case AcquireStatus::kPending:
       break;
   }
   waiting_[account].push_back(aCall);
-  WaitForTokens(aCall, kTokenWait, true);
+  WaitForTokens(aCall, kMaxTokenWait, true);
 }
 
 void Dispatcher::WaitForTokens(const CallPointer& aCall, Duration aWait, bool aExtend)
@@ -438,18 +438,18 @@
   while (!calls.empty()) {
     const CallPointer call = calls.front();
     calls.pop_front();
-    TakeStep step =
-      TakeToken(tokens_, aAccount, static_cast<std::uint32_t>(calls.size()), loop_.Now());
-    if (step.ask_ && requestTokens_) {
-      requestTokens_(*step.ask_);
+    AcquireResult step =
+      AcquireToken(tokens_, aAccount, static_cast<std::uint32_t>(calls.size()), loop_.Now());
+    if (step.shareRequest_ && requestTokens_) {
+      requestTokens_(*step.shareRequest_);
     }
-    if (step.result_ == TakeResult::kWait) {
+    if (step.status_ == AcquireStatus::kPending) {
       calls.push_front(call);
       break;
     }
     loop_.CancelTimer(call->tokenTimer_);
     call->tokenTimer_ = 0;
-    if (step.result_ == TakeResult::kTaken) {
+    if (step.status_ == AcquireStatus::kAcquired) {
       Begin(call);
     } else {
       metrics_.Add(Counter::kRefusedRate);
@@ -467,7 +467,7 @@
   if (!calls_.contains(aCall.get())) {
     return;
   }
-  NoteFirstTry(ratios_[aCall->call_.service_], RetrySettings(*aCall));
+  RecordFirstAttempt(ratios_[aCall->call_.service_], RetrySettings(*aCall));
   Attempt(aCall);
 }
 
@@ -492,7 +492,7 @@
 void Dispatcher::SetTargets(std::shared_ptr<const TargetView> aTargets)
 {
   targets_ = std::move(aTargets);
-  ForgetAbsent(routing_, *targets_);
+  RemoveAbsentHosts(routing_, *targets_);
   std::erase_if(levels_,
                 [this](const auto& aEntry) { return !targets_->hosts_.contains(aEntry.first); });
 }
@@ -628,7 +628,7 @@
         entry["ejected"] = now < stats->second.ejectedUntil_;
       }
       const auto level = levels_.find(target.host_);
-      if (level != levels_.end() && now - level->second.heard_ < kLevelLifetime) {
+      if (level != levels_.end() && now - level->second.receivedAt_ < kAdmissionLevelLifetime) {
         entry["lowest_admitted"] = ImportanceName(level->second.level_.lowestAdmitted_);
         entry["admitted_fraction"] = level->second.level_.admittedFraction_;
       }
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -160,7 +160,7 @@
   void Attempt(const CallPointer& aCall);
   Duration AnswerReserve(const Target& aTarget) const;
   void Send(const CallPointer& aCall, const Target& aTarget);
-  void EndAttempt(const CallPointer& aCall, CallResult aResult, const Answer* aAnswer);
+  void EndAttempt(const CallPointer& aCall, AttemptResult aResult, const Answer* aAnswer);
   void OnAttemptAnswer(const CallPointer& aCall, Answer aAnswer);
   void AskFate(const CallPointer& aCall);
   bool MayRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget);
@@ -197,8 +197,8 @@
   RoutingState routing_;
   TokenCache tokens_;
   NaiveState naive_;
-  std::map<HostId, UpstreamLevel> levels_; ///< By guard; only of hosts in targets_.
-  std::map<ServiceId, RetryRatio> ratios_; ///< Only of services in config_.
+  std::map<HostId, ReceivedAdmissionLevel> levels_; ///< By guard; only of hosts in targets_.
+  std::map<ServiceId, RetryRatio> ratios_;          ///< Only of services in config_.
   RequestLedger ledger_;
   std::map<std::pair<HostId, Incarnation>, RequestLedger> adopted_;
   /// Repeats that wait for a running request, by ledger and sequence.
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -54,7 +54,7 @@
       return std::nullopt;
     }
     const auto level = levels_.find(target->host_);
-    if (level == levels_.end() || UpstreamAdmits(level->second, aCall->call_.importance_, now)) {
+    if (level == levels_.end() || ShouldSendCall(level->second, aCall->call_.importance_, now)) {
       return target;
     }
     aShedUpstream = true;
@@ -102,7 +102,7 @@
   call.call_.deadlineMs_ = static_cast<std::uint32_t>(std::max<std::int64_t>(1, left));
   attempts_[call.attempt_] = aCall;
   if (!settings_.naive_) {
-    NoteSent(routing_, aTarget);
+    RecordCallSent(routing_, aTarget);
   }
   if (aTarget.host_ != settings_.host_) {
     hub_.SendCall(aTarget.peer_, call.attempt_, call.call_);
@@ -133,7 +133,7 @@
   OnAttemptAnswer(call, std::move(aAnswer));
 }
 
-void Dispatcher::EndAttempt(const CallPointer& aCall, CallResult aResult, const Answer* aAnswer)
+void Dispatcher::EndAttempt(const CallPointer& aCall, AttemptResult aResult, const Answer* aAnswer)
 {
   ActiveCall& call = *aCall;
   attempts_.erase(call.attempt_);
@@ -147,20 +147,20 @@
     return;
   }
   const TimePoint now = loop_.Now();
-  NoteEnded(routing_,
-            call.target_,
-            aResult,
-            now - call.sent_,
-            aAnswer == nullptr ? -1 : ReportedLoad(*aAnswer),
-            now);
+  RecordCallEnded(routing_,
+                  call.target_,
+                  aResult,
+                  now - call.sent_,
+                  aAnswer == nullptr ? -1 : ReportedLoad(*aAnswer),
+                  now);
   if (aAnswer != nullptr && aAnswer->limit_ != 0) {
-    NoteFailedPart(routing_, call.target_, aAnswer->failedPercent_ / 100.0, now);
+    RecordFailureFraction(routing_, call.target_, aAnswer->failedPercent_ / 100.0, now);
     const auto [level, isNew] = levels_.try_emplace(call.target_.host_);
     if (isNew) {
       // Each level has its own sequence, so that probes of several guards don't come together.
       level->second.random_ ^= routing_.random_ * nextCallId_;
     }
-    NoteLevel(level->second, aAnswer->level_, now);
+    RecordAdmissionLevel(level->second, aAnswer->level_, now);
   }
 }
 
@@ -174,14 +174,14 @@
     aAnswer.retriesUnused_ = unused;
   }
   const bool owner = aCall->owner_;
-  CallResult result = CallResult::kAnswered;
+  AttemptResult result = AttemptResult::kAnswered;
   if (aAnswer.outcome_ == Outcome::kNotRun) {
     const bool unreachable =
       aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kTargetUnreachable);
-    result = unreachable ? CallResult::kUnreachable : CallResult::kRefused;
+    result = unreachable ? AttemptResult::kUnreachable : AttemptResult::kRefused;
   } else if (aAnswer.outcome_ == Outcome::kUnknown && aAnswer.status_ == 0) {
     const bool late = aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kDeadlineExceeded);
-    result = late ? CallResult::kTimedOut : CallResult::kFailed;
+    result = late ? AttemptResult::kTimedOut : AttemptResult::kFailed;
   }
   EndAttempt(aCall, result, &aAnswer);
   if (owner) {
@@ -214,10 +214,10 @@
   }
   // The ratio protects services that are slow or failing. A try that found no host cost them
   // nothing.
-  const bool inRatio = !aReachedHost || TakeRetryToken(ratios_[aCall->call_.service_],
-                                                       RetrySettings(*aCall),
-                                                       loop_.Now(),
-                                                       aCall->mayHaveRun_);
+  const bool inRatio = !aReachedHost || ConsumeRetryToken(ratios_[aCall->call_.service_],
+                                                          RetrySettings(*aCall),
+                                                          loop_.Now(),
+                                                          aCall->mayHaveRun_);
   if (aCall->budget_.left_ == 0 || !inRatio) {
     metrics_.Add(Counter::kRetriesDenied);
     return false;
@@ -284,13 +284,13 @@
     }
     // The host can't be reached any more.
     Answer answer = MakeAnswer(Outcome::kUnknown, ErrorCode::kOutcomeUnknown);
-    EndAttempt(call, CallResult::kFailed, nullptr);
+    EndAttempt(call, AttemptResult::kFailed, nullptr);
     RetryOrEnd(call, std::move(answer));
     return;
   }
   if (call->owner_) {
     // The id makes it safe to ask the same owner again.
-    EndAttempt(call, CallResult::kFailed, nullptr);
+    EndAttempt(call, AttemptResult::kFailed, nullptr);
     if (aCall.sent_ && MayRetry(call, true, true)) {
       metrics_.Add(Counter::kRetries);
       ++call->retries_;
@@ -304,7 +304,7 @@
   if (!aCall.sent_) {
     Answer answer = MakeAnswer(Outcome::kNotRun, ErrorCode::kTargetUnreachable);
     answer.retriesUnused_ = call->lent_;
-    EndAttempt(call, CallResult::kUnreachable, &answer);
+    EndAttempt(call, AttemptResult::kUnreachable, &answer);
     RetryOrEnd(call, std::move(answer));
     return;
   }
@@ -313,7 +313,7 @@
     AskFate(call);
     return;
   }
-  EndAttempt(call, CallResult::kFailed, nullptr);
+  EndAttempt(call, AttemptResult::kFailed, nullptr);
   // A silent connection says nothing about the host, so the host may be chosen again.
   RetryOrEnd(call,
              MakeAnswer(Outcome::kUnknown, ErrorCode::kOutcomeUnknown),
@@ -349,12 +349,12 @@
   if (same && aReply.fate_ == Fate::kNeverArrived) {
     Answer answer = MakeAnswer(Outcome::kNotRun, ErrorCode::kTargetUnreachable);
     answer.retriesUnused_ = call->lent_;
-    EndAttempt(call, CallResult::kFailed, &answer);
+    EndAttempt(call, AttemptResult::kFailed, &answer);
     // The host has just answered, so it may be chosen again.
     RetryOrEnd(call, std::move(answer), false);
     return;
   }
-  EndAttempt(call, CallResult::kFailed, nullptr);
+  EndAttempt(call, AttemptResult::kFailed, nullptr);
   EndUnknown(call, ErrorCode::kOutcomeUnknown);
 }
 
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -100,7 +100,7 @@
   const std::uint64_t attempt = aCall->attempt_;
   const std::uint64_t localRun = aCall->localRun_;
   EndAttempt(aCall,
-             loop_.Now() >= aCall->deadline_ ? CallResult::kTimedOut : CallResult::kCancelled,
+             loop_.Now() >= aCall->deadline_ ? AttemptResult::kTimedOut : AttemptResult::kCancelled,
              nullptr);
   if (localRun != 0) {
     guard_.Cancel(localRun);
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -136,7 +136,7 @@
   WatchQueue();
 }
 
-void Guard::Apply(const AdmissionStep& aStep)
+void Guard::Apply(const AdmissionActions& aStep)
 {
   for (const auto& refused : aStep.refuse_) {
     Refuse(refused.id_, refused.code_, refused.retryAfterMs_);
@@ -161,9 +161,11 @@
   context.clientAccount_ = running.call_.clientAccount_;
   context.importance_ = running.call_.importance_;
   context.depth_ = running.call_.depth_;
-  std::string token = NewToken();
+  std::string token = NewContextToken();
   if (!OpenContext(contexts_, token, context)) {
-    Finish(aCall, CallEnd::kCancelled, RefusedAnswer(running.call_, ErrorCode::kLimitReached, 0));
+    Finish(aCall,
+           ExecutionResult::kCancelled,
+           RefusedAnswer(running.call_, ErrorCode::kLimitReached, 0));
     return;
   }
   running.token_ = std::move(token);
@@ -199,15 +201,17 @@
   const Call& call = running.call_;
   switch (aResult.end_) {
     case TargetEnd::kNotSent:
-      Finish(aCall, CallEnd::kTargetRefused, RefusedAnswer(call, ErrorCode::kTargetUnreachable, 0));
+      Finish(aCall,
+             ExecutionResult::kTargetRefused,
+             RefusedAnswer(call, ErrorCode::kTargetUnreachable, 0));
       return;
     case TargetEnd::kLost:
       metrics_.Add(Counter::kTargetLost);
-      Finish(aCall, CallEnd::kCancelled, UnknownAnswer(call, ErrorCode::kOutcomeUnknown));
+      Finish(aCall, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kOutcomeUnknown));
       return;
     case TargetEnd::kTruncated:
       metrics_.Add(Counter::kTargetTruncated);
-      Finish(aCall, CallEnd::kCancelled, UnknownAnswer(call, ErrorCode::kTruncatedAnswer));
+      Finish(aCall, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kTruncatedAnswer));
       return;
     case TargetEnd::kAnswered:
       break;
@@ -223,10 +227,13 @@
       LogEvent(Event::kTargetRefusing,
                { { "route", call.route_.value_ }, { "skipped", std::to_string(skipped) } });
     }
-    Finish(aCall, CallEnd::kTargetRefused, RefusedAnswer(call, ErrorCode::kTargetRefused, *hint));
+    Finish(aCall,
+           ExecutionResult::kTargetRefused,
+           RefusedAnswer(call, ErrorCode::kTargetRefused, *hint));
     return;
   }
-  Finish(aCall, CallEnd::kAnswered, WholeAnswer(dialect_, call, std::move(aResult.response_)));
+  Finish(
+    aCall, ExecutionResult::kAnswered, WholeAnswer(dialect_, call, std::move(aResult.response_)));
 }
 
 void Guard::OnDeadline(std::uint64_t aCall)
@@ -244,7 +251,7 @@
   }
   const bool sent = client_.Cancel(running.request_);
   Finish(aCall,
-         sent ? CallEnd::kTimedOut : CallEnd::kTargetRefused,
+         sent ? ExecutionResult::kTimedOut : ExecutionResult::kTargetRefused,
          sent ? UnknownAnswer(running.call_, ErrorCode::kDeadlineExceeded)
               : RefusedAnswer(running.call_, ErrorCode::kDeadlineExceeded, 0));
 }
@@ -265,7 +272,7 @@
   done(std::move(answer));
 }
 
-void Guard::Finish(std::uint64_t aCall, CallEnd aEnd, Answer aAnswer)
+void Guard::Finish(std::uint64_t aCall, ExecutionResult aEnd, Answer aAnswer)
 {
   const auto entry = calls_.find(aCall);
   const Running running = std::move(entry->second);
@@ -282,7 +289,7 @@
       onContextClosed_(running.token_);
     }
   }
-  AdmissionStep step;
+  AdmissionActions step;
   if (!settings_.naive_) {
     const Duration total = now - running.started_;
     step = FinishCall(admission_, aEnd, { total, total - deeper }, now, running.call_.route_);
@@ -297,13 +304,13 @@
 }
 
 // A cancelled call and a refusal say nothing of what the target does with work that it takes.
-void Guard::NoteTargetOutcome(CallEnd aEnd, const Answer& aAnswer)
+void Guard::NoteTargetOutcome(ExecutionResult aEnd, const Answer& aAnswer)
 {
   const bool lost = aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kOutcomeUnknown) ||
                     aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kTruncatedAnswer);
-  if (aEnd == CallEnd::kAnswered || aEnd == CallEnd::kTimedOut || lost) {
-    const bool failed = aEnd != CallEnd::kAnswered || aAnswer.status_ >= 500;
-    NoteOutcome(failures_, failed, loop_.Now());
+  if (aEnd == ExecutionResult::kAnswered || aEnd == ExecutionResult::kTimedOut || lost) {
+    const bool failed = aEnd != ExecutionResult::kAnswered || aAnswer.status_ >= 500;
+    RecordAnswer(failures_, failed, loop_.Now());
   }
 }
 
@@ -349,7 +356,7 @@
   aAnswer.inFlight_ = admission_.running_;
   aAnswer.limit_ = static_cast<std::uint32_t>(admission_.limit_);
   aAnswer.queued_ = static_cast<std::uint32_t>(admission_.queued_);
-  aAnswer.level_ = CurrentLevel(admission_, loop_.Now());
+  aAnswer.level_ = CurrentAdmissionLevel(admission_, loop_.Now());
   aAnswer.failedPercent_ = FailedPercent(failures_, loop_.Now());
 }
 
@@ -445,8 +452,9 @@
       continue;
     }
     client_.Cancel(entry->second.request_);
-    Finish(
-      number, CallEnd::kCancelled, UnknownAnswer(entry->second.call_, ErrorCode::kOutcomeUnknown));
+    Finish(number,
+           ExecutionResult::kCancelled,
+           UnknownAnswer(entry->second.call_, ErrorCode::kOutcomeUnknown));
   }
 }
 
@@ -465,7 +473,7 @@
     return;
   }
   client_.Cancel(running.request_);
-  Finish(aCall, CallEnd::kCancelled, Answer{});
+  Finish(aCall, ExecutionResult::kCancelled, Answer{});
 }
 
 void Guard::Abort()
@@ -479,7 +487,7 @@
     }
     client_.Cancel(entry->second.request_);
     Finish(entry->first,
-           CallEnd::kCancelled,
+           ExecutionResult::kCancelled,
            UnknownAnswer(entry->second.call_, ErrorCode::kOutcomeUnknown));
   }
 }
@@ -608,7 +616,7 @@
     fresh.limit_ = fresh.settings_.initialLimit_;
     admission_ = fresh;
   }
-  AnnounceSlots(admission_, health_.slots_);
+  ApplyAnnouncedSlots(admission_, health_.slots_);
 }
 
 CallContext* Guard::Context(std::string_view aToken)
--- a/peridotquay/process/Guard.h
+++ b/peridotquay/process/Guard.h
@@ -99,14 +99,14 @@
     std::uint64_t timer_ = 0;
   };
 
-  void Apply(const AdmissionStep& aStep);
+  void Apply(const AdmissionActions& aStep);
   void Start(std::uint64_t aCall);
   void OnTarget(std::uint64_t aCall, TargetResult aResult);
   void OnDeadline(std::uint64_t aCall);
   void Refuse(std::uint64_t aCall, ErrorCode aCode, std::uint32_t aRetryAfterMs);
   /// Ends a started call: frees its slot, closes its context and delivers the answer.
-  void Finish(std::uint64_t aCall, CallEnd aEnd, Answer aAnswer);
-  void NoteTargetOutcome(CallEnd aEnd, const Answer& aAnswer);
+  void Finish(std::uint64_t aCall, ExecutionResult aEnd, Answer aAnswer);
+  void NoteTargetOutcome(ExecutionResult aEnd, const Answer& aAnswer);
   void FillLoad(Answer& aAnswer);
   void LogEnd(const Running& aRunning, const Answer& aAnswer);
   void WatchQueue();
--- a/peridotquay/request/Admission.cpp
+++ b/peridotquay/request/Admission.cpp
@@ -1,7 +1,7 @@
 // Adaptive concurrency limit, fair queue and early refusal of one guard.
 #include "peridotquay/request/Admission.h"
 
-#include "peridotquay/request/RandomStep.h"
+#include "peridotquay/request/Random.h"
 
 #include <algorithm>
 #include <cassert>
@@ -181,7 +181,7 @@
 }
 
 void Refuse(AdmissionState& aState,
-            AdmissionStep& aStep,
+            AdmissionActions& aStep,
             const WaitingCall& aCall,
             ErrorCode aCode,
             TimePoint aNow)
@@ -190,7 +190,7 @@
   aStep.refuse_.push_back({ aCall.id_, aCode, RetryAfterMs(aState, aNow) });
 }
 
-void Start(AdmissionState& aState, AdmissionStep& aStep, const WaitingCall& aCall)
+void Start(AdmissionState& aState, AdmissionActions& aStep, const WaitingCall& aCall)
 {
   ++aState.running_;
   aState.window_.peakRunning_ = std::max(aState.window_.peakRunning_, aState.running_);
@@ -237,7 +237,7 @@
 }
 
 /// Starts waiting calls while slots are free.
-void StartWaiting(AdmissionState& aState, AdmissionStep& aStep, TimePoint aNow)
+void StartWaiting(AdmissionState& aState, AdmissionActions& aStep, TimePoint aNow)
 {
   for (ClassQueue& queue : aState.queues_) {
     while (queue.size_ > 0 && HasSlot(aState)) {
@@ -555,9 +555,9 @@
 
 } // namespace
 
-AdmissionStep OfferCall(AdmissionState& aState, const WaitingCall& aCall, TimePoint aNow)
+AdmissionActions OfferCall(AdmissionState& aState, const WaitingCall& aCall, TimePoint aNow)
 {
-  AdmissionStep step;
+  AdmissionActions step;
   UpdateUpstream(aState, aNow);
   aState.offered_[Index(aCall.importance_)] += 1;
   if (IsTooLate(aState, aCall, aNow)) {
@@ -577,27 +577,27 @@
   return step;
 }
 
-AdmissionStep FinishCall(AdmissionState& aState,
-                         CallEnd aEnd,
-                         const ServiceTime& aServiceTime,
-                         TimePoint aNow,
-                         const RouteId& aRoute)
+AdmissionActions FinishCall(AdmissionState& aState,
+                            ExecutionResult aEnd,
+                            const ServiceTime& aServiceTime,
+                            TimePoint aNow,
+                            const RouteId& aRoute)
 {
   assert(aState.running_ > 0);
   aState.running_ -= aState.running_ > 0 ? 1 : 0;
   switch (aEnd) {
-    case CallEnd::kAnswered:
-    case CallEnd::kTimedOut:
+    case ExecutionResult::kAnswered:
+    case ExecutionResult::kTimedOut:
       NoteServiceTime(aState, aServiceTime, aNow);
       NoteRouteService(aState, aRoute, std::max(0.0, ToSeconds(aServiceTime.total_)), aNow);
       break;
-    case CallEnd::kTargetRefused:
+    case ExecutionResult::kTargetRefused:
       NoteTargetRefusal(aState, aServiceTime.total_, aNow);
       break;
-    case CallEnd::kCancelled:
+    case ExecutionResult::kCancelled:
       break;
   }
-  AdmissionStep step;
+  AdmissionActions step;
   UpdateUpstream(aState, aNow);
   StartWaiting(aState, step, aNow);
   return step;
@@ -620,9 +620,9 @@
   return false;
 }
 
-AdmissionStep DropLateCalls(AdmissionState& aState, TimePoint aNow)
+AdmissionActions DropLateCalls(AdmissionState& aState, TimePoint aNow)
 {
-  AdmissionStep step;
+  AdmissionActions step;
   for (ClassQueue& queue : aState.queues_) {
     std::size_t dropped = 0;
     for (auto& entry : queue.accounts_) {
@@ -641,7 +641,7 @@
   return step;
 }
 
-void AnnounceSlots(AdmissionState& aState, std::uint32_t aSlots)
+void ApplyAnnouncedSlots(AdmissionState& aState, std::uint32_t aSlots)
 {
   const bool isNew = aSlots > 0 && aSlots != aState.announcedSlots_;
   aState.announcedSlots_ = aSlots;
@@ -650,21 +650,24 @@
   SetLimit(aState, isNew && !aState.contradicted_ ? aSlots : aState.limit_);
 }
 
-AdmissionLevel CurrentLevel(AdmissionState& aState, TimePoint aNow)
+AdmissionLevel CurrentAdmissionLevel(AdmissionState& aState, TimePoint aNow)
 {
   UpdateUpstream(aState, aNow);
   return { static_cast<Importance>(aState.openClasses_ - 1), 1.0 };
 }
 
-void NoteLevel(UpstreamLevel& aUpstream, const AdmissionLevel& aLevel, TimePoint aNow)
+void RecordAdmissionLevel(ReceivedAdmissionLevel& aUpstream,
+                          const AdmissionLevel& aLevel,
+                          TimePoint aNow)
 {
   aUpstream.level_ = aLevel;
-  aUpstream.heard_ = aNow;
+  aUpstream.receivedAt_ = aNow;
 }
 
-bool UpstreamAdmits(UpstreamLevel& aUpstream, Importance aImportance, TimePoint aNow)
+bool ShouldSendCall(ReceivedAdmissionLevel& aUpstream, Importance aImportance, TimePoint aNow)
 {
-  const bool known = aUpstream.heard_ != TimePoint{} && aNow - aUpstream.heard_ < kLevelLifetime;
+  const bool known =
+    aUpstream.receivedAt_ != TimePoint{} && aNow - aUpstream.receivedAt_ < kAdmissionLevelLifetime;
   if (!known || aImportance == Importance::kCritical ||
       aImportance < aUpstream.level_.lowestAdmitted_) {
     return true;
--- a/peridotquay/request/Admission.h
+++ b/peridotquay/request/Admission.h
@@ -105,7 +105,7 @@
   std::uint32_t announcedSlots_ = 0;
   bool contradicted_ = false; ///< The target refused or queued below the limit at least once.
   std::uint32_t running_ = 0;
-  std::array<ClassQueue, kImportanceClasses> queues_;
+  std::array<ClassQueue, kImportanceClassCount> queues_;
   std::size_t queued_ = 0;                 ///< Invariant: sum of queues_ sizes.
   double serviceSeconds_ = 0;              ///< Moving average of service time.
   TimePoint lastSample_{};                 ///< When serviceSeconds_ got its latest value.
@@ -114,17 +114,17 @@
   TimePoint floorSince_{}; ///< When the floor was last confirmed or raised by a trial.
   TimePoint lastDecrease_{};
   LimitWindow window_;
-  std::array<double, kImportanceClasses>
+  std::array<double, kImportanceClassCount>
     offered_{}; ///< Offered calls of each class since countsSince_.
-  std::array<double, kImportanceClasses>
+  std::array<double, kImportanceClassCount>
     admitted_{}; ///< Started calls of each class since countsSince_.
-  std::array<double, kImportanceClasses>
+  std::array<double, kImportanceClassCount>
     shed_{}; ///< Refused or dropped calls of each class since countsSince_.
   TimePoint countsSince_{};
   std::uint32_t starvedIntervals_ =
     0; ///< Intervals in a row in which the lowest open class starved.
   std::size_t openClasses_ =
-    kImportanceClasses; ///< Classes that callers' hosts should send, 1 to 4.
+    kImportanceClassCount; ///< Classes that callers' hosts should send, 1 to 4.
 };
 
 /// A call that was refused before it started, with the reason. Always "not run".
@@ -137,18 +137,18 @@
 };
 
 /// What the owner of the state must do now: start these calls, refuse those.
-struct AdmissionStep
+struct AdmissionActions
 {
   std::vector<std::uint64_t> start_;
   std::vector<RefusedCall> refuse_;
-  bool operator==(const AdmissionStep&) const = default;
+  bool operator==(const AdmissionActions&) const = default;
 };
 
 /// Offers a call: it is started, queued, or refused; it may push out a less important queued call.
-AdmissionStep OfferCall(AdmissionState& aState, const WaitingCall& aCall, TimePoint aNow);
+AdmissionActions OfferCall(AdmissionState& aState, const WaitingCall& aCall, TimePoint aNow);
 
 /// How a started call ended, as far as the limit is concerned.
-enum class CallEnd : std::uint8_t
+enum class ExecutionResult : std::uint8_t
 {
   kAnswered,
   kTargetRefused, ///< The target shed it.
@@ -176,43 +176,45 @@
 };
 
 /// Frees the slot of a started call, adapts the limit and starts waiting calls.
-AdmissionStep FinishCall(AdmissionState& aState,
-                         CallEnd aEnd,
-                         const ServiceTime& aServiceTime,
-                         TimePoint aNow,
-                         const RouteId& aRoute = {});
+AdmissionActions FinishCall(AdmissionState& aState,
+                            ExecutionResult aEnd,
+                            const ServiceTime& aServiceTime,
+                            TimePoint aNow,
+                            const RouteId& aRoute = {});
 
 /// Removes a waiting call that its caller cancelled; false if it isn't waiting.
 bool CancelWaiting(AdmissionState& aState, std::uint64_t aId);
 
 /// Refuses waiting calls that can't meet their deadline any more. Call at least every 10 ms while
 /// calls wait.
-AdmissionStep DropLateCalls(AdmissionState& aState, TimePoint aNow);
+AdmissionActions DropLateCalls(AdmissionState& aState, TimePoint aNow);
 
 /// Takes the target's announced slots; 0 means not announced. The limit goes to newly announced
 /// slots unless the target has contradicted them; waiting calls start with the next step.
-void AnnounceSlots(AdmissionState& aState, std::uint32_t aSlots);
+void ApplyAnnouncedSlots(AdmissionState& aState, std::uint32_t aSlots);
 
 /// What the guard admits at present, for answers.
-AdmissionLevel CurrentLevel(AdmissionState& aState, TimePoint aNow);
+AdmissionLevel CurrentAdmissionLevel(AdmissionState& aState, TimePoint aNow);
 
 /// Admission level of one service as a caller's host remembers it from answers.
-struct UpstreamLevel
+struct ReceivedAdmissionLevel
 {
   AdmissionLevel level_;
-  TimePoint heard_{};
+  TimePoint receivedAt_{};
   std::uint64_t random_ = 0x9E3779B97F4A7C15ULL; ///< State of the generator; seeded by the owner.
 };
 
 /// A level older than this is forgotten.
-inline constexpr Duration kLevelLifetime = seconds(1);
+inline constexpr Duration kAdmissionLevelLifetime = seconds(1);
 
-/// Takes the level of an answer. The more restrictive of two levels younger than kLevelLifetime
-/// doesn't win: the later does.
-void NoteLevel(UpstreamLevel& aUpstream, const AdmissionLevel& aLevel, TimePoint aNow);
+/// Takes the level of an answer. The more restrictive of two levels younger than
+/// kAdmissionLevelLifetime doesn't win: the later does.
+void RecordAdmissionLevel(ReceivedAdmissionLevel& aUpstream,
+                          const AdmissionLevel& aLevel,
+                          TimePoint aNow);
 
 /// Whether a call of the class should be sent at all; lets 1 % of a shed class through as a probe.
 /// `critical` is always sent: a probe of a lower class could be admitted while it is refused here.
-bool UpstreamAdmits(UpstreamLevel& aUpstream, Importance aImportance, TimePoint aNow);
+bool ShouldSendCall(ReceivedAdmissionLevel& aUpstream, Importance aImportance, TimePoint aNow);
 
 } // namespace peridotquay
--- a/peridotquay/request/CallContext.cpp
+++ b/peridotquay/request/CallContext.cpp
@@ -63,7 +63,7 @@
   return aContext.deeperTime_ + open;
 }
 
-std::string NewToken()
+std::string NewContextToken()
 {
   std::array<unsigned char, 16> bytes{};
   // Without random bytes tokens could be guessed, which would give away accounts and budgets.
--- a/peridotquay/request/CallContext.h
+++ b/peridotquay/request/CallContext.h
@@ -62,6 +62,6 @@
 Duration DeeperTime(const CallContext& aContext, TimePoint aNow);
 
 /// A new token.
-std::string NewToken();
+std::string NewContextToken();
 
 } // namespace peridotquay
--- a/peridotquay/request/FailureMeter.cpp
+++ b/peridotquay/request/FailureMeter.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void NoteOutcome(FailureMeter& aMeter, bool aFailed, TimePoint aNow)
+void RecordAnswer(FailureMeter& aMeter, bool aFailed, TimePoint aNow)
 {
   const double decay = Decay(aMeter, aNow);
   aMeter.failed_ = aMeter.failed_ * decay + (aFailed ? 1 : 0);
--- a/peridotquay/request/FailureMeter.h
+++ b/peridotquay/request/FailureMeter.h
@@ -15,7 +15,7 @@
   TimePoint updated_{};
 };
 
-void NoteOutcome(FailureMeter& aMeter, bool aFailed, TimePoint aNow);
+void RecordAnswer(FailureMeter& aMeter, bool aFailed, TimePoint aNow);
 
 /// Per cent of recent answers that failed; 0 while there are too few to tell.
 std::uint32_t FailedPercent(const FailureMeter& aMeter, TimePoint aNow);
--- a/peridotquay/request/Outcome.cpp
+++ b/peridotquay/request/Outcome.cpp
@@ -33,7 +33,7 @@
 
 std::optional<Importance> ParseImportance(std::string_view aText)
 {
-  for (int i = 0; i < kImportanceClasses; ++i) {
+  for (int i = 0; i < kImportanceClassCount; ++i) {
     const auto importance = static_cast<Importance>(i);
     if (ImportanceName(importance) == aText) {
       return importance;
--- a/peridotquay/request/Outcome.h
+++ b/peridotquay/request/Outcome.h
@@ -25,7 +25,7 @@
   kLow
 };
 
-inline constexpr int kImportanceClasses = 4;
+inline constexpr int kImportanceClassCount = 4;
 
 /// Value of the header Quay-Outcome: "ran", "not-run" or "unknown".
 std::string_view OutcomeName(Outcome aOutcome);
--- a/peridotquay/request/RateShare.cpp
+++ b/peridotquay/request/RateShare.cpp
@@ -169,7 +169,7 @@
       peer->second.heard_ == TimePoint{}) {
     return false;
   }
-  const bool near = place->second.region_ == aState.place_.region_;
+  const bool near = place->second.region_ == aState.location_.region_;
   return aNow - peer->second.heard_ <=
          (near ? aState.settings_.nearRelaySilence_ : aState.settings_.farRelaySilence_);
 }
@@ -179,7 +179,7 @@
 std::optional<HostId> RegionRelay(const RateShareState& aState, TimePoint aNow)
 {
   for (const auto& [host, place] : aState.hosts_) {
-    if (host < aState.host_ && place.region_ == aState.place_.region_ &&
+    if (host < aState.host_ && place.region_ == aState.location_.region_ &&
         MayRelay(aState, host, aNow)) {
       return host;
     }
@@ -191,7 +191,7 @@
 {
   std::vector<HostId> hosts;
   for (const auto& [host, place] : aState.hosts_) {
-    if (place == aState.place_) {
+    if (place == aState.location_) {
       hosts.push_back(host);
     }
   }
@@ -225,7 +225,8 @@
 {
   Places places;
   for (const auto& [host, place] : aState.hosts_) {
-    if (place.region_ == aState.place_.region_ && place.dataCentre_ != aState.place_.dataCentre_) {
+    if (place.region_ == aState.location_.region_ &&
+        place.dataCentre_ != aState.location_.dataCentre_) {
       places[{ place.region_, place.dataCentre_ }].push_back(host);
     }
   }
@@ -237,7 +238,7 @@
 {
   Places places;
   for (const auto& [host, place] : aState.hosts_) {
-    if (place.region_ != aState.place_.region_) {
+    if (place.region_ != aState.location_.region_) {
       places[{ place.region_, {} }].push_back(host);
     }
   }
@@ -291,8 +292,8 @@
   for (auto& [host, peer] : aState.peers_) {
     const auto place = aState.hosts_.find(host);
     const bool ours =
-      place != aState.hosts_.end() &&
-      (aFar ? place->second.region_ == aState.place_.region_ : place->second == aState.place_);
+      place != aState.hosts_.end() && (aFar ? place->second.region_ == aState.location_.region_
+                                            : place->second == aState.location_);
     std::uint64_t& relayed = aFar ? peer.relayedFar_ : peer.relayedNear_;
     if (!ours || peer.silent_ || peer.sequence_ <= relayed) {
       continue;
@@ -310,7 +311,7 @@
 }
 
 /// Adds reports to the steps, as many datagrams as they need.
-void AddSteps(std::vector<ReportStep>& aSteps,
+void AddSteps(std::vector<OutgoingReports>& aSteps,
               const HostId& aSender,
               const std::vector<RateReport>& aReports,
               const std::vector<HostId>& aTo)
@@ -419,7 +420,7 @@
   NoteUnused(aState, peer, aNow);
   peer.complete_ = peer.complete_ || aReport.sequence_ % kWholeReports == 0;
   if (aReport.sequence_ <= aState.settings_.newReports_ &&
-      aState.hosts_.at(aReport.host_) == aState.place_) {
+      aState.hosts_.at(aReport.host_) == aState.location_) {
     aState.newcomers_.insert(aReport.host_);
   }
   return true;
@@ -427,7 +428,7 @@
 
 } // namespace
 
-void SetLimits(RateShareState& aState, const Config& aConfig, TimePoint aNow)
+void SetRateLimits(RateShareState& aState, const Config& aConfig, TimePoint aNow)
 {
   if (aState.started_ == TimePoint{}) {
     aState.started_ = aNow;
@@ -451,7 +452,7 @@
   }
 }
 
-void SetShareHosts(RateShareState& aState, std::map<HostId, HostPlace> aHosts, TimePoint aNow)
+void SetShareHosts(RateShareState& aState, std::map<HostId, HostLocation> aHosts, TimePoint aNow)
 {
   aHosts.erase(aState.host_);
   AdvanceAll(aState, aNow);
@@ -502,9 +503,9 @@
   return reply;
 }
 
-std::vector<ReportStep> DueReports(RateShareState& aState, TimePoint aNow)
+std::vector<OutgoingReports> CollectDueReports(RateShareState& aState, TimePoint aNow)
 {
-  std::vector<ReportStep> steps;
+  std::vector<OutgoingReports> steps;
   UpdateSilence(aState, aNow);
   if (IsReportDue(aState, aNow)) {
     aState.reported_ = aNow;
@@ -524,7 +525,7 @@
   return steps;
 }
 
-std::map<HostId, RateLevels> DueLevels(RateShareState& aState, TimePoint aNow)
+std::map<HostId, RateLevels> CollectDueLevels(RateShareState& aState, TimePoint aNow)
 {
   std::map<HostId, RateLevels> due;
   const std::set<HostId> newcomers = std::move(aState.newcomers_);
@@ -545,7 +546,7 @@
   return due;
 }
 
-void NoteLevels(RateShareState& aState, const RateLevels& aLevels, TimePoint aNow)
+void ApplyRateLevels(RateShareState& aState, const RateLevels& aLevels, TimePoint aNow)
 {
   const bool fresh = aLevels.sequence_ <= aState.settings_.newReports_ &&
                      aNow - aState.started_ < aState.settings_.settled_;
@@ -569,17 +570,17 @@
 std::optional<HostId> DataCentreRelay(const RateShareState& aState, TimePoint aNow)
 {
   for (const auto& [host, place] : aState.hosts_) {
-    if (host < aState.host_ && place == aState.place_ && MayRelay(aState, host, aNow)) {
+    if (host < aState.host_ && place == aState.location_ && MayRelay(aState, host, aNow)) {
       return host;
     }
   }
   return std::nullopt;
 }
 
-std::set<HostId> LostHosts(const RateShareState& aState,
-                           Duration aTime,
-                           TimePoint aSince,
-                           TimePoint aNow)
+std::set<HostId> FindSilentHosts(const RateShareState& aState,
+                                 Duration aTime,
+                                 TimePoint aSince,
+                                 TimePoint aNow)
 {
   std::set<HostId> lost;
   std::set<RegionId> heard;
@@ -598,9 +599,9 @@
   return lost;
 }
 
-std::vector<ReportStep> NoteReports(RateShareState& aState,
-                                    const RateReports& aReports,
-                                    TimePoint aNow)
+std::vector<OutgoingReports> ApplyRateReports(RateShareState& aState,
+                                              const RateReports& aReports,
+                                              TimePoint aNow)
 {
   std::vector<RateReport> outside;
   std::vector<RateReport> far;
@@ -608,19 +609,19 @@
     if (!NoteReport(aState, report, aNow)) {
       continue;
     }
-    const HostPlace& place = aState.hosts_.at(report.host_);
-    if (place != aState.place_) {
+    const HostLocation& place = aState.hosts_.at(report.host_);
+    if (place != aState.location_) {
       outside.push_back(report);
     }
-    if (place.region_ != aState.place_.region_) {
+    if (place.region_ != aState.location_.region_) {
       far.push_back(report);
     }
   }
   const auto sender = aState.hosts_.find(aReports.sender_);
-  const HostPlace from = sender == aState.hosts_.end() ? aState.place_ : sender->second;
+  const HostLocation from = sender == aState.hosts_.end() ? aState.location_ : sender->second;
   const auto near = DataCentreRelay(aState, aNow);
   const auto region = RegionRelay(aState, aNow);
-  std::vector<ReportStep> onward;
+  std::vector<OutgoingReports> onward;
   if (!near) {
     AddSteps(onward, aState.host_, outside, HostsOfDataCentre(aState));
   }
@@ -628,9 +629,9 @@
     AddSteps(onward, aState.host_, far, NearRelays(aState, aNow));
   }
   // A sender from elsewhere that doesn't know the relay here yet tries other hosts.
-  if (from.region_ != aState.place_.region_ && region) {
+  if (from.region_ != aState.location_.region_ && region) {
     AddSteps(onward, aState.host_, far, { *region });
-  } else if (from.region_ == aState.place_.region_ && from != aState.place_ && near) {
+  } else if (from.region_ == aState.location_.region_ && from != aState.location_ && near) {
     AddSteps(onward, aState.host_, outside, { *near });
   }
   return onward;
--- a/peridotquay/request/RateShare.h
+++ b/peridotquay/request/RateShare.h
@@ -83,11 +83,11 @@
 };
 
 /// Where a host is.
-struct HostPlace
+struct HostLocation
 {
   DataCentreId dataCentre_;
   RegionId region_;
-  bool operator==(const HostPlace&) const = default;
+  bool operator==(const HostLocation&) const = default;
 };
 
 /// One account as this host sees it.
@@ -118,10 +118,10 @@
 {
   RateShareSettings settings_;
   HostId host_;
-  HostPlace place_;
+  HostLocation location_;
   Incarnation incarnation_ = 0;
   std::map<ClientAccountId, AccountShare> accounts_;
-  std::map<HostId, HostPlace> hosts_; ///< All other hosts.
+  std::map<HostId, HostLocation> hosts_; ///< All other hosts.
   std::map<HostId, SharePeer> peers_;
   std::map<std::uint64_t, OpenGrant> grants_;
   std::uint64_t nextGrant_ = 1;
@@ -141,46 +141,46 @@
 };
 
 /// Reports and the hosts that must get them.
-struct ReportStep
+struct OutgoingReports
 {
   RateReports reports_;
   std::vector<HostId> to_;
 };
 
 /// Takes the limits of a configuration. A lowered burst takes effect at once.
-void SetLimits(RateShareState& aState, const Config& aConfig, TimePoint aNow);
+void SetRateLimits(RateShareState& aState, const Config& aConfig, TimePoint aNow);
 
 /// Takes the other hosts that may grant tokens.
-void SetShareHosts(RateShareState& aState, std::map<HostId, HostPlace> aHosts, TimePoint aNow);
+void SetShareHosts(RateShareState& aState, std::map<HostId, HostLocation> aHosts, TimePoint aNow);
 
 /// Settles the use of an earlier grant and grants tokens, or says when to come back.
 ShareGrant GrantTokens(RateShareState& aState, const ShareRequest& aRequest, TimePoint aNow);
 
 /// Reports that are due: the own one to the hosts of the data centre, and what this host relays to
 /// other data centres and regions. Call about every 100 ms.
-std::vector<ReportStep> DueReports(RateShareState& aState, TimePoint aNow);
+std::vector<OutgoingReports> CollectDueReports(RateShareState& aState, TimePoint aNow);
 
 /// Hosts of the data centre that just started, each with what this host must tell it.
-std::map<HostId, RateLevels> DueLevels(RateShareState& aState, TimePoint aNow);
+std::map<HostId, RateLevels> CollectDueLevels(RateShareState& aState, TimePoint aNow);
 
 /// Takes the levels after a start. Without them a host begins with empty bursts, as it must when
 /// all hosts started at once and nobody knows what was used.
-void NoteLevels(RateShareState& aState, const RateLevels& aLevels, TimePoint aNow);
+void ApplyRateLevels(RateShareState& aState, const RateLevels& aLevels, TimePoint aNow);
 
 /// The host that relays for this data centre; empty if this host does.
 std::optional<HostId> DataCentreRelay(const RateShareState& aState, TimePoint aNow);
 
 /// Other hosts that weren't heard for the time although others of their region were: they are down
 /// or cut off. A host that was never heard counts from aSince on.
-std::set<HostId> LostHosts(const RateShareState& aState,
-                           Duration aTime,
-                           TimePoint aSince,
-                           TimePoint aNow);
+std::set<HostId> FindSilentHosts(const RateShareState& aState,
+                                 Duration aTime,
+                                 TimePoint aSince,
+                                 TimePoint aNow);
 
 /// Takes reports of other hosts. Late and repeated ones have no effect. Returns what this host must
 /// pass on to its data centre and region.
-std::vector<ReportStep> NoteReports(RateShareState& aState,
-                                    const RateReports& aReports,
-                                    TimePoint aNow);
+std::vector<OutgoingReports> ApplyRateReports(RateShareState& aState,
+                                              const RateReports& aReports,
+                                              TimePoint aNow);
 
 } // namespace peridotquay
--- a/peridotquay/request/RetryBudget.cpp
+++ b/peridotquay/request/RetryBudget.cpp
@@ -40,15 +40,16 @@
   return true;
 }
 
-void NoteFirstTry(RetryRatio& aRatio, const RetryRatioSettings& aSettings)
+void RecordFirstAttempt(RetryRatio& aRatio, const RetryRatioSettings& aSettings)
 {
-  aRatio.tokens_ = std::min(aSettings.cap_, aRatio.tokens_ + std::max(0.0, aSettings.perFirstTry_));
+  aRatio.tokens_ =
+    std::min(aSettings.cap_, aRatio.tokens_ + std::max(0.0, aSettings.tokensPerFirstAttempt_));
 }
 
-bool TakeRetryToken(RetryRatio& aRatio,
-                    const RetryRatioSettings& aSettings,
-                    TimePoint aNow,
-                    bool aMayHaveRun)
+bool ConsumeRetryToken(RetryRatio& aRatio,
+                       const RetryRatioSettings& aSettings,
+                       TimePoint aNow,
+                       bool aMayHaveRun)
 {
   const double cost = aMayHaveRun ? aSettings.mayHaveRunCost_ : 1;
   if (aRatio.tokens_ >= cost - kTokenSlack) {
--- a/peridotquay/request/RetryBudget.h
+++ b/peridotquay/request/RetryBudget.h
@@ -29,8 +29,8 @@
 /// Limits of a token ratio.
 struct RetryRatioSettings
 {
-  double perFirstTry_ = 0.1; ///< Tokens earned by a first try.
-  double cap_ = 10;          ///< Most saved tokens, so that a quiet hour doesn't pay for a storm.
+  double tokensPerFirstAttempt_ = 0.1; ///< Tokens earned by a first try.
+  double cap_ = 10; ///< Most saved tokens, so that a quiet hour doesn't pay for a storm.
   /// With no tokens left, one retry is allowed after this time.
   Duration leastInterval_ = seconds(1);
   double mayHaveRunCost_ = 1; ///< Tokens of a retry of a call that may have run.
@@ -47,14 +47,14 @@
 };
 
 /// Counts a first try.
-void NoteFirstTry(RetryRatio& aRatio, const RetryRatioSettings& aSettings);
+void RecordFirstAttempt(RetryRatio& aRatio, const RetryRatioSettings& aSettings);
 
 /// Takes a retry's tokens; false if the service has spent its ratio.
 /// A retry of a call that may have run costs mayHaveRunCost_, because its own calls are repeated
 /// too.
-bool TakeRetryToken(RetryRatio& aRatio,
-                    const RetryRatioSettings& aSettings,
-                    TimePoint aNow,
-                    bool aMayHaveRun = false);
+bool ConsumeRetryToken(RetryRatio& aRatio,
+                       const RetryRatioSettings& aSettings,
+                       TimePoint aNow,
+                       bool aMayHaveRun = false);
 
 } // namespace peridotquay
--- a/peridotquay/request/RouteChoice.cpp
+++ b/peridotquay/request/RouteChoice.cpp
@@ -1,7 +1,7 @@
 // Power of two choices over the nearest usable targets.
 #include "peridotquay/request/RouteChoice.h"
 
-#include "peridotquay/request/RandomStep.h"
+#include "peridotquay/request/Random.h"
 
 #include <algorithm>
 #include <array>
@@ -402,19 +402,19 @@
   return std::nullopt;
 }
 
-void NoteSent(RoutingState& aState, const Target& aTarget)
+void RecordCallSent(RoutingState& aState, const Target& aTarget)
 {
   if (TargetStats* stats = StatsFor(aState, aTarget)) {
     ++stats->inFlight_;
   }
 }
 
-void NoteEnded(RoutingState& aState,
-               const Target& aTarget,
-               CallResult aResult,
-               Duration aLatency,
-               double aLoad,
-               TimePoint aNow)
+void RecordCallEnded(RoutingState& aState,
+                     const Target& aTarget,
+                     AttemptResult aResult,
+                     Duration aLatency,
+                     double aLoad,
+                     TimePoint aNow)
 {
   TargetStats* stats = StatsFor(aState, aTarget);
   if (stats == nullptr) {
@@ -426,33 +426,36 @@
     stats->reported_ = aNow;
   }
   switch (aResult) {
-    case CallResult::kAnswered:
+    case AttemptResult::kAnswered:
       NoteLatency(*stats, aLatency, aNow);
       stats->failuresInRow_ = 0;
       stats->ejectionsInRow_ = 0;
       stats->refusedUntil_ = {};
       break;
-    case CallResult::kRefused:
+    case AttemptResult::kRefused:
       // A refusal shows that the target is alive, and its short latency says nothing of its speed.
       stats->failuresInRow_ = 0;
       stats->refusedUntil_ = aNow + kRefusalPause;
       break;
-    case CallResult::kTimedOut:
+    case AttemptResult::kTimedOut:
       NoteLatency(*stats, aLatency, aNow);
       NoteFailure(aState.settings_, *stats, 1, aNow);
       break;
-    case CallResult::kFailed:
+    case AttemptResult::kFailed:
       NoteFailure(aState.settings_, *stats, 1, aNow);
       break;
-    case CallResult::kUnreachable:
+    case AttemptResult::kUnreachable:
       NoteFailure(aState.settings_, *stats, aState.settings_.failuresToEject_, aNow);
       break;
-    case CallResult::kCancelled:
+    case AttemptResult::kCancelled:
       break;
   }
 }
 
-void NoteFailedPart(RoutingState& aState, const Target& aTarget, double aPart, TimePoint aNow)
+void RecordFailureFraction(RoutingState& aState,
+                           const Target& aTarget,
+                           double aPart,
+                           TimePoint aNow)
 {
   if (TargetStats* stats = StatsFor(aState, aTarget)) {
     stats->failedPart_ = std::clamp(aPart, 0.0, 1.0);
@@ -460,7 +463,7 @@
   }
 }
 
-void ForgetAbsent(RoutingState& aState, const TargetView& aView)
+void RemoveAbsentHosts(RoutingState& aState, const TargetView& aView)
 {
   std::erase_if(aState.stats_, [&aView](const auto& aEntry) {
     if (aEntry.second.inFlight_ > 0) {
--- a/peridotquay/request/RouteChoice.h
+++ b/peridotquay/request/RouteChoice.h
@@ -70,7 +70,7 @@
                                    Duration aObjective = {});
 
 /// How a call to a target ended, as seen from here.
-enum class CallResult : std::uint8_t
+enum class AttemptResult : std::uint8_t
 {
   kAnswered,
   kRefused,     ///< The guard or the target refused: busy, not broken.
@@ -81,20 +81,23 @@
 };
 
 /// Counts a call as sent.
-void NoteSent(RoutingState& aState, const Target& aTarget);
+void RecordCallSent(RoutingState& aState, const Target& aTarget);
 
 /// Counts a call as ended. aLoad is the guard's reported load, negative if none was reported.
-void NoteEnded(RoutingState& aState,
-               const Target& aTarget,
-               CallResult aResult,
-               Duration aLatency,
-               double aLoad,
-               TimePoint aNow);
+void RecordCallEnded(RoutingState& aState,
+                     const Target& aTarget,
+                     AttemptResult aResult,
+                     Duration aLatency,
+                     double aLoad,
+                     TimePoint aNow);
 
 /// Takes the part of a target's recent answers that were failures, as its guard reported it.
-void NoteFailedPart(RoutingState& aState, const Target& aTarget, double aPart, TimePoint aNow);
+void RecordFailureFraction(RoutingState& aState,
+                           const Target& aTarget,
+                           double aPart,
+                           TimePoint aNow);
 
 /// Forgets stats of hosts that aren't in the view and have no call in flight.
-void ForgetAbsent(RoutingState& aState, const TargetView& aView);
+void RemoveAbsentHosts(RoutingState& aState, const TargetView& aView);
 
 } // namespace peridotquay
--- a/peridotquay/request/TokenCache.cpp
+++ b/peridotquay/request/TokenCache.cpp
@@ -110,15 +110,15 @@
 
 } // namespace
 
-TakeStep TakeToken(TokenCache& aCache,
-                   const ClientAccountId& aAccount,
-                   std::uint32_t aWaiting,
-                   TimePoint aNow)
+AcquireResult AcquireToken(TokenCache& aCache,
+                           const ClientAccountId& aAccount,
+                           std::uint32_t aWaiting,
+                           TimePoint aNow)
 {
   auto entry = aCache.accounts_.find(aAccount);
   if (entry == aCache.accounts_.end()) {
     if (!MakeRoom(aCache, aNow)) {
-      return { TakeResult::kRefused, std::nullopt, MillisecondsUntil(aNow + kAskTimeout, aNow) };
+      return { AcquireStatus::kRefused, std::nullopt, MillisecondsUntil(aNow + kAskTimeout, aNow) };
     }
     entry = aCache.accounts_.try_emplace(aAccount).first;
   }
@@ -127,10 +127,10 @@
   const bool asking = tokens.askedNonce_ != 0 && aNow - tokens.asked_ < kAskTimeout;
   const bool refused = aNow < tokens.refusedUntil_;
 
-  TakeStep step;
+  AcquireResult step;
   double wanted = 0;
   if (tokens.grant_ != 0) {
-    step.result_ = TakeResult::kTaken;
+    step.status_ = AcquireStatus::kAcquired;
     tokens.usePerSecond_ = CurrentUse(tokens, aNow) + 1 / kUseWindowSeconds;
     tokens.lastTake_ = aNow;
     tokens.tokens_ -= 1;
@@ -143,16 +143,16 @@
     }
     RollGrants(tokens, aNow);
   } else if (refused) {
-    step.result_ = TakeResult::kRefused;
+    step.status_ = AcquireStatus::kRefused;
     step.retryAfterMs_ = MillisecondsUntil(tokens.refusedUntil_, aNow);
   } else {
-    step.result_ = TakeResult::kWait;
+    step.status_ = AcquireStatus::kPending;
     wanted = std::max(static_cast<double>(aWaiting) + 1,
                       std::ceil(CurrentUse(tokens, aNow) * kHoldSeconds));
   }
   if (wanted >= 1 && !asking && !refused) {
-    step.ask_ = MakeRequest(aCache, aAccount, tokens, wanted);
-    tokens.askedNonce_ = step.ask_->nonce_;
+    step.shareRequest_ = MakeRequest(aCache, aAccount, tokens, wanted);
+    tokens.askedNonce_ = step.shareRequest_->nonce_;
     tokens.asked_ = aNow;
   }
   return step;
--- a/peridotquay/request/TokenCache.h
+++ b/peridotquay/request/TokenCache.h
@@ -17,7 +17,7 @@
 inline constexpr std::size_t kMaxCachedAccounts = 256;
 
 /// Longest time that a call waits for tokens.
-inline constexpr Duration kTokenWait = milliseconds(20);
+inline constexpr Duration kMaxTokenWait = milliseconds(20);
 
 /// Tokens of one grant.
 struct GrantedTokens
@@ -58,18 +58,18 @@
   std::uint64_t nextNonce_ = 1;
 };
 
-enum class TakeResult : std::uint8_t
+enum class AcquireStatus : std::uint8_t
 {
-  kTaken,
-  kWait,   ///< A request is under way: try again when a grant arrives, at most kTokenWait.
-  kRefused ///< Over rate; see refusedUntil_ for the hint.
+  kAcquired,
+  kPending, ///< A request is under way: try again when a grant arrives, at most kMaxTokenWait.
+  kRefused  ///< Over rate; see refusedUntil_ for the hint.
 };
 
 /// Result of a take with the request to send to the share leader, if any.
-struct TakeStep
+struct AcquireResult
 {
-  TakeResult result_ = TakeResult::kRefused;
-  std::optional<ShareRequest> ask_;
+  AcquireStatus status_ = AcquireStatus::kRefused;
+  std::optional<ShareRequest> shareRequest_;
   std::uint32_t retryAfterMs_ = 0;
 };
 
@@ -77,10 +77,10 @@
 /// aWaiting counts the other calls of the account that wait for tokens. The use of a grant is
 /// reported with the first request after the grant is spent, so no token is used after it was
 /// reported unused.
-TakeStep TakeToken(TokenCache& aCache,
-                   const ClientAccountId& aAccount,
-                   std::uint32_t aWaiting,
-                   TimePoint aNow);
+AcquireResult AcquireToken(TokenCache& aCache,
+                           const ClientAccountId& aAccount,
+                           std::uint32_t aWaiting,
+                           TimePoint aNow);
 
 /// Adds a grant; aAsked is when it was asked for, by this node's clock. Late or unknown grants give
 /// nothing.
--- a/peridotquay/version/Config.cpp
+++ b/peridotquay/version/Config.cpp
@@ -127,7 +127,7 @@
   }
   const std::uint32_t ranks = (accounts + 1) * (routes + 1);
   const std::uint32_t rank = aAccount.priority_ * (routes + 1) + aRoute.priority_;
-  constexpr std::uint32_t kClasses = kImportanceClasses - 1;
+  constexpr std::uint32_t kClasses = kImportanceClassCount - 1;
   return static_cast<Importance>(1 + std::min(kClasses - 1, rank * kClasses / ranks));
 }
 
--- a/samples/minimal.cpp
+++ b/samples/minimal.cpp
@@ -57,12 +57,13 @@
 
   // Limit: the first call has no tokens and asks the share leader; here the grant is made by hand.
   TokenCache cache;
-  TakeStep take = TakeToken(cache, account->id_, 0, now);
-  if (take.ask_) {
-    AddGrant(cache, { take.ask_->nonce_, account->id_, 1, 5, 1000, 0 }, now);
-    take = TakeToken(cache, account->id_, 0, now);
+  AcquireResult take = AcquireToken(cache, account->id_, 0, now);
+  if (take.shareRequest_) {
+    AddGrant(cache, { take.shareRequest_->nonce_, account->id_, 1, 5, 1000, 0 }, now);
+    take = AcquireToken(cache, account->id_, 0, now);
   }
-  std::cout << "rate limit: " << (take.result_ == TakeResult::kTaken ? "taken" : "refused") << "\n";
+  std::cout << "rate limit: " << (take.status_ == AcquireStatus::kAcquired ? "taken" : "refused")
+            << "\n";
 
   // Route: power of two choices over the targets in the view.
   TargetView view;
@@ -75,7 +76,7 @@
 
   // Admit: the guard of the chosen target starts, queues or refuses the call.
   AdmissionState admission;
-  const AdmissionStep step = OfferCall(
+  const AdmissionActions step = OfferCall(
     admission, { 1, route->importance_, account->id_, 50, now, now + route->deadline_ }, now);
   std::cout << "admission: " << (step.start_.empty() ? "not started" : "started") << "\n";
   return 0;
--- a/tests/request/AdmissionTest.cpp
+++ b/tests/request/AdmissionTest.cpp
@@ -34,7 +34,7 @@
   std::map<std::uint64_t, WaitingCall> waiting_;
   std::set<std::uint64_t> running_;
 
-  void Apply(const AdmissionState& aState, const AdmissionStep& aStep, TimePoint aNow)
+  void Apply(const AdmissionState& aState, const AdmissionActions& aStep, TimePoint aNow)
   {
     for (const std::uint64_t id : aStep.start_) {
       const auto call = waiting_.find(id);
@@ -158,8 +158,8 @@
       while (!ends_.empty() && ends_.begin()->first <= now_) {
         const Running call = ends_.begin()->second;
         ends_.erase(ends_.begin());
-        answered_ += call.end_ == CallEnd::kAnswered ? 1 : 0;
-        refused_ += call.end_ == CallEnd::kTargetRefused ? 1 : 0;
+        answered_ += call.end_ == ExecutionResult::kAnswered ? 1 : 0;
+        refused_ += call.end_ == ExecutionResult::kTargetRefused ? 1 : 0;
         StartAll(FinishCall(state_, call.end_, now_ - call.start_, now_), aLatency);
       }
       while (state_.queued_ < aQueued || (aQueued == 0 && state_.running_ == 0)) {
@@ -176,10 +176,10 @@
   struct Running
   {
     TimePoint start_{};
-    CallEnd end_ = CallEnd::kAnswered;
+    ExecutionResult end_ = ExecutionResult::kAnswered;
   };
 
-  void StartAll(const AdmissionStep& aStep, const Latency& aLatency)
+  void StartAll(const AdmissionActions& aStep, const Latency& aLatency)
   {
     for (std::size_t i = 0; i < aStep.start_.size(); ++i) {
       const double latency = aLatency(static_cast<std::uint32_t>(ends_.size()) + 1);
@@ -187,8 +187,10 @@
       noise_ = noise_ * 1664525U + 1013904223U;
       const double factor = 0.8 + 0.4 * (noise_ >> 8U) / 16777216.0;
       const auto micros = static_cast<std::int64_t>(std::abs(latency) * factor * 1000);
-      ends_.emplace(now_ + microseconds(micros),
-                    Running{ now_, latency < 0 ? CallEnd::kTargetRefused : CallEnd::kAnswered });
+      ends_.emplace(
+        now_ + microseconds(micros),
+        Running{ now_,
+                 latency < 0 ? ExecutionResult::kTargetRefused : ExecutionResult::kAnswered });
     }
   }
 
@@ -228,11 +230,11 @@
         judge.Apply(state, OfferCall(state, call, now), now);
       } else if (action < 16 && !judge.running_.empty()) {
         judge.running_.erase(judge.running_.begin());
-        const auto end = *rc::gen::element(CallEnd::kAnswered,
-                                           CallEnd::kAnswered,
-                                           CallEnd::kTargetRefused,
-                                           CallEnd::kTimedOut,
-                                           CallEnd::kCancelled);
+        const auto end = *rc::gen::element(ExecutionResult::kAnswered,
+                                           ExecutionResult::kAnswered,
+                                           ExecutionResult::kTargetRefused,
+                                           ExecutionResult::kTimedOut,
+                                           ExecutionResult::kCancelled);
         const auto service = milliseconds(*rc::gen::inRange(0, 100));
         judge.Apply(state, FinishCall(state, end, service, now), now);
       } else if (action < 18) {
@@ -247,9 +249,9 @@
         judge.waiting_.erase(id);
         judge.Apply(state, {}, now);
       } else {
-        AnnounceSlots(state, *rc::gen::element(0U, 1U, 3U, 10U));
+        ApplyAnnouncedSlots(state, *rc::gen::element(0U, 1U, 3U, 10U));
         judge.Apply(state, DropLateCalls(state, now), now);
-        const AdmissionLevel level = CurrentLevel(state, now);
+        const AdmissionLevel level = CurrentAdmissionLevel(state, now);
         RC_ASSERT((level.lowestAdmitted_ != Importance::kCritical || level.admittedFraction_ == 1));
       }
     }
@@ -277,7 +279,7 @@
     std::map<std::uint64_t, int> owner;
     std::uint64_t nextId = 1;
     TimePoint now = kStart;
-    const auto count = [&](const AdmissionStep& aStep) {
+    const auto count = [&](const AdmissionActions& aStep) {
       for (const std::uint64_t id : aStep.start_) {
         served[owner[id]] += 1;
       }
@@ -296,7 +298,7 @@
         }
       }
       for (std::uint32_t running = state.running_; running > 0; --running) {
-        count(FinishCall(state, CallEnd::kAnswered, milliseconds(10), now));
+        count(FinishCall(state, ExecutionResult::kAnswered, milliseconds(10), now));
       }
     }
     const auto fair = FairShares(demands, weights, kLimit);
@@ -316,7 +318,7 @@
     OfferCall(state, MakeCall(id, "steady", kStart), kStart);
   }
   for (int i = 0; i < 30; ++i) {
-    FinishCall(state, CallEnd::kAnswered, milliseconds(1), kStart);
+    FinishCall(state, ExecutionResult::kAnswered, milliseconds(1), kStart);
   }
   for (std::uint64_t id = 100; id < 120; ++id) {
     OfferCall(state, MakeCall(id, "back", kStart), kStart);
@@ -324,7 +326,9 @@
   int back = 0;
   for (int i = 0; i < 20; ++i) {
     back +=
-      FinishCall(state, CallEnd::kAnswered, milliseconds(1), kStart).start_.at(0) >= 100 ? 1 : 0;
+      FinishCall(state, ExecutionResult::kAnswered, milliseconds(1), kStart).start_.at(0) >= 100
+        ? 1
+        : 0;
   }
   CHECK(back >= 9);
   CHECK(back <= 11);
@@ -340,7 +344,8 @@
   OfferCall(state, MakeCall(1000, "small", kStart, Importance::kNormal, 1), kStart);
   int position = 0;
   for (; position < 10; ++position) {
-    if (FinishCall(state, CallEnd::kAnswered, milliseconds(1), kStart).start_.at(0) == 1000) {
+    if (FinishCall(state, ExecutionResult::kAnswered, milliseconds(1), kStart).start_.at(0) ==
+        1000) {
       break;
     }
   }
@@ -357,7 +362,7 @@
   OfferCall(state, MakeCall(4, "b", kStart), kStart);
   OfferCall(state, MakeCall(5, "c", kStart, Importance::kLow), kStart);
   const auto victim = [&](const WaitingCall& aCall) {
-    const AdmissionStep step = OfferCall(state, aCall, kStart);
+    const AdmissionActions step = OfferCall(state, aCall, kStart);
     CHECK(step.start_.empty());
     REQUIRE(step.refuse_.size() == 1);
     CHECK(step.refuse_[0].code_ == ErrorCode::kShed);
@@ -368,7 +373,7 @@
   CHECK(victim(MakeCall(8, "c", kStart)) == 3);
   CHECK(victim(MakeCall(9, "b", kStart)) == 9);
   CHECK(victim(MakeCall(10, "b", kStart, Importance::kCritical)) == 2);
-  CHECK(FinishCall(state, CallEnd::kAnswered, milliseconds(1), kStart).start_ ==
+  CHECK(FinishCall(state, ExecutionResult::kAnswered, milliseconds(1), kStart).start_ ==
         std::vector<std::uint64_t>{ 7 });
 }
 
@@ -378,24 +383,24 @@
 {
   AdmissionState state = FixedLimit(1, 100);
   OfferCall(state, MakeCall(1, "a", kStart), kStart);
-  FinishCall(state, CallEnd::kAnswered, milliseconds(100), kStart);
+  FinishCall(state, ExecutionResult::kAnswered, milliseconds(100), kStart);
   OfferCall(state, MakeCall(2, "a", kStart), kStart);
   OfferCall(state, MakeCall(3, "a", kStart, Importance::kNormal, 1, milliseconds(200)), kStart);
   OfferCall(state, MakeCall(4, "a", kStart, Importance::kCritical, 1, milliseconds(200)), kStart);
-  const AdmissionStep tooShort =
+  const AdmissionActions tooShort =
     OfferCall(state, MakeCall(5, "a", kStart, Importance::kNormal, 1, milliseconds(90)), kStart);
   REQUIRE(tooShort.refuse_.size() == 1);
   CHECK(tooShort.refuse_[0].code_ == ErrorCode::kDeadlineExceeded);
   CHECK(DropLateCalls(state, kStart + milliseconds(99)).refuse_.empty());
   // Half of its time has passed; a critical call waits on while its deadline can be met.
-  const AdmissionStep half = DropLateCalls(state, kStart + milliseconds(101));
+  const AdmissionActions half = DropLateCalls(state, kStart + milliseconds(101));
   REQUIRE(half.refuse_.size() == 1);
   CHECK(half.refuse_[0].id_ == 3);
-  const AdmissionStep last = DropLateCalls(state, kStart + milliseconds(200));
+  const AdmissionActions last = DropLateCalls(state, kStart + milliseconds(200));
   REQUIRE(last.refuse_.size() == 1);
   CHECK(last.refuse_[0].id_ == 4);
 
-  FinishCall(state, CallEnd::kAnswered, seconds(60), kStart + seconds(1));
+  FinishCall(state, ExecutionResult::kAnswered, seconds(60), kStart + seconds(1));
   const TimePoint later = kStart + seconds(1);
   CHECK(OfferCall(state, MakeCall(6, "a", later, Importance::kNormal, 1, milliseconds(50)), later)
           .start_.size() == 1);
@@ -414,7 +419,7 @@
 {
   for (const std::uint32_t slots : { 20U, 50U, 250U }) {
     SaturatedTarget target;
-    AnnounceSlots(target.state_, slots);
+    ApplyAnnouncedSlots(target.state_, slots);
     target.state_.limit_ = 16;
     target.Run(seconds(3), 50, [](std::uint32_t) { return 10.0; });
     CHECK(target.state_.limit_ == slots);
@@ -426,18 +431,18 @@
 TEST_CASE("announced slots are believed until the target refuses", "[admission]")
 {
   AdmissionState state;
-  AnnounceSlots(state, 250);
+  ApplyAnnouncedSlots(state, 250);
   for (std::uint64_t id = 1; id <= 250; ++id) {
     CHECK(OfferCall(state, MakeCall(id, "a", kStart), kStart).start_.size() == 1);
   }
   CHECK(OfferCall(state, MakeCall(251, "a", kStart), kStart).start_.empty());
   for (int i = 0; i < 250; ++i) {
-    FinishCall(state, CallEnd::kTargetRefused, milliseconds(1), kStart + milliseconds(i));
+    FinishCall(state, ExecutionResult::kTargetRefused, milliseconds(1), kStart + milliseconds(i));
   }
   const double limit = state.limit_;
   CHECK(limit < 200);
-  AnnounceSlots(state, 250);
-  AnnounceSlots(state, 260);
+  ApplyAnnouncedSlots(state, 250);
+  ApplyAnnouncedSlots(state, 260);
   CHECK(state.limit_ == limit);
 }
 
@@ -446,7 +451,7 @@
 TEST_CASE("a latency spike doesn't collapse the limit", "[admission]")
 {
   SaturatedTarget target;
-  AnnounceSlots(target.state_, 50);
+  ApplyAnnouncedSlots(target.state_, 50);
   const auto fast = [](std::uint32_t) { return 20.0; };
   target.Run(seconds(3), 100, fast);
   target.Run(seconds(5), 100, [](std::uint32_t) { return 100.0; });
@@ -461,7 +466,7 @@
 TEST_CASE("the floor follows a lasting change", "[admission]")
 {
   SaturatedTarget target;
-  AnnounceSlots(target.state_, 50);
+  ApplyAnnouncedSlots(target.state_, 50);
   target.Run(seconds(3), 100, [](std::uint32_t) { return 10.0; });
   for (const double latency : { 30.0, 17.0, 170.0, 5.0 }) {
     target.Run(seconds(30), 100, [latency](std::uint32_t) { return latency; });
@@ -487,7 +492,7 @@
 TEST_CASE("the limit follows a target that refuses", "[admission]")
 {
   SaturatedTarget target;
-  AnnounceSlots(target.state_, 50);
+  ApplyAnnouncedSlots(target.state_, 50);
   target.Run(seconds(30), 100, [](std::uint32_t aRunning) { return aRunning > 20 ? -1.0 : 10.0; });
   CHECK(target.refused_ <= 0.01 * target.answered_);
   CHECK(target.answered_ >= 0.95 * 2000 * 30);
@@ -500,7 +505,7 @@
 TEST_CASE("refusals at random don't collapse the limit", "[admission]")
 {
   SaturatedTarget target;
-  AnnounceSlots(target.state_, 50);
+  ApplyAnnouncedSlots(target.state_, 50);
   std::uint32_t random = 1;
   target.Run(seconds(30), 100, [&](std::uint32_t) {
     random = random * 1664525U + 1013904223U;
@@ -512,23 +517,23 @@
 // Guards against early refusal of critical calls, of calls without overload, and without probes.
 TEST_CASE("callers' hosts refuse the shed class and probe", "[admission]")
 {
-  UpstreamLevel upstream;
+  ReceivedAdmissionLevel upstream;
   const auto admitted = [&](Importance aImportance, TimePoint aNow) {
     int count = 0;
     for (int i = 0; i < 10000; ++i) {
-      count += UpstreamAdmits(upstream, aImportance, aNow) ? 1 : 0;
+      count += ShouldSendCall(upstream, aImportance, aNow) ? 1 : 0;
     }
     return count;
   };
   CHECK(admitted(Importance::kLow, kStart) == 10000);
-  NoteLevel(upstream, { Importance::kNormal, 0.4 }, kStart);
+  RecordAdmissionLevel(upstream, { Importance::kNormal, 0.4 }, kStart);
   CHECK(admitted(Importance::kCritical, kStart) == 10000);
   CHECK(admitted(Importance::kHigh, kStart) == 10000);
   CHECK(admitted(Importance::kNormal, kStart) == Approx(4000).margin(300));
   CHECK(admitted(Importance::kLow, kStart) == Approx(100).margin(50));
-  NoteLevel(upstream, { Importance::kCritical, 0.5 }, kStart);
+  RecordAdmissionLevel(upstream, { Importance::kCritical, 0.5 }, kStart);
   CHECK(admitted(Importance::kCritical, kStart) == 10000);
-  CHECK(admitted(Importance::kLow, kStart + kLevelLifetime) == 10000);
+  CHECK(admitted(Importance::kLow, kStart + kAdmissionLevelLifetime) == 10000);
 }
 
 // Guards against a level that oscillates between all and nothing, cuts a class that is served in
@@ -536,18 +541,18 @@
 TEST_CASE("the announced level closes classes that are wholly shed", "[admission]")
 {
   AdmissionState state = FixedLimit(10, 20);
-  UpstreamLevel upstream;
+  ReceivedAdmissionLevel upstream;
   std::multimap<TimePoint, TimePoint> ends;
   std::uint64_t id = 0;
-  std::array<int, kImportanceClasses> offered{};
-  std::array<int, kImportanceClasses> sent{};
+  std::array<int, kImportanceClassCount> offered{};
+  std::array<int, kImportanceClassCount> sent{};
   int answered = 0;
   TimePoint now = kStart;
   // Capacity is 1,000 calls a second; a tenth of the calls is critical, the rest normal and low.
   const auto run = [&](Duration aTime, int aPerMs) {
     offered = sent = {};
     answered = 0;
-    const auto apply = [&](const AdmissionStep& aStep) {
+    const auto apply = [&](const AdmissionActions& aStep) {
       for (std::size_t i = 0; i < aStep.start_.size(); ++i) {
         ends.emplace(now + milliseconds(10), now);
       }
@@ -556,8 +561,8 @@
       while (!ends.empty() && ends.begin()->first <= now) {
         ends.erase(ends.begin());
         ++answered;
-        apply(FinishCall(state, CallEnd::kAnswered, milliseconds(10), now));
-        NoteLevel(upstream, CurrentLevel(state, now), now);
+        apply(FinishCall(state, ExecutionResult::kAnswered, milliseconds(10), now));
+        RecordAdmissionLevel(upstream, CurrentAdmissionLevel(state, now), now);
       }
       for (int i = 0; i < aPerMs; ++i) {
         const Importance importance = ++id % 10 == 0 ? Importance::kCritical
@@ -565,7 +570,7 @@
                                                      : Importance::kLow;
         const auto index = static_cast<std::size_t>(importance);
         ++offered[index];
-        if (UpstreamAdmits(upstream, importance, now)) {
+        if (ShouldSendCall(upstream, importance, now)) {
           ++sent[index];
           apply(OfferCall(state, MakeCall(id, "a", now, importance), now));
         }
@@ -590,13 +595,14 @@
 {
   AdmissionState state;
   TimePoint now{ seconds(100) };
-  AnnounceSlots(state, 16);
+  ApplyAnnouncedSlots(state, 16);
   for (std::uint64_t id = 1; id <= 2000; ++id) {
     OfferCall(state, { id, Importance::kNormal, {}, 1, now, now + seconds(10) }, now);
     // From the middle on the deeper calls take ten times longer.
     const Duration deeper = milliseconds(id < 1000 ? 100 : 1000);
     now += milliseconds(5);
-    FinishCall(state, CallEnd::kAnswered, { milliseconds(40) + deeper, milliseconds(40) }, now);
+    FinishCall(
+      state, ExecutionResult::kAnswered, { milliseconds(40) + deeper, milliseconds(40) }, now);
   }
   CHECK(state.limit_ == Approx(16));
 }
@@ -619,8 +625,11 @@
   for (std::uint64_t i = 1; i <= 20; ++i) {
     const bool slow = i % 2 == 0;
     OfferCall(state, call(i, slow ? "slow" : "quick", seconds(5)), now);
-    FinishCall(
-      state, CallEnd::kAnswered, milliseconds(slow ? 900 : 20), now, { slow ? "slow" : "quick" });
+    FinishCall(state,
+               ExecutionResult::kAnswered,
+               milliseconds(slow ? 900 : 20),
+               now,
+               { slow ? "slow" : "quick" });
   }
   OfferCall(state, call(30, "slow", seconds(5)), now);
   CHECK(OfferCall(state, call(31, "quick", milliseconds(100)), now).refuse_.empty());
--- a/tests/request/CallContextTest.cpp
+++ b/tests/request/CallContextTest.cpp
@@ -12,7 +12,7 @@
 {
   std::set<std::string> tokens;
   for (int i = 0; i < 1000; ++i) {
-    const std::string token = NewToken();
+    const std::string token = NewContextToken();
     CHECK(token.size() == 32);
     CHECK(token.find_first_not_of("0123456789abcdef") == std::string::npos);
     tokens.insert(token);
@@ -25,7 +25,7 @@
 TEST_CASE("a context lives as long as its call", "[context]")
 {
   ContextTable table;
-  const std::string token = NewToken();
+  const std::string token = NewContextToken();
   CallContext context;
   context.budget_ = { 4, 0, 0 };
   REQUIRE(OpenContext(table, token, context));
--- a/tests/request/FailureMeterTest.cpp
+++ b/tests/request/FailureMeterTest.cpp
@@ -16,10 +16,10 @@
 TEST_CASE("the failed part needs several answers", "[failures]")
 {
   FailureMeter meter;
-  NoteOutcome(meter, true, kStart);
+  RecordAnswer(meter, true, kStart);
   CHECK(FailedPercent(meter, kStart) == 0);
   for (int i = 0; i < 9; ++i) {
-    NoteOutcome(meter, i % 2 == 0, kStart);
+    RecordAnswer(meter, i % 2 == 0, kStart);
   }
   CHECK(FailedPercent(meter, kStart) == 60);
 }
@@ -29,12 +29,12 @@
 {
   FailureMeter meter;
   for (int i = 0; i < 50; ++i) {
-    NoteOutcome(meter, true, kStart);
+    RecordAnswer(meter, true, kStart);
   }
   TimePoint now = kStart;
   for (int i = 0; i < 40; ++i) {
     now += milliseconds(100);
-    NoteOutcome(meter, false, now);
+    RecordAnswer(meter, false, now);
   }
   CHECK(FailedPercent(meter, now) < 20);
   CHECK(FailedPercent(meter, now + seconds(10)) == 0);
--- a/tests/request/OutcomeTest.cpp
+++ b/tests/request/OutcomeTest.cpp
@@ -8,7 +8,7 @@
 // Guards against an importance name that can be written but not read back.
 TEST_CASE("importance names parse back", "[outcome]")
 {
-  for (int i = 0; i < kImportanceClasses; ++i) {
+  for (int i = 0; i < kImportanceClassCount; ++i) {
     const auto importance = static_cast<Importance>(i);
     CHECK(ParseImportance(ImportanceName(importance)) == importance);
   }
--- a/tests/request/RateShareTest.cpp
+++ b/tests/request/RateShareTest.cpp
@@ -58,23 +58,23 @@
     state.incarnation_ = aIncarnation;
     Config config;
     config.clientAccounts_[kAccount] = { kAccount, rate_, burst_ };
-    SetLimits(state, config, now_);
-    std::map<HostId, HostPlace> all;
+    SetRateLimits(state, config, now_);
+    std::map<HostId, HostLocation> all;
     for (std::size_t i = 0; i < cut_.size(); ++i) {
       all[{ "h" + std::to_string(i) }] = PlaceOf(i);
     }
-    state.place_ = PlaceOf(aHost);
+    state.location_ = PlaceOf(aHost);
     SetShareHosts(state, all, now_);
     return state;
   }
 
   /// Two regions of two data centres each.
-  static HostPlace PlaceOf(std::size_t aHost)
+  static HostLocation PlaceOf(std::size_t aHost)
   {
     return { { "d" + std::to_string(aHost % 4) }, { aHost % 2 == 0 ? "east" : "west" } };
   }
 
-  void Send(std::size_t aFrom, const ReportStep& aStep)
+  void Send(std::size_t aFrom, const OutgoingReports& aStep)
   {
     for (const HostId& host : aStep.to_) {
       const std::size_t to = std::stoul(host.value_.substr(1));
@@ -113,19 +113,19 @@
       return true;
     });
     for (const Late& late : due) {
-      for (const ReportStep& step : NoteReports(hosts_[late.to_], late.reports_, now_)) {
+      for (const OutgoingReports& step : ApplyRateReports(hosts_[late.to_], late.reports_, now_)) {
         Send(late.to_, step);
       }
-      for (const auto& [host, levels] : DueLevels(hosts_[late.to_], now_)) {
+      for (const auto& [host, levels] : CollectDueLevels(hosts_[late.to_], now_)) {
         // Within a data centre a datagram takes less than a step.
-        NoteLevels(hosts_[std::stoul(host.value_.substr(1))], levels, now_);
+        ApplyRateLevels(hosts_[std::stoul(host.value_.substr(1))], levels, now_);
       }
     }
     if (++steps_ % 10 != 0) {
       return;
     }
     for (std::size_t from = 0; from < hosts_.size(); ++from) {
-      for (const ReportStep& step : DueReports(hosts_[from], now_)) {
+      for (const OutgoingReports& step : CollectDueReports(hosts_[from], now_)) {
         Send(from, step);
       }
     }
@@ -302,12 +302,12 @@
   fleet.Run(0, seconds(30), 2);
   RateShareState& host = fleet.hosts_[0];
   const RateReport first{ { "h1" }, 2, 5, { { kAccount, 20 } } };
-  NoteReports(host, { { "h1" }, { first } }, fleet.now_);
+  ApplyRateReports(host, { { "h1" }, { first } }, fleet.now_);
   const double level = host.accounts_.at(kAccount).level_;
-  NoteReports(host, { { "h1" }, { first } }, fleet.now_);
+  ApplyRateReports(host, { { "h1" }, { first } }, fleet.now_);
   CHECK(host.accounts_.at(kAccount).level_ == Approx(level));
   // A report of an earlier start of the host says nothing of the present one.
-  NoteReports(host, { { "h1" }, { { { "h1" }, 1, 9, { { kAccount, 90 } } } } }, fleet.now_);
+  ApplyRateReports(host, { { "h1" }, { { { "h1" }, 1, 9, { { kAccount, 90 } } } } }, fleet.now_);
   CHECK(host.accounts_.at(kAccount).level_ == Approx(level));
 }
 
@@ -318,14 +318,14 @@
   Fleet fleet(2, 10, 100, 1);
   fleet.Run(0, seconds(30), 2);
   RateShareState& host = fleet.hosts_[0];
-  NoteReports(host, { { "h1" }, { { { "h1" }, 2, 50, {} } } }, fleet.now_);
+  ApplyRateReports(host, { { "h1" }, { { { "h1" }, 2, 50, {} } } }, fleet.now_);
   const double level = host.accounts_.at(kAccount).level_;
   fleet.now_ += milliseconds(300);
-  NoteReports(host, { { "h1" }, { { { "h1" }, 2, 51, { { kAccount, 70 } } } } }, fleet.now_);
+  ApplyRateReports(host, { { "h1" }, { { { "h1" }, 2, 51, { { kAccount, 70 } } } } }, fleet.now_);
   CHECK(host.accounts_.at(kAccount).level_ >= level);
   CHECK(host.accounts_.at(kAccount).peersPerSecond_ == Approx(0));
   const double before = host.accounts_.at(kAccount).level_;
-  NoteReports(host, { { "h1" }, { { { "h1" }, 2, 52, { { kAccount, 75 } } } } }, fleet.now_);
+  ApplyRateReports(host, { { "h1" }, { { { "h1" }, 2, 52, { { kAccount, 75 } } } } }, fleet.now_);
   CHECK(host.accounts_.at(kAccount).level_ == Approx(before - 5));
 }
 
@@ -390,13 +390,14 @@
   Fleet fleet(8, 50, 50, 1);
   const TimePoint start = fleet.now_;
   fleet.Run(20, seconds(6), 8);
-  CHECK(LostHosts(fleet.hosts_[0], seconds(4), start, fleet.now_).empty());
+  CHECK(FindSilentHosts(fleet.hosts_[0], seconds(4), start, fleet.now_).empty());
   fleet.cut_[3] = true;
   fleet.Run(20, seconds(6), 8);
-  CHECK(LostHosts(fleet.hosts_[0], seconds(4), start, fleet.now_) == std::set<HostId>{ { "h3" } });
+  CHECK(FindSilentHosts(fleet.hosts_[0], seconds(4), start, fleet.now_) ==
+        std::set<HostId>{ { "h3" } });
   // The host itself hears nobody, so it can't tell who is gone.
-  CHECK(LostHosts(fleet.hosts_[3], seconds(4), start, fleet.now_).empty());
+  CHECK(FindSilentHosts(fleet.hosts_[3], seconds(4), start, fleet.now_).empty());
   fleet.cut_[3] = false;
   fleet.Run(20, seconds(3), 8);
-  CHECK(LostHosts(fleet.hosts_[0], seconds(4), start, fleet.now_).empty());
+  CHECK(FindSilentHosts(fleet.hosts_[0], seconds(4), start, fleet.now_).empty());
 }
--- a/tests/request/RetryBudgetTest.cpp
+++ b/tests/request/RetryBudgetTest.cpp
@@ -92,17 +92,17 @@
 // Guards against repeated runs whose own calls exceed the ratio of deeper services.
 TEST_CASE("a retry of a call that may have run costs more", "[retry]")
 {
-  const RetryRatioSettings settings{ .perFirstTry_ = 0.5,
+  const RetryRatioSettings settings{ .tokensPerFirstAttempt_ = 0.5,
                                      .leastInterval_ = seconds(100),
                                      .mayHaveRunCost_ = 2 };
   RetryRatio state;
   const TimePoint now{ seconds(1000) };
   state.last_ = now;
-  CHECK_FALSE(TakeRetryToken(state, settings, now, true));
-  NoteFirstTry(state, settings);
-  NoteFirstTry(state, settings);
-  CHECK(TakeRetryToken(state, settings, now, true));
-  CHECK_FALSE(TakeRetryToken(state, settings, now, false));
+  CHECK_FALSE(ConsumeRetryToken(state, settings, now, true));
+  RecordFirstAttempt(state, settings);
+  RecordFirstAttempt(state, settings);
+  CHECK(ConsumeRetryToken(state, settings, now, true));
+  CHECK_FALSE(ConsumeRetryToken(state, settings, now, false));
 }
 
 // Guards against retry storms on one route, and against a quiet route that may never retry.
@@ -110,7 +110,7 @@
 {
   const RetryRatioSettings settings;
   CHECK(rc::check("ratio over random traffic", [] {
-    const RetryRatioSettings drawn{ .perFirstTry_ = *rc::gen::element(0.0, 0.1, 0.3) };
+    const RetryRatioSettings drawn{ .tokensPerFirstAttempt_ = *rc::gen::element(0.0, 0.1, 0.3) };
     RetryRatio state;
     TimePoint now{ seconds(1000) };
     const TimePoint start = now;
@@ -120,31 +120,32 @@
     for (const int step : steps) {
       now += milliseconds(step);
       if (step % 3 != 0) {
-        NoteFirstTry(state, drawn);
+        RecordFirstAttempt(state, drawn);
         tries += 1;
-      } else if (TakeRetryToken(state, drawn, now)) {
+      } else if (ConsumeRetryToken(state, drawn, now)) {
         retries += 1;
       }
-      RC_ASSERT(retries <= 2 + drawn.perFirstTry_ * tries + ToSeconds(now - start) + 1e-6);
+      RC_ASSERT(retries <=
+                2 + drawn.tokensPerFirstAttempt_ * tries + ToSeconds(now - start) + 1e-6);
     }
   }));
 
   RetryRatio state;
   const TimePoint now{ seconds(1000) };
-  CHECK(TakeRetryToken(state, settings, now));
-  CHECK_FALSE(TakeRetryToken(state, settings, now + milliseconds(999)));
-  CHECK(TakeRetryToken(state, settings, now + milliseconds(1000)));
+  CHECK(ConsumeRetryToken(state, settings, now));
+  CHECK_FALSE(ConsumeRetryToken(state, settings, now + milliseconds(999)));
+  CHECK(ConsumeRetryToken(state, settings, now + milliseconds(1000)));
   for (int i = 0; i < 10; ++i) {
-    NoteFirstTry(state, settings);
+    RecordFirstAttempt(state, settings);
   }
-  CHECK(TakeRetryToken(state, settings, now + milliseconds(1001)));
+  CHECK(ConsumeRetryToken(state, settings, now + milliseconds(1001)));
 
   // A long quiet time must not pay for a burst of retries.
   for (int i = 0; i < 100000; ++i) {
-    NoteFirstTry(state, settings);
+    RecordFirstAttempt(state, settings);
   }
   int burst = 0;
-  while (TakeRetryToken(state, settings, now + milliseconds(1002))) {
+  while (ConsumeRetryToken(state, settings, now + milliseconds(1002))) {
     ++burst;
   }
   CHECK(burst == static_cast<int>(settings.cap_));
--- a/tests/request/RouteChoiceTest.cpp
+++ b/tests/request/RouteChoiceTest.cpp
@@ -45,8 +45,8 @@
 void Fail(RoutingState& aState, const Target& aTarget, int aTimes, TimePoint aNow)
 {
   for (int i = 0; i < aTimes; ++i) {
-    NoteSent(aState, aTarget);
-    NoteEnded(aState, aTarget, CallResult::kFailed, milliseconds(1), -1, aNow);
+    RecordCallSent(aState, aTarget);
+    RecordCallEnded(aState, aTarget, AttemptResult::kFailed, milliseconds(1), -1, aNow);
   }
 }
 
@@ -84,19 +84,19 @@
         return false;
       }
       --inFlight[aCall.target_.host_.value_];
-      NoteEnded(state,
-                aCall.target_,
-                CallResult::kAnswered,
-                aCall.end_ - aCall.start_,
-                aLoad(aCall.target_),
-                now);
+      RecordCallEnded(state,
+                      aCall.target_,
+                      AttemptResult::kAnswered,
+                      aCall.end_ - aCall.start_,
+                      aLoad(aCall.target_),
+                      now);
       return true;
     });
     const Target target = *ChooseTarget(state, aView, kService, {}, now);
     const std::string& host = target.host_.value_;
     first += host == aView.targets_.at(kService).front().host_.value_ ? 1 : 0;
     ++inFlight[host];
-    NoteSent(state, target);
+    RecordCallSent(state, target);
     running.push_back({ target, now, now + milliseconds(aLatencyMs(target, inFlight[host])) });
   }
   return first / kCalls;
@@ -145,15 +145,16 @@
       }
       RC_ASSERT(chosen->state_ == TargetState::kCold || chosen->state_ == TargetState::kReady);
       RC_ASSERT(std::find(exclude.begin(), exclude.end(), chosen->host_) == exclude.end());
-      NoteSent(state, *chosen);
-      NoteEnded(
-        state,
-        *chosen,
-        *rc::gen::element(
-          CallResult::kAnswered, CallResult::kRefused, CallResult::kFailed, CallResult::kTimedOut),
-        milliseconds(5),
-        0.5,
-        now);
+      RecordCallSent(state, *chosen);
+      RecordCallEnded(state,
+                      *chosen,
+                      *rc::gen::element(AttemptResult::kAnswered,
+                                        AttemptResult::kRefused,
+                                        AttemptResult::kFailed,
+                                        AttemptResult::kTimedOut),
+                      milliseconds(5),
+                      0.5,
+                      now);
       RC_ASSERT(state.stats_.at(chosen->host_).inFlight_ == 0U);
     }
   }));
@@ -210,8 +211,8 @@
     { MakeTarget("a"), MakeTarget("b"), MakeTarget("s", "south"), MakeTarget("f", "far") });
   const auto& targets = view.targets_.at(kService);
   const auto refuse = [&](const Target& aTarget) {
-    NoteSent(state, aTarget);
-    NoteEnded(state, aTarget, CallResult::kRefused, milliseconds(1), 1, kStart);
+    RecordCallSent(state, aTarget);
+    RecordCallEnded(state, aTarget, AttemptResult::kRefused, milliseconds(1), 1, kStart);
   };
   const auto hosts = [&] {
     std::set<std::string> names;
@@ -265,16 +266,24 @@
   RoutingState state = MakeState();
   const auto& targets = view.targets_.at(kService);
   for (std::size_t i = 0; i < targets.size(); ++i) {
-    NoteSent(state, targets[i]);
-    NoteEnded(
-      state, targets[i], CallResult::kAnswered, i == 0 ? seconds(2) : milliseconds(10), -1, kStart);
+    RecordCallSent(state, targets[i]);
+    RecordCallEnded(state,
+                    targets[i],
+                    AttemptResult::kAnswered,
+                    i == 0 ? seconds(2) : milliseconds(10),
+                    -1,
+                    kStart);
   }
   CHECK_FALSE(Draw(state, view, kStart).contains("a"));
   for (int ms = 0; ms < 20000; ms += 100) {
     for (std::size_t i = 1; i < targets.size(); ++i) {
-      NoteSent(state, targets[i]);
-      NoteEnded(
-        state, targets[i], CallResult::kAnswered, milliseconds(10), -1, kStart + milliseconds(ms));
+      RecordCallSent(state, targets[i]);
+      RecordCallEnded(state,
+                      targets[i],
+                      AttemptResult::kAnswered,
+                      milliseconds(10),
+                      -1,
+                      kStart + milliseconds(ms));
     }
   }
   CHECK(Draw(state, view, kStart + seconds(20)).contains("a"));
@@ -306,8 +315,8 @@
   const Target gone = MakeTarget("gone");
   const Target busy = MakeTarget("busy");
   Fail(state, gone, 1, kStart);
-  NoteSent(state, busy);
-  ForgetAbsent(state, MakeView({ MakeTarget("a") }));
+  RecordCallSent(state, busy);
+  RemoveAbsentHosts(state, MakeView({ MakeTarget("a") }));
   CHECK_FALSE(state.stats_.contains(gone.host_));
   CHECK(state.stats_.contains(busy.host_));
 }
@@ -327,8 +336,9 @@
   }
   const TargetView view = MakeView(targets);
   const auto report = [&](std::size_t aTarget, double aLoad) {
-    NoteSent(state, targets[aTarget]);
-    NoteEnded(state, targets[aTarget], CallResult::kAnswered, milliseconds(20), aLoad, kStart);
+    RecordCallSent(state, targets[aTarget]);
+    RecordCallEnded(
+      state, targets[aTarget], AttemptResult::kAnswered, milliseconds(20), aLoad, kStart);
   };
   const auto chosen = [&] {
     return ChooseTarget(state, view, targets[0].service_, {}, kStart)->host_.value_;
@@ -351,15 +361,15 @@
   RoutingState state;
   const std::vector<Target> targets{ MakeTarget("a"), MakeTarget("b") };
   const TargetView view = MakeView(targets);
-  const auto fail = [&](CallResult aResult, TimePoint aNow) {
-    NoteSent(state, targets[0]);
-    NoteEnded(state, targets[0], aResult, milliseconds(1), -1, aNow);
+  const auto fail = [&](AttemptResult aResult, TimePoint aNow) {
+    RecordCallSent(state, targets[0]);
+    RecordCallEnded(state, targets[0], aResult, milliseconds(1), -1, aNow);
   };
   const auto ejected = [&](TimePoint aNow) { return Draw(state, view, aNow).count("a") == 0; };
-  fail(CallResult::kUnreachable, kStart);
+  fail(AttemptResult::kUnreachable, kStart);
   CHECK(ejected(kStart + milliseconds(999)));
   CHECK_FALSE(ejected(kStart + milliseconds(1001)));
-  fail(CallResult::kFailed, kStart + milliseconds(1001));
+  fail(AttemptResult::kFailed, kStart + milliseconds(1001));
   CHECK(ejected(kStart + milliseconds(2900)));
 }
 
@@ -371,7 +381,7 @@
   const std::vector<Target> targets{ MakeTarget("a"), MakeTarget("b"), MakeTarget("c") };
   const TargetView view = MakeView(targets);
   for (const Target& target : targets) {
-    NoteFailedPart(state, target, target.host_.value_ == "a" ? 0.4 : 0.02, kStart);
+    RecordFailureFraction(state, target, target.host_.value_ == "a" ? 0.4 : 0.02, kStart);
   }
   CHECK(Draw(state, view, kStart).count("a") == 0);
   CHECK(Draw(state, view, kStart + seconds(1)).count("a") == 0);
@@ -390,7 +400,7 @@
   const std::vector<Target> targets{ MakeTarget("a"), MakeTarget("b"), MakeTarget("c") };
   const TargetView view = MakeView(targets);
   for (const Target& target : targets) {
-    NoteFailedPart(state, target, target.host_.value_ == "a" ? 0.7 : 0.65, kStart);
+    RecordFailureFraction(state, target, target.host_.value_ == "a" ? 0.7 : 0.65, kStart);
   }
   CHECK(Draw(state, view, kStart).size() == 3);
 }
--- a/tests/request/TokenCacheTest.cpp
+++ b/tests/request/TokenCacheTest.cpp
@@ -104,17 +104,17 @@
       now += milliseconds(*rc::gen::inRange(0, pace + 1));
       const int action = *rc::gen::inRange(0, 10);
       if (action < 6) {
-        const TakeStep step = TakeToken(cache, kAccount, 0, now);
-        if (step.ask_) {
-          RC_ASSERT(step.ask_->wanted_ >= 1);
+        const AcquireResult step = AcquireToken(cache, kAccount, 0, now);
+        if (step.shareRequest_) {
+          RC_ASSERT(step.shareRequest_->wanted_ >= 1);
           // A report leaves after the take of the same step.
-          model.Report(*step.ask_, 2 * i + 1);
-          asks.push_back({ *step.ask_, now });
+          model.Report(*step.shareRequest_, 2 * i + 1);
+          asks.push_back({ *step.shareRequest_, now });
         }
-        if (step.result_ == TakeResult::kTaken) {
+        if (step.status_ == AcquireStatus::kAcquired) {
           model.takes_.push_back({ 2 * i, now });
         } else {
-          RC_ASSERT((step.result_ == TakeResult::kRefused) == (step.retryAfterMs_ > 0));
+          RC_ASSERT((step.status_ == AcquireStatus::kRefused) == (step.retryAfterMs_ > 0));
         }
       } else if (action < 8 && !asks.empty()) {
         const PendingAsk ask = asks.front();
@@ -171,11 +171,11 @@
     if (ms % 10 != 0) {
       continue;
     }
-    const TakeStep step = TakeToken(cache, kAccount, 0, now);
-    CHECK(step.result_ != TakeResult::kRefused);
-    waited += step.result_ == TakeResult::kWait && ms > 1000 ? 1 : 0;
-    if (step.ask_) {
-      asks.push_back({ *step.ask_, now });
+    const AcquireResult step = AcquireToken(cache, kAccount, 0, now);
+    CHECK(step.status_ != AcquireStatus::kRefused);
+    waited += step.status_ == AcquireStatus::kPending && ms > 1000 ? 1 : 0;
+    if (step.shareRequest_) {
+      asks.push_back({ *step.shareRequest_, now });
       ++requests;
     }
   }
@@ -189,15 +189,15 @@
 {
   TokenCache cache;
   const TimePoint now{ seconds(100) };
-  const TakeStep first = TakeToken(cache, kAccount, 0, now);
-  REQUIRE(first.result_ == TakeResult::kWait);
-  REQUIRE(first.ask_.has_value());
-  CHECK(first.ask_->wanted_ == 1);
-  CHECK_FALSE(TakeToken(cache, kAccount, 1, now).ask_.has_value());
-  AddGrant(cache, { first.ask_->nonce_, kAccount, 7, 1, 1000, 0 }, now);
-  const TakeStep second = TakeToken(cache, kAccount, 0, now + milliseconds(1));
-  CHECK(second.result_ == TakeResult::kTaken);
-  CHECK_FALSE(second.ask_.has_value());
+  const AcquireResult first = AcquireToken(cache, kAccount, 0, now);
+  REQUIRE(first.status_ == AcquireStatus::kPending);
+  REQUIRE(first.shareRequest_.has_value());
+  CHECK(first.shareRequest_->wanted_ == 1);
+  CHECK_FALSE(AcquireToken(cache, kAccount, 1, now).shareRequest_.has_value());
+  AddGrant(cache, { first.shareRequest_->nonce_, kAccount, 7, 1, 1000, 0 }, now);
+  const AcquireResult second = AcquireToken(cache, kAccount, 0, now + milliseconds(1));
+  CHECK(second.status_ == AcquireStatus::kAcquired);
+  CHECK_FALSE(second.shareRequest_.has_value());
   // The use is reported although no new token is wanted.
   const auto reports = ReturnIdleTokens(cache, now + milliseconds(300));
   REQUIRE(reports.size() == 1);
@@ -212,9 +212,9 @@
   TokenCache cache;
   const TimePoint now{ seconds(100) };
   for (int i = 0; i < 1000; ++i) {
-    TakeToken(cache, { std::to_string(i) }, 0, now + seconds(i));
+    AcquireToken(cache, { std::to_string(i) }, 0, now + seconds(i));
   }
   CHECK(cache.accounts_.size() <= kMaxCachedAccounts);
-  CHECK_FALSE(TakeToken(cache, { "999" }, 0, now + seconds(999)).ask_.has_value());
-  CHECK(TakeToken(cache, { "999" }, 0, now + seconds(1000)).ask_.has_value());
+  CHECK_FALSE(AcquireToken(cache, { "999" }, 0, now + seconds(999)).shareRequest_.has_value());
+  CHECK(AcquireToken(cache, { "999" }, 0, now + seconds(1000)).shareRequest_.has_value());
 }
