--- a/peridotquay/request/Admission.cpp
+++ b/peridotquay/request/Admission.cpp
@@ -1,4 +1,4 @@
-// Adaptive concurrency limit, fair queue and early refusal of one guard.
+// Adaptive concurrency limit, weighted fair queue and early refusal of one guard.
 #include "peridotquay/request/Admission.h"
 
 #include "peridotquay/request/Random.h"
@@ -11,91 +11,95 @@
 
 namespace {
 
-/// Weight of one service time in the moving average.
+/// Weight of one service time in the moving averages.
 constexpr double kServiceWeight = 0.1;
 
-/// Without new samples the average halves in this time. Otherwise one slow spell could make every
-/// call look too late, and no call would run that could correct the average.
-constexpr double kServiceHalfLife = 0.5;
+/// The averages halve in this time without new samples. Without the decay a short slowdown could
+/// make every call look too late, and no call would run to correct the average.
+constexpr double kServiceHalfLifeSeconds = 0.5;
 
-/// Least length of a window in time and in calls; shorter ones are mostly noise.
-constexpr Duration kLeastWindow = milliseconds(20);
-constexpr std::uint32_t kLeastWindowSamples = 32;
+/// Minimum length of a window in time and in calls. Shorter windows are mostly noise.
+constexpr Duration kMinWindowPeriod = milliseconds(20);
+constexpr std::uint32_t kMinWindowSamples = 32;
 
-/// A mean below this part of the floor is a real change; a smaller step down may be noise.
-constexpr double kFloorChanged = 0.7;
+/// A mean below this fraction of the floor replaces it. A smaller decrease may be noise.
+constexpr double kFloorDropRatio = 0.7;
 
-/// Up to this ratio of window mean to floor the limit may grow.
-constexpr double kGrowTolerance = 1.3;
+/// The limit may grow while the ratio of window mean to floor is below this.
+constexpr double kMaxGrowthRatio = 1.3;
 
-/// From this ratio on a trial finds out whether a lower limit helps.
-constexpr double kTrialTolerance = 1.7;
+/// Ratio of window mean to floor from which a window counts as slow.
+constexpr double kMinTrialRatio = 1.7;
 
-/// Windows in a row above it that start a trial.
-constexpr std::uint32_t kSlowWindows = 2;
+/// Consecutive slow windows that start a trial.
+constexpr std::uint32_t kSlowWindowsBeforeTrial = 2;
 
-/// Limit during a trial, as part of the limit before. In a saturated target latency falls by the
-/// same factor.
-constexpr double kTrialPart = 0.7;
+/// Limit during a trial, as a fraction of the limit before. The latency of a saturated target falls
+/// by the same factor.
+constexpr double kTrialLimitFraction = 0.7;
 
-/// The trial confirms the lower limit if latency fell at least to this part.
-constexpr double kTrialConfirmed = 0.85;
+/// A trial confirms the lower limit if the latency fell to this fraction or below.
+constexpr double kMaxConfirmedLatencyRatio = 0.85;
 
-/// Least limit after a confirmed trial, as part of the limit before.
-constexpr double kLeastTrialResult = 0.5;
+/// Minimum limit after a confirmed trial, as a fraction of the limit before.
+constexpr double kMinTrialResultFraction = 0.5;
 
-/// Pause between trials without a new rise of latency.
-constexpr Duration kTrialPause = seconds(10);
+/// Minimum time between trials that start without kSlowWindowsBeforeTrial slow windows.
+constexpr Duration kMinTrialInterval = seconds(10);
 
-/// Growth of the limit in one window.
-constexpr double kFastGrowth = 0.1;
+/// Growth of the limit in one window, as a fraction of the limit.
+constexpr double kGrowthFractionPerWindow = 0.1;
 
-/// Growth in one second near the limit at which the target refused lately.
-constexpr double kSlowGrowth = 1.0;
-constexpr double kNearRefusal = 0.97;
-constexpr Duration kRefusalMemory = seconds(5);
+/// Near the limit at which the target refused within kRefusalRetention, the limit grows by this
+/// many calls per second. Near means above kNearRefusalFraction of that limit.
+constexpr double kSlowGrowthPerSecond = 1.0;
+constexpr double kNearRefusalFraction = 0.97;
+constexpr Duration kRefusalRetention = seconds(5);
 
-/// Least limit after a refusal by the target, as part of the limit before.
-constexpr double kRefusalDecrease = 0.9;
+/// Minimum limit after a refusal by the target, as a fraction of the limit before.
+constexpr double kMinRefusalLimitFraction = 0.9;
 
-/// A refusal lowers the limit at most once in this time: calls that started together are refused
-/// together.
-constexpr Duration kLeastDecreaseInterval = milliseconds(20);
+/// Refusals lower the limit at most once in this time, because calls that started together are
+/// refused together.
+constexpr Duration kMinDecreaseInterval = milliseconds(20);
 
-/// Refusals for each answer of a window from which the limit is far too high and falls without a
-/// pause.
-constexpr double kManyRefusals = 0.25;
+/// Ratio of refusals to answers in a window from which the limit is far too high: it then falls
+/// without a pause.
+constexpr double kManyRefusalsRatio = 0.25;
 
-/// Refusals that go on for these windows in a row at this part of the limit don't depend on the
-/// limit. A target that announces up to three times its slots isn't taken for one that refuses at
-/// random.
-constexpr std::uint32_t kRandomWindows = 3;
-constexpr double kRandomPart = 0.3;
+/// Refusals that continue for this many consecutive windows at this fraction of the original limit
+/// don't depend on the limit. At 0.3, a target that announces up to three times its real slots
+/// isn't mistaken for one that refuses at random.
+constexpr std::uint32_t kRandomRefusalWindows = 3;
+constexpr double kRandomRefusalLimitFraction = 0.3;
 
-/// So long such refusals don't lower the limit, unless they are many.
-constexpr Duration kRandomMemory = seconds(30);
+/// For this long, refusals at random don't lower the limit unless they reach kManyRefusalsRatio.
+constexpr Duration kRandomRefusalRetention = seconds(30);
 
-/// Decreases further apart than this are judged apart.
-constexpr Duration kRefusalEpisode = seconds(1);
+/// Decreases of the limit that are further apart don't belong to the same series of refusals.
+constexpr Duration kMaxDecreaseGap = seconds(1);
 
-/// Least length of the interval of the counts behind the early refusal, and least number of offered
-/// calls in it unless it lasted a second.
-constexpr Duration kLevelInterval = milliseconds(100);
-constexpr double kLevelSamples = 20;
-constexpr Duration kLongestLevelInterval = seconds(1);
+/// The admission level is updated from the counts of an interval. It lasts at least
+/// kMinLevelInterval and has at least kMinLevelSamples offered calls, unless it reaches
+/// kMaxLevelInterval.
+constexpr Duration kMinLevelInterval = milliseconds(100);
+constexpr double kMinLevelSamples = 20;
+constexpr Duration kMaxLevelInterval = seconds(1);
 
-/// A class of which a smaller part is started is closed to callers' hosts.
-constexpr double kClosedPart = 0.02;
+/// A class is starved, and may be closed to callers' hosts, if a smaller fraction of its offered
+/// calls is started.
+constexpr double kClosedClassFraction = 0.02;
 
-/// Intervals in a row before a class is closed: a burst of more important calls starves it for one.
-constexpr std::uint32_t kStarvedIntervals = 5;
+/// Consecutive starved intervals before a class is closed. A burst of more important calls can
+/// starve a class for one interval.
+constexpr std::uint32_t kStarvedIntervalsToClose = 5;
 
-/// Least fraction of a shed class that is sent as a probe.
-constexpr double kProbeFraction = 0.01;
+/// Minimum fraction of a closed class that is sent as probes.
+constexpr double kMinProbeFraction = 0.01;
 
-/// Bounds of the hint when to come back.
-constexpr double kLeastRetryAfterMs = 10;
-constexpr double kLongestRetryAfterMs = 5000;
+/// Bounds of the retry hint.
+constexpr double kMinRetryAfterMs = 10;
+constexpr double kMaxRetryAfterMs = 5000;
 
 std::size_t Index(Importance aImportance)
 {
@@ -107,17 +111,17 @@
   return aCall.weight_ > 0 ? aCall.weight_ : 1e-3;
 }
 
-double UpperLimit(const AdmissionState& aState)
+double MaxLimit(const AdmissionState& aState)
 {
-  const std::uint32_t most = aState.announcedSlots_ > 0
-                               ? std::min(aState.settings_.maxLimit_, aState.announcedSlots_)
-                               : aState.settings_.maxLimit_;
-  return std::max(1.0, static_cast<double>(most));
+  const std::uint32_t slots = aState.announcedSlots_ > 0
+                                ? std::min(aState.settings_.maxLimit_, aState.announcedSlots_)
+                                : aState.settings_.maxLimit_;
+  return std::max(1.0, static_cast<double>(slots));
 }
 
 void SetLimit(AdmissionState& aState, double aLimit)
 {
-  const double upper = UpperLimit(aState);
+  const double upper = MaxLimit(aState);
   const double lower =
     std::min(upper, std::max(1.0, static_cast<double>(aState.settings_.minLimit_)));
   aState.limit_ = std::clamp(aLimit, lower, upper);
@@ -128,28 +132,30 @@
   return static_cast<double>(aState.running_) + 1 <= aState.limit_;
 }
 
-double ExpectedService(const AdmissionState& aState, TimePoint aNow)
+double ExpectedServiceSeconds(const AdmissionState& aState, TimePoint aNow)
 {
-  const double age = std::max(0.0, ToSeconds(aNow - aState.lastSample_));
-  return aState.serviceSeconds_ * std::exp2(-age / kServiceHalfLife);
+  const double age = std::max(0.0, ToSeconds(aNow - aState.lastSampleAt_));
+  return aState.serviceSeconds_ * std::exp2(-age / kServiceHalfLifeSeconds);
 }
 
-/// Service time of calls like this one; of all calls while its route has none.
-double ExpectedServiceOf(const AdmissionState& aState, const WaitingCall& aCall, TimePoint aNow)
+/// Expected service time of the call's route, or of all routes if its route has no samples.
+double ExpectedRouteServiceSeconds(const AdmissionState& aState,
+                                   const WaitingCall& aCall,
+                                   TimePoint aNow)
 {
   const auto route = aState.routes_.find(aCall.route_);
   if (route == aState.routes_.end()) {
-    return ExpectedService(aState, aNow);
+    return ExpectedServiceSeconds(aState, aNow);
   }
-  const double age = std::max(0.0, ToSeconds(aNow - route->second.lastSample_));
-  return route->second.seconds_ * std::exp2(-age / kServiceHalfLife);
+  const double age = std::max(0.0, ToSeconds(aNow - route->second.lastSampleAt_));
+  return route->second.seconds_ * std::exp2(-age / kServiceHalfLifeSeconds);
 }
 
 std::uint32_t RetryAfterMs(const AdmissionState& aState, TimePoint aNow)
 {
-  const double waitMs = 1000 * ExpectedService(aState, aNow) *
+  const double waitMs = 1000 * ExpectedServiceSeconds(aState, aNow) *
                         (static_cast<double>(aState.queued_) + 1) / aState.limit_;
-  return static_cast<std::uint32_t>(std::clamp(waitMs, kLeastRetryAfterMs, kLongestRetryAfterMs));
+  return static_cast<std::uint32_t>(std::clamp(waitMs, kMinRetryAfterMs, kMaxRetryAfterMs));
 }
 
 /// Whether the call would end after its deadline if it started now.
@@ -158,13 +164,13 @@
   if (aNow >= aCall.deadline_) {
     return true;
   }
-  // With nothing running, a call is the only way to learn the present service time.
+  // If nothing runs, only a started call can show the present service time.
   return aState.running_ > 0 &&
-         ToSeconds(aCall.deadline_ - aNow) < ExpectedServiceOf(aState, aCall, aNow);
+         ToSeconds(aCall.deadline_ - aNow) < ExpectedRouteServiceSeconds(aState, aCall, aNow);
 }
 
-/// Whether the call has spent its part of the deadline in the queue. Critical calls may wait until
-/// their deadline can't be met.
+/// Whether the call has waited longer than queueDeadlineFraction_ allows. Critical calls may wait
+/// until their deadline can't be met.
 bool HasWaitedTooLong(const AdmissionState& aState, const WaitingCall& aCall, TimePoint aNow)
 {
   if (aCall.importance_ == Importance::kCritical) {
@@ -180,25 +186,25 @@
   return IsTooLate(aState, aCall, aNow) || HasWaitedTooLong(aState, aCall, aNow);
 }
 
-void Refuse(AdmissionState& aState,
-            AdmissionActions& aStep,
-            const WaitingCall& aCall,
-            ErrorCode aCode,
-            TimePoint aNow)
+void RefuseCall(AdmissionState& aState,
+                AdmissionActions& aActions,
+                const WaitingCall& aCall,
+                ErrorCode aCode,
+                TimePoint aNow)
 {
   aState.shed_[Index(aCall.importance_)] += 1;
-  aStep.refuse_.push_back({ aCall.id_, aCode, RetryAfterMs(aState, aNow) });
+  aActions.refuse_.push_back({ aCall.id_, aCode, RetryAfterMs(aState, aNow) });
 }
 
-void Start(AdmissionState& aState, AdmissionActions& aStep, const WaitingCall& aCall)
+void StartCall(AdmissionState& aState, AdmissionActions& aActions, const WaitingCall& aCall)
 {
   ++aState.running_;
   aState.window_.peakRunning_ = std::max(aState.window_.peakRunning_, aState.running_);
   aState.admitted_[Index(aCall.importance_)] += 1;
-  aStep.start_.push_back(aCall.id_);
+  aActions.start_.push_back(aCall.id_);
 }
 
-void Push(AdmissionState& aState, const WaitingCall& aCall)
+void Enqueue(AdmissionState& aState, const WaitingCall& aCall)
 {
   ClassQueue& queue = aState.queues_[Index(aCall.importance_)];
   ClassQueue::AccountQueue& account = queue.accounts_[aCall.clientAccount_];
@@ -211,8 +217,9 @@
   ++aState.queued_;
 }
 
-/// Keeps the sizes right after calls left the queue and forgets accounts without calls or debt.
-void Shrink(AdmissionState& aState, ClassQueue& aQueue, std::size_t aCount)
+/// Updates the sizes after aCount calls left the queue. An empty queue forgets its accounts and
+/// virtual time.
+void RecordRemovedCalls(AdmissionState& aState, ClassQueue& aQueue, std::size_t aCount)
 {
   assert(aQueue.size_ >= aCount && aState.queued_ >= aCount);
   aQueue.size_ -= aCount;
@@ -223,7 +230,7 @@
   }
 }
 
-/// The account whose next call has the least virtual start time.
+/// The account whose next call has the lowest virtual start time.
 std::map<ClientAccountId, ClassQueue::AccountQueue>::iterator NextAccount(ClassQueue& aQueue)
 {
   auto next = aQueue.accounts_.end();
@@ -237,7 +244,7 @@
 }
 
 /// Starts waiting calls while slots are free.
-void StartWaiting(AdmissionState& aState, AdmissionActions& aStep, TimePoint aNow)
+void StartWaiting(AdmissionState& aState, AdmissionActions& aActions, TimePoint aNow)
 {
   for (ClassQueue& queue : aState.queues_) {
     while (queue.size_ > 0 && HasSlot(aState)) {
@@ -245,22 +252,22 @@
       ClassQueue::AccountQueue& account = entry->second;
       const WaitingCall call = account.calls_.front();
       account.calls_.pop_front();
-      // A dropped call took nothing from the target, so it isn't charged to its account.
+      // A dropped call doesn't use the target, so its account isn't charged for it.
       if (MustDrop(aState, call, aNow)) {
-        Refuse(aState, aStep, call, ErrorCode::kDeadlineExceeded, aNow);
+        RefuseCall(aState, aActions, call, ErrorCode::kDeadlineExceeded, aNow);
       } else {
         queue.virtualTime_ = account.finishTag_;
         account.finishTag_ += 1 / Weight(call);
-        Start(aState, aStep, call);
+        StartCall(aState, aActions, call);
       }
-      Shrink(aState, queue, 1);
+      RecordRemovedCalls(aState, queue, 1);
     }
   }
 }
 
-/// Shed order of a full queue: the least important class first and, within it, the latest call of
-/// the account that is most over its share. aCall takes part. Returns the call that must go.
-WaitingCall ChooseVictim(AdmissionState& aState, const WaitingCall& aCall)
+/// Selects the call to refuse from a full queue and the new call aCall, and removes it if it waits:
+/// in the least important class, the latest call of the account with the most calls for its weight.
+WaitingCall RemoveCallToShed(AdmissionState& aState, const WaitingCall& aCall)
 {
   std::size_t worst = aState.queues_.size() - 1;
   while (worst > Index(aCall.importance_) && aState.queues_[worst].size_ == 0) {
@@ -270,22 +277,22 @@
     return aCall;
   }
   ClassQueue& queue = aState.queues_[worst];
-  const bool takesPart = worst == Index(aCall.importance_);
+  const bool isCandidate = worst == Index(aCall.importance_);
   auto victim = queue.accounts_.end();
-  double most = 0;
-  if (takesPart) {
+  double maxExcess = 0;
+  if (isCandidate) {
     const auto own = queue.accounts_.find(aCall.clientAccount_);
     const std::size_t calls = own == queue.accounts_.end() ? 0 : own->second.calls_.size();
-    most = (static_cast<double>(calls) + 1) / Weight(aCall);
+    maxExcess = (static_cast<double>(calls) + 1) / Weight(aCall);
   }
   for (auto entry = queue.accounts_.begin(); entry != queue.accounts_.end(); ++entry) {
     const auto& calls = entry->second.calls_;
-    if (calls.empty() || (takesPart && entry->first == aCall.clientAccount_)) {
+    if (calls.empty() || (isCandidate && entry->first == aCall.clientAccount_)) {
       continue;
     }
-    const double over = static_cast<double>(calls.size()) / Weight(calls.back());
-    if (over > most) {
-      most = over;
+    const double excess = static_cast<double>(calls.size()) / Weight(calls.back());
+    if (excess > maxExcess) {
+      maxExcess = excess;
       victim = entry;
     }
   }
@@ -294,7 +301,7 @@
   }
   WaitingCall call = victim->second.calls_.back();
   victim->second.calls_.pop_back();
-  Shrink(aState, queue, 1);
+  RecordRemovedCalls(aState, queue, 1);
   return call;
 }
 
@@ -303,69 +310,74 @@
 {
   LimitWindow& window = aState.window_;
   window.trial_ = LimitWindow::Trial::kSettling;
-  window.settling_ = std::max(1U, aState.running_);
-  window.limitBefore_ = aState.limit_;
-  window.latencyBefore_ = aMean;
-  window.lastTrial_ = aNow;
-  SetLimit(aState, aState.limit_ * kTrialPart);
+  window.ignoredCalls_ = std::max(1U, aState.running_);
+  window.limitBeforeTrial_ = aState.limit_;
+  window.latencyBeforeTrialSeconds_ = aMean;
+  window.lastTrialAt_ = aNow;
+  SetLimit(aState, aState.limit_ * kTrialLimitFraction);
 }
 
-/// Judges a trial by the mean latency under the lowered limit.
+/// Ends a trial: keeps a lower limit if aMean, the mean service time under it, confirms that the
+/// latency depends on the limit.
 void EndTrial(AdmissionState& aState, double aMean, TimePoint aNow)
 {
   LimitWindow& window = aState.window_;
   window.trial_ = LimitWindow::Trial::kNone;
-  if (aMean <= window.latencyBefore_ * kTrialConfirmed) {
-    aState.lastDecrease_ = aNow;
-    aState.contradicted_ = true;
-    // Calls queue inside the target. Their latency is in proportion to the limit, so this is where
-    // it would be back at the floor.
-    const double part = std::max(kLeastTrialResult, aState.floorSeconds_ / window.latencyBefore_);
-    SetLimit(aState, std::min(aState.limit_, window.limitBefore_ * part));
-    // What runs started under the higher limit; its latency would cause the next decrease.
-    window.settling_ = aState.running_;
+  if (aMean <= window.latencyBeforeTrialSeconds_ * kMaxConfirmedLatencyRatio) {
+    aState.lastDecreaseAt_ = aNow;
+    aState.slotsContradicted_ = true;
+    // Calls queue inside the target, so that their latency is proportional to the limit. At this
+    // fraction of the limit it would be back at the floor.
+    const double fraction =
+      std::max(kMinTrialResultFraction, aState.floorSeconds_ / window.latencyBeforeTrialSeconds_);
+    SetLimit(aState, std::min(aState.limit_, window.limitBeforeTrial_ * fraction));
+    // The running calls started under the higher limit. Their latency would cause another decrease.
+    window.ignoredCalls_ = aState.running_;
     return;
   }
-  // Fewer calls at once don't make the target faster: it became slower for another reason.
+  // A lower limit doesn't make the target faster: it became slower for another reason.
   aState.floorSeconds_ = aMean;
-  aState.floorSince_ = aNow;
-  SetLimit(aState, window.limitBefore_);
+  aState.floorConfirmedAt_ = aNow;
+  SetLimit(aState, window.limitBeforeTrial_);
 }
 
 void GrowLimit(AdmissionState& aState, TimePoint aNow)
 {
   const LimitWindow& window = aState.window_;
-  const bool lately = window.refusedAt_ > 0 && aNow - aState.lastDecrease_ < kRefusalMemory;
-  const double nearRefusal = lately ? kNearRefusal * window.refusedAt_ : UpperLimit(aState);
-  const double slow = aState.limit_ + kSlowGrowth * ToSeconds(aNow - window.start_);
-  const double fast = aState.limit_ + std::max(1.0, kFastGrowth * aState.limit_);
+  const bool lately =
+    window.refusedAtLimit_ > 0 && aNow - aState.lastDecreaseAt_ < kRefusalRetention;
+  const double nearRefusal =
+    lately ? kNearRefusalFraction * window.refusedAtLimit_ : MaxLimit(aState);
+  const double slow = aState.limit_ + kSlowGrowthPerSecond * ToSeconds(aNow - window.start_);
+  const double fast = aState.limit_ + std::max(1.0, kGrowthFractionPerWindow * aState.limit_);
   SetLimit(aState, std::max(slow, std::min(fast, nearRefusal)));
 }
 
-/// Finds refusals that don't depend on the limit: they go on at a small part of it. Then the limit
-/// returns, or a target that refuses a few calls at random would be left nearly idle.
-void JudgeRefusals(AdmissionState& aState, TimePoint aNow)
+/// Detects refusals that don't depend on the limit, because they continue at a small fraction of
+/// it, and restores the limit. Otherwise a target that refuses a few calls at random would be
+/// nearly idle.
+void DetectRandomRefusals(AdmissionState& aState, TimePoint aNow)
 {
   LimitWindow& window = aState.window_;
   window.refusedWindows_ = window.refusals_ > 0 ? window.refusedWindows_ + 1 : 0;
   if (window.limitBeforeRefusals_ <= 0) {
     return;
   }
-  if (window.refusedWindows_ >= kRandomWindows &&
-      aState.limit_ <= kRandomPart * window.limitBeforeRefusals_) {
+  if (window.refusedWindows_ >= kRandomRefusalWindows &&
+      aState.limit_ <= kRandomRefusalLimitFraction * window.limitBeforeRefusals_) {
     SetLimit(aState, window.limitBeforeRefusals_);
-    window.ignoreRefusalsUntil_ = aNow + kRandomMemory;
+    window.ignoreRefusalsUntil_ = aNow + kRandomRefusalRetention;
     window.limitBeforeRefusals_ = 0;
-  } else if (aNow - aState.lastDecrease_ > kRefusalEpisode) {
+  } else if (aNow - aState.lastDecreaseAt_ > kMaxDecreaseGap) {
     window.limitBeforeRefusals_ = 0;
   }
 }
 
-/// Adapts the limit to a finished window.
+/// Adapts the limit to the measurements of a finished window.
 void EndWindow(AdmissionState& aState, TimePoint aNow)
 {
   LimitWindow& window = aState.window_;
-  JudgeRefusals(aState, aNow);
+  DetectRandomRefusals(aState, aNow);
   const double mean = window.sumSeconds_ / window.samples_;
   if (window.trial_ == LimitWindow::Trial::kMeasuring) {
     EndTrial(aState, mean, aNow);
@@ -373,31 +385,32 @@
   }
   if (aState.floorSeconds_ <= 0) {
     aState.floorSeconds_ = mean;
-    aState.floorSince_ = aNow;
-  } else if (mean < kFloorChanged * aState.floorSeconds_) {
-    // The target became faster. A mean that still falls says nothing about room to grow.
+    aState.floorConfirmedAt_ = aNow;
+  } else if (mean < kFloorDropRatio * aState.floorSeconds_) {
+    // The target became faster. The limit doesn't grow before the mean has settled.
     aState.floorSeconds_ = mean;
-    aState.floorSince_ = aNow;
+    aState.floorConfirmedAt_ = aNow;
     return;
   } else if (mean < aState.floorSeconds_) {
     aState.floorSeconds_ += 0.1 * (mean - aState.floorSeconds_);
-    aState.floorSince_ = aNow;
+    aState.floorConfirmedAt_ = aNow;
   }
   const double ratio = mean / aState.floorSeconds_;
-  // Without this condition the limit of an idle target would grow without bound.
+  // The limit grows only if it was reached: that of an idle target would grow without bound.
   const bool used = window.peakRunning_ + 1 >= aState.limit_;
-  if (ratio < kGrowTolerance) {
+  if (ratio < kMaxGrowthRatio) {
     window.slowWindows_ = 0;
     if (used && window.refusals_ == 0) {
       GrowLimit(aState, aNow);
     }
     return;
   }
-  // A single slow window is often chance, and the next one would seem to confirm the lower limit.
-  window.slowWindows_ = ratio >= kTrialTolerance ? window.slowWindows_ + 1 : 0;
+  // A single slow window is often chance. A trial after it would find a lower latency by chance too
+  // and wrongly confirm the lower limit.
+  window.slowWindows_ = ratio >= kMinTrialRatio ? window.slowWindows_ + 1 : 0;
   window.slowSeconds_ = window.slowWindows_ > 1 ? window.slowSeconds_ + mean : mean;
-  const bool due = aNow - window.lastTrial_ >= kTrialPause;
-  if (window.slowWindows_ >= kSlowWindows || due) {
+  const bool due = aNow - window.lastTrialAt_ >= kMinTrialInterval;
+  if (window.slowWindows_ >= kSlowWindowsBeforeTrial || due) {
     const double before = window.slowSeconds_ / std::max(1U, window.slowWindows_);
     window.slowWindows_ = 0;
     BeginTrial(aState, before, aNow);
@@ -414,30 +427,30 @@
   window.peakRunning_ = aState.running_;
 }
 
-void NoteRouteService(AdmissionState& aState,
-                      const RouteId& aRoute,
-                      double aSeconds,
-                      TimePoint aNow)
+void RecordRouteServiceTime(AdmissionState& aState,
+                            const RouteId& aRoute,
+                            double aSeconds,
+                            TimePoint aNow)
 {
   if (aRoute.value_.empty() ||
       (aState.routes_.size() >= kMaxServiceRoutes && !aState.routes_.contains(aRoute))) {
     return;
   }
-  RouteService& route = aState.routes_[aRoute];
+  RouteServiceTime& route = aState.routes_[aRoute];
   route.seconds_ =
     route.seconds_ <= 0 ? aSeconds : route.seconds_ + kServiceWeight * (aSeconds - route.seconds_);
-  route.lastSample_ = aNow;
+  route.lastSampleAt_ = aNow;
 }
 
-/// Counts a service time and adapts the limit when the window is full.
-void NoteServiceTime(AdmissionState& aState, const ServiceTime& aServiceTime, TimePoint aNow)
+/// Adds a service time to the average and the window, and adapts the limit when the window ends.
+void RecordServiceTime(AdmissionState& aState, const ServiceTime& aServiceTime, TimePoint aNow)
 {
   const double service = std::max(0.0, ToSeconds(aServiceTime.total_));
   aState.serviceSeconds_ =
     aState.serviceSeconds_ <= 0
       ? service
       : aState.serviceSeconds_ + kServiceWeight * (service - aState.serviceSeconds_);
-  aState.lastSample_ = aNow;
+  aState.lastSampleAt_ = aNow;
 
   if (!aState.settings_.adaptive_) {
     return;
@@ -446,9 +459,9 @@
   if (window.start_ == TimePoint{}) {
     window.start_ = aNow;
   }
-  if (window.settling_ > 0) {
-    --window.settling_;
-    if (window.settling_ == 0) {
+  if (window.ignoredCalls_ > 0) {
+    --window.ignoredCalls_;
+    if (window.ignoredCalls_ == 0) {
       window.trial_ = window.trial_ == LimitWindow::Trial::kSettling
                         ? LimitWindow::Trial::kMeasuring
                         : LimitWindow::Trial::kNone;
@@ -457,67 +470,71 @@
     return;
   }
   ++window.samples_;
-  // A deeper service that slows down says nothing about this target: a lower limit here would only
-  // add a queue to the one below.
+  // Time in deeper calls isn't counted. If a deeper service is slow, a lower limit here would only
+  // add a second queue in front of it.
   window.sumSeconds_ += std::max(0.0, ToSeconds(aServiceTime.own_));
-  // A trial compares with two windows, so it measures as many calls.
+  // The latency before a trial comes from kSlowWindowsBeforeTrial windows, so the trial measures as
+  // many calls.
   const bool measuring = window.trial_ == LimitWindow::Trial::kMeasuring;
-  const std::uint32_t least = kLeastWindowSamples * (measuring ? kSlowWindows : 1);
-  const bool enough = window.samples_ >= least && window.samples_ >= aState.limit_ / 2;
-  if (enough && aNow - window.start_ >= kLeastWindow) {
+  const std::uint32_t minSamples = kMinWindowSamples * (measuring ? kSlowWindowsBeforeTrial : 1);
+  const bool enough = window.samples_ >= minSamples && window.samples_ >= aState.limit_ / 2;
+  if (enough && aNow - window.start_ >= kMinWindowPeriod) {
     EndWindow(aState, aNow);
     ResetWindow(aState, aNow);
   }
 }
 
-void NoteTargetRefusal(AdmissionState& aState, Duration aServiceTime, TimePoint aNow)
+void RecordTargetRefusal(AdmissionState& aState, Duration aServiceTime, TimePoint aNow)
 {
   if (!aState.settings_.adaptive_) {
     return;
   }
   LimitWindow& window = aState.window_;
   ++window.refusals_;
-  // A call that started before the last decrease says nothing about the limit since then.
-  if (aNow - aServiceTime <= aState.lastDecrease_) {
+  // A call that started before the last decrease was refused under the limit before it.
+  if (aNow - aServiceTime <= aState.lastDecreaseAt_) {
     return;
   }
-  const double answers = std::max(window.samples_, kLeastWindowSamples);
-  const bool many = window.refusals_ >= kManyRefusals * answers;
+  const double answers = std::max(window.samples_, kMinWindowSamples);
+  const bool many = window.refusals_ >= kManyRefusalsRatio * answers;
   if (!many && aNow < window.ignoreRefusalsUntil_) {
     return;
   }
   const auto service = std::chrono::duration_cast<Duration>(
     std::chrono::duration<double>(std::min(1.0, aState.serviceSeconds_)));
-  if (!many && aNow - aState.lastDecrease_ < std::max(kLeastDecreaseInterval, service)) {
+  if (!many && aNow - aState.lastDecreaseAt_ < std::max(kMinDecreaseInterval, service)) {
     return;
   }
   if (window.limitBeforeRefusals_ <= 0) {
     window.limitBeforeRefusals_ = aState.limit_;
   }
-  aState.lastDecrease_ = aNow;
-  aState.contradicted_ = true;
-  // What still runs is what the target could take, unless many of those calls will be refused too.
-  // A larger step down would leave slots idle.
+  aState.lastDecreaseAt_ = aNow;
+  aState.slotsContradicted_ = true;
+  // The target accepted the calls that still run, unless many of them will be refused too. A limit
+  // below their number would leave slots idle.
   const double running = many ? 0 : aState.running_;
-  window.refusedAt_ = std::min(aState.limit_, static_cast<double>(aState.running_) + 1);
-  SetLimit(aState,
-           std::min(aState.limit_ - 1, std::max(running, kRefusalDecrease * aState.limit_)));
+  window.refusedAtLimit_ = std::min(aState.limit_, static_cast<double>(aState.running_) + 1);
+  SetLimit(
+    aState,
+    std::min(aState.limit_ - 1, std::max(running, kMinRefusalLimitFraction * aState.limit_)));
 }
 
-/// Closes the lowest open class if hardly any of it is started, or opens the next class if there is
-/// room. A class of which a part is started stays open as a whole: callers' hosts don't know the
-/// fair shares, so that a part refused there would fall on accounts below their share as well. In
-/// the policy trials that cost the worst account half of its share.
+/// Closes the lowest open class if hardly any of its calls are started, or opens the next class if
+/// there is room. A class that is started in part stays wholly open: callers' hosts don't know the
+/// fair shares, so that refusing a fraction there would also refuse calls of accounts below their
+/// share. In the policy trials (bench/policy_trials.cpp) that cost the worst account half of its
+/// share.
 void UpdateOpenClasses(AdmissionState& aState)
 {
   std::size_t& open = aState.openClasses_;
   const std::size_t lowest = open - 1;
   const double offered = aState.offered_[lowest];
-  const bool starved = offered >= kLevelSamples &&
-                       aState.admitted_[lowest] < kClosedPart * offered &&
+  const bool starved = offered >= kMinLevelSamples &&
+                       aState.admitted_[lowest] < kClosedClassFraction * offered &&
                        aState.shed_[lowest] > 0.5 * offered;
   aState.starvedIntervals_ = starved ? aState.starvedIntervals_ + 1 : 0;
-  if (lowest > Index(Importance::kCritical) && aState.starvedIntervals_ >= kStarvedIntervals) {
+  if (lowest > Index(Importance::kCritical) &&
+      aState.starvedIntervals_ >= kStarvedIntervalsToClose) {
     --open;
     aState.starvedIntervals_ = 0;
     return;
@@ -525,7 +542,7 @@
   if (open == aState.queues_.size()) {
     return;
   }
-  // Less work waits than the target takes at once, so that it would soon be idle.
+  // Fewer calls wait than may run at once, so that the target would soon be idle.
   std::size_t waiting = 0;
   for (std::size_t i = 0; i <= open; ++i) {
     waiting += aState.queues_[i].size_;
@@ -536,14 +553,14 @@
   }
 }
 
-void UpdateUpstream(AdmissionState& aState, TimePoint aNow)
+void UpdateAdmissionLevel(AdmissionState& aState, TimePoint aNow)
 {
   const Duration age = aNow - aState.countsSince_;
   double offered = 0;
   for (const double count : aState.offered_) {
     offered += count;
   }
-  if (age < kLevelInterval || (offered < kLevelSamples && age < kLongestLevelInterval)) {
+  if (age < kMinLevelInterval || (offered < kMinLevelSamples && age < kMaxLevelInterval)) {
     return;
   }
   UpdateOpenClasses(aState);
@@ -557,24 +574,24 @@
 
 AdmissionActions OfferCall(AdmissionState& aState, const WaitingCall& aCall, TimePoint aNow)
 {
-  AdmissionActions step;
-  UpdateUpstream(aState, aNow);
+  AdmissionActions actions;
+  UpdateAdmissionLevel(aState, aNow);
   aState.offered_[Index(aCall.importance_)] += 1;
   if (IsTooLate(aState, aCall, aNow)) {
-    Refuse(aState, step, aCall, ErrorCode::kDeadlineExceeded, aNow);
-    return step;
+    RefuseCall(aState, actions, aCall, ErrorCode::kDeadlineExceeded, aNow);
+    return actions;
   }
   if (aState.queued_ >= aState.settings_.queueCapacity_ &&
       !(aState.queued_ == 0 && HasSlot(aState))) {
-    const WaitingCall victim = ChooseVictim(aState, aCall);
-    Refuse(aState, step, victim, ErrorCode::kShed, aNow);
+    const WaitingCall victim = RemoveCallToShed(aState, aCall);
+    RefuseCall(aState, actions, victim, ErrorCode::kShed, aNow);
     if (victim.id_ == aCall.id_) {
-      return step;
+      return actions;
     }
   }
-  Push(aState, aCall);
-  StartWaiting(aState, step, aNow);
-  return step;
+  Enqueue(aState, aCall);
+  StartWaiting(aState, actions, aNow);
+  return actions;
 }
 
 AdmissionActions FinishCall(AdmissionState& aState,
@@ -588,19 +605,19 @@
   switch (aEnd) {
     case ExecutionResult::kAnswered:
     case ExecutionResult::kTimedOut:
-      NoteServiceTime(aState, aServiceTime, aNow);
-      NoteRouteService(aState, aRoute, std::max(0.0, ToSeconds(aServiceTime.total_)), aNow);
+      RecordServiceTime(aState, aServiceTime, aNow);
+      RecordRouteServiceTime(aState, aRoute, std::max(0.0, ToSeconds(aServiceTime.total_)), aNow);
       break;
     case ExecutionResult::kTargetRefused:
-      NoteTargetRefusal(aState, aServiceTime.total_, aNow);
+      RecordTargetRefusal(aState, aServiceTime.total_, aNow);
       break;
     case ExecutionResult::kCancelled:
       break;
   }
-  AdmissionActions step;
-  UpdateUpstream(aState, aNow);
-  StartWaiting(aState, step, aNow);
-  return step;
+  AdmissionActions actions;
+  UpdateAdmissionLevel(aState, aNow);
+  StartWaiting(aState, actions, aNow);
+  return actions;
 }
 
 bool CancelWaiting(AdmissionState& aState, std::uint64_t aId)
@@ -612,7 +629,7 @@
         calls.begin(), calls.end(), [aId](const WaitingCall& aCall) { return aCall.id_ == aId; });
       if (call != calls.end()) {
         calls.erase(call);
-        Shrink(aState, queue, 1);
+        RecordRemovedCalls(aState, queue, 1);
         return true;
       }
     }
@@ -622,7 +639,7 @@
 
 AdmissionActions DropLateCalls(AdmissionState& aState, TimePoint aNow)
 {
-  AdmissionActions step;
+  AdmissionActions actions;
   for (ClassQueue& queue : aState.queues_) {
     std::size_t dropped = 0;
     for (auto& entry : queue.accounts_) {
@@ -630,52 +647,52 @@
         if (!MustDrop(aState, aCall, aNow)) {
           return false;
         }
-        Refuse(aState, step, aCall, ErrorCode::kDeadlineExceeded, aNow);
+        RefuseCall(aState, actions, aCall, ErrorCode::kDeadlineExceeded, aNow);
         return true;
       });
     }
-    Shrink(aState, queue, dropped);
+    RecordRemovedCalls(aState, queue, dropped);
   }
-  UpdateUpstream(aState, aNow);
-  StartWaiting(aState, step, aNow);
-  return step;
+  UpdateAdmissionLevel(aState, aNow);
+  StartWaiting(aState, actions, aNow);
+  return actions;
 }
 
 void ApplyAnnouncedSlots(AdmissionState& aState, std::uint32_t aSlots)
 {
   const bool isNew = aSlots > 0 && aSlots != aState.announcedSlots_;
   aState.announcedSlots_ = aSlots;
-  // Growing from the initial limit takes seconds, in which a surge would be refused although slots
-  // are free. Announced slots are believed until the target's behaviour contradicts them.
-  SetLimit(aState, isNew && !aState.contradicted_ ? aSlots : aState.limit_);
+  // Growing from the initial limit takes seconds, in which a surge of calls would be refused
+  // although slots are free. Announced slots are therefore trusted until slotsContradicted_.
+  SetLimit(aState, isNew && !aState.slotsContradicted_ ? aSlots : aState.limit_);
 }
 
 AdmissionLevel CurrentAdmissionLevel(AdmissionState& aState, TimePoint aNow)
 {
-  UpdateUpstream(aState, aNow);
+  UpdateAdmissionLevel(aState, aNow);
   return { static_cast<Importance>(aState.openClasses_ - 1), 1.0 };
 }
 
-void RecordAdmissionLevel(ReceivedAdmissionLevel& aUpstream,
+void RecordAdmissionLevel(ReceivedAdmissionLevel& aReceived,
                           const AdmissionLevel& aLevel,
                           TimePoint aNow)
 {
-  aUpstream.level_ = aLevel;
-  aUpstream.receivedAt_ = aNow;
+  aReceived.level_ = aLevel;
+  aReceived.receivedAt_ = aNow;
 }
 
-bool ShouldSendCall(ReceivedAdmissionLevel& aUpstream, Importance aImportance, TimePoint aNow)
+bool ShouldSendCall(ReceivedAdmissionLevel& aReceived, Importance aImportance, TimePoint aNow)
 {
   const bool known =
-    aUpstream.receivedAt_ != TimePoint{} && aNow - aUpstream.receivedAt_ < kAdmissionLevelLifetime;
+    aReceived.receivedAt_ != TimePoint{} && aNow - aReceived.receivedAt_ < kAdmissionLevelLifetime;
   if (!known || aImportance == Importance::kCritical ||
-      aImportance < aUpstream.level_.lowestAdmitted_) {
+      aImportance < aReceived.level_.lowestAdmitted_) {
     return true;
   }
-  const double fraction = aImportance == aUpstream.level_.lowestAdmitted_
-                            ? std::max(kProbeFraction, aUpstream.level_.admittedFraction_)
-                            : kProbeFraction;
-  return fraction >= 1 || RandomFraction(aUpstream.random_) < fraction;
+  const double fraction = aImportance == aReceived.level_.lowestAdmitted_
+                            ? std::max(kMinProbeFraction, aReceived.level_.admittedFraction_)
+                            : kMinProbeFraction;
+  return fraction >= 1 || RandomFraction(aReceived.random_) < fraction;
 }
 
 } // namespace peridotquay
--- a/peridotquay/request/Admission.h
+++ b/peridotquay/request/Admission.h
@@ -1,5 +1,5 @@
-// Admission to one target: adaptive concurrency limit, queue by importance and fair share, early
-// refusal.
+// Admission control of one target: adaptive concurrency limit, queue ordered by importance and fair
+// share, and refusal at the caller's host before a call is sent.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -22,47 +22,48 @@
 {
   std::uint32_t initialLimit_ = 16;
   std::uint32_t minLimit_ = 2;
-  std::uint32_t maxLimit_ =
-    1000; ///< Never above the target's announced slots, when it announces any.
-  std::uint32_t queueCapacity_ = 1024; ///< Calls over all classes.
-  double queueDeadlineFraction_ = 0.5; ///< Part of a call's time left that it may spend queued.
-  bool adaptive_ = true;               ///< False: the announced slots are the limit.
+  /// Upper bound of the concurrency limit; the target's announced slots are another one.
+  std::uint32_t maxLimit_ = 1000;
+  std::uint32_t queueCapacity_ = 1024; ///< Waiting calls of all classes.
+  double queueDeadlineFraction_ = 0.5; ///< Fraction of its remaining time that a call may wait.
+  bool adaptive_ = true;               ///< If false, the limit stays at the announced slots.
   bool operator==(const AdmissionSettings&) const = default;
 };
 
 /// A call that waits for admission.
 struct WaitingCall
 {
-  std::uint64_t id_ =
-    0; ///< Chosen by the owner of the state; unique among waiting and running calls.
+  /// Chosen by the owner of the state; unique among waiting and running calls.
+  std::uint64_t id_ = 0;
   Importance importance_ = Importance::kNormal;
   ClientAccountId clientAccount_;
-  double weight_ = 1; ///< Share of the client account in its class: its rate.
+  double weight_ = 1; ///< Weight of the client account in fair sharing: its rate.
   TimePoint arrived_{};
   TimePoint deadline_{};
-  RouteId route_{}; ///< Calls of one route take about equally long.
+  RouteId route_{}; ///< Service times are averaged by route.
   bool operator==(const WaitingCall&) const = default;
 };
 
-/// Queue of one importance class: one FIFO per client account, served by weighted fair order.
+/// Queue of one importance class: a FIFO per client account, served by weighted fair queueing.
 struct ClassQueue
 {
   struct AccountQueue
   {
     std::deque<WaitingCall> calls_;
-    double finishTag_ = 0; ///< Virtual finish time of the last served call.
+    double finishTag_ = 0; ///< Virtual finish time of the account's last started call.
   };
   std::map<ClientAccountId, AccountQueue> accounts_;
   double virtualTime_ = 0;
   std::size_t size_ = 0; ///< Invariant: sum of the sizes of accounts_.
 };
 
-/// Measurements from which the limit is adapted. A window ends after enough calls and time; its
-/// mean is compared with the floor. Growth of latency alone doesn't lower the limit for good: a
-/// trial with a lower limit shows whether the latency depends on it.
+/// Measurements from which the concurrency limit is adapted. A window ends after enough calls and
+/// time; its mean service time is compared with the floor, the lowest mean seen so far. A higher
+/// latency alone doesn't lower the limit permanently: a trial with a lower limit shows whether the
+/// latency depends on it.
 struct LimitWindow
 {
-  /// Steps of a trial with a lowered limit.
+  /// State of a trial with a lowered limit.
   enum class Trial : std::uint8_t
   {
     kNone,
@@ -74,60 +75,60 @@
   double sumSeconds_ = 0;
   std::uint32_t peakRunning_ = 0;
   std::uint32_t refusals_ = 0;    ///< Refusals by the target.
-  std::uint32_t slowWindows_ = 0; ///< Finished windows in a row far above the floor.
-  double slowSeconds_ = 0;        ///< Sum of their means.
+  std::uint32_t slowWindows_ = 0; ///< Consecutive windows with a mean far above the floor.
+  double slowSeconds_ = 0;        ///< Sum of the means of slowWindows_.
   Trial trial_ = Trial::kNone;
-  std::uint32_t settling_ = 0; ///< Calls to ignore: they started under an earlier limit.
-  double limitBefore_ = 0;     ///< Limit when the trial began.
-  double latencyBefore_ = 0;   ///< Mean seconds when the trial began.
-  double refusedAt_ = 0;       ///< Limit at the latest refusal by the target; 0 if none.
-  TimePoint lastTrial_{};
-  std::uint32_t refusedWindows_ = 0; ///< Windows in a row with refusals by the target.
-  double limitBeforeRefusals_ = 0;   ///< Limit before they lowered it; 0 if they didn't lately.
-  TimePoint ignoreRefusalsUntil_{};  ///< Until then single refusals don't lower the limit.
+  std::uint32_t ignoredCalls_ =
+    0;                          ///< Ends of calls to ignore: they started under an earlier limit.
+  double limitBeforeTrial_ = 0; ///< Limit at the start of the trial.
+  double latencyBeforeTrialSeconds_ = 0; ///< Mean service time at the start of the trial.
+  double refusedAtLimit_ = 0;            ///< Limit at the latest refusal by the target; 0 if none.
+  TimePoint lastTrialAt_{};
+  std::uint32_t refusedWindows_ = 0; ///< Consecutive windows with refusals by the target.
+  double limitBeforeRefusals_ = 0;   ///< Limit before refusals lowered it; 0 if none did lately.
+  TimePoint ignoreRefusalsUntil_{};  ///< Until this time, few refusals don't lower the limit.
 };
 
 /// Moving average of the service time of one route.
-struct RouteService
+struct RouteServiceTime
 {
   double seconds_ = 0;
-  TimePoint lastSample_{};
+  TimePoint lastSampleAt_{};
 };
 
-/// Most routes whose service times are kept apart.
+/// Maximum number of routes with their own service time.
 inline constexpr std::size_t kMaxServiceRoutes = 256;
 
 /// State of one guard's admission. Changed only through the functions below.
 struct AdmissionState
 {
   AdmissionSettings settings_;
-  double limit_ = 16; ///< minLimit_ to the smaller of maxLimit_ and announced slots.
+  /// Calls that may run at once: minLimit_ to the smaller of maxLimit_ and announcedSlots_.
+  double limit_ = 16;
   std::uint32_t announcedSlots_ = 0;
-  bool contradicted_ = false; ///< The target refused or queued below the limit at least once.
+  bool slotsContradicted_ = false; ///< The target once refused or queued calls below the limit.
   std::uint32_t running_ = 0;
   std::array<ClassQueue, kImportanceClassCount> queues_;
-  std::size_t queued_ = 0;                 ///< Invariant: sum of queues_ sizes.
-  double serviceSeconds_ = 0;              ///< Moving average of service time.
-  TimePoint lastSample_{};                 ///< When serviceSeconds_ got its latest value.
-  std::map<RouteId, RouteService> routes_; ///< At most kMaxServiceRoutes.
-  double floorSeconds_ = 0;                ///< Moving least mean service time of a window.
-  TimePoint floorSince_{}; ///< When the floor was last confirmed or raised by a trial.
-  TimePoint lastDecrease_{};
+  std::size_t queued_ = 0;    ///< Invariant: sum of queues_ sizes.
+  double serviceSeconds_ = 0; ///< Moving average of the service times of all routes.
+  TimePoint lastSampleAt_{};  ///< Time of the latest sample in serviceSeconds_.
+  std::map<RouteId, RouteServiceTime> routes_; ///< At most kMaxServiceRoutes.
+  double floorSeconds_ = 0;      ///< Lowest mean service time of a window; rises after trials.
+  TimePoint floorConfirmedAt_{}; ///< When the floor was last confirmed or raised by a trial.
+  TimePoint lastDecreaseAt_{};
   LimitWindow window_;
-  std::array<double, kImportanceClassCount>
-    offered_{}; ///< Offered calls of each class since countsSince_.
-  std::array<double, kImportanceClassCount>
-    admitted_{}; ///< Started calls of each class since countsSince_.
-  std::array<double, kImportanceClassCount>
-    shed_{}; ///< Refused or dropped calls of each class since countsSince_.
+  /// Offered, started, and refused or dropped calls of each class since countsSince_.
+  std::array<double, kImportanceClassCount> offered_{};
+  std::array<double, kImportanceClassCount> admitted_{};
+  std::array<double, kImportanceClassCount> shed_{};
   TimePoint countsSince_{};
-  std::uint32_t starvedIntervals_ =
-    0; ///< Intervals in a row in which the lowest open class starved.
-  std::size_t openClasses_ =
-    kImportanceClassCount; ///< Classes that callers' hosts should send, 1 to 4.
+  /// Consecutive intervals in which hardly any call of the lowest open class was started.
+  std::uint32_t starvedIntervals_ = 0;
+  /// Number of classes, from the most important down, that callers' hosts should send: 1 to 4.
+  std::size_t openClasses_ = kImportanceClassCount;
 };
 
-/// A call that was refused before it started, with the reason. Always "not run".
+/// A call that was refused before it started, with the reason. Its outcome is always "not run".
 struct RefusedCall
 {
   std::uint64_t id_ = 0;
@@ -136,7 +137,7 @@
   bool operator==(const RefusedCall&) const = default;
 };
 
-/// What the owner of the state must do now: start these calls, refuse those.
+/// Calls that the owner of the state must start and refuse now.
 struct AdmissionActions
 {
   std::vector<std::uint64_t> start_;
@@ -144,14 +145,15 @@
   bool operator==(const AdmissionActions&) const = default;
 };
 
-/// Offers a call: it is started, queued, or refused; it may push out a less important queued call.
+/// Starts, queues or refuses a call. If the queue is full, a less important waiting call may be
+/// refused in its place.
 AdmissionActions OfferCall(AdmissionState& aState, const WaitingCall& aCall, TimePoint aNow);
 
-/// How a started call ended, as far as the limit is concerned.
+/// How a started call ended, as the adaptation of the limit needs it.
 enum class ExecutionResult : std::uint8_t
 {
   kAnswered,
-  kTargetRefused, ///< The target shed it.
+  kTargetRefused, ///< The target refused the call.
   kTimedOut,
   kCancelled ///< Says nothing about the target.
 };
@@ -159,7 +161,7 @@
 /// How long a started call ran.
 struct ServiceTime
 {
-  /// A call without deeper calls: all of its time is the target's own.
+  /// For a call without deeper calls: all of its time is the target's own.
   template<typename Rep, typename Period>
   ServiceTime(std::chrono::duration<Rep, Period> aTotal)
     : total_(aTotal)
@@ -171,8 +173,9 @@
     , own_(aOwn)
   {
   }
-  Duration total_; ///< From start to end; decides which calls come too late.
-  Duration own_;   ///< Without the time in which deeper calls were outstanding; adapts the limit.
+  Duration total_; ///< From start to end; used to find calls that would miss their deadline.
+  Duration
+    own_; ///< Without the time in which deeper calls were outstanding; used to adapt the limit.
 };
 
 /// Frees the slot of a started call, adapts the limit and starts waiting calls.
@@ -185,36 +188,38 @@
 /// Removes a waiting call that its caller cancelled; false if it isn't waiting.
 bool CancelWaiting(AdmissionState& aState, std::uint64_t aId);
 
-/// Refuses waiting calls that can't meet their deadline any more. Call at least every 10 ms while
+/// Refuses waiting calls that can't meet their deadline any more. Called at least every 10 ms while
 /// calls wait.
 AdmissionActions DropLateCalls(AdmissionState& aState, TimePoint aNow);
 
-/// Takes the target's announced slots; 0 means not announced. The limit goes to newly announced
-/// slots unless the target has contradicted them; waiting calls start with the next step.
+/// Applies the number of slots that the target announces; 0 means not announced. The limit is set
+/// to newly announced slots unless slotsContradicted_. Waiting calls start with the next call of
+/// OfferCall, FinishCall or DropLateCalls.
 void ApplyAnnouncedSlots(AdmissionState& aState, std::uint32_t aSlots);
 
-/// What the guard admits at present, for answers.
+/// The least important class that the guard admits at present; sent to callers with each answer.
 AdmissionLevel CurrentAdmissionLevel(AdmissionState& aState, TimePoint aNow);
 
-/// Admission level of one service as a caller's host remembers it from answers.
+/// Admission level that a caller's host received with the latest answer of a guard.
 struct ReceivedAdmissionLevel
 {
   AdmissionLevel level_;
   TimePoint receivedAt_{};
-  std::uint64_t random_ = 0x9E3779B97F4A7C15ULL; ///< State of the generator; seeded by the owner.
+  std::uint64_t random_ =
+    0x9E3779B97F4A7C15ULL; ///< State of the random generator; seeded by the owner.
 };
 
-/// A level older than this is forgotten.
+/// An older received level is ignored.
 inline constexpr Duration kAdmissionLevelLifetime = seconds(1);
 
-/// Takes the level of an answer. The more restrictive of two levels younger than
-/// kAdmissionLevelLifetime doesn't win: the later does.
-void RecordAdmissionLevel(ReceivedAdmissionLevel& aUpstream,
+/// Stores the level of an answer. It replaces an earlier one, also a more restrictive one.
+void RecordAdmissionLevel(ReceivedAdmissionLevel& aReceived,
                           const AdmissionLevel& aLevel,
                           TimePoint aNow);
 
-/// Whether a call of the class should be sent at all; lets 1 % of a shed class through as a probe.
-/// `critical` is always sent: a probe of a lower class could be admitted while it is refused here.
-bool ShouldSendCall(ReceivedAdmissionLevel& aUpstream, Importance aImportance, TimePoint aNow);
+/// Whether the caller's host should send a call of the class or refuse it at once. At least 1 % of
+/// a closed class is sent as probes. `critical` is always sent: otherwise a probe of a lower class
+/// could be admitted while a critical call is refused here.
+bool ShouldSendCall(ReceivedAdmissionLevel& aReceived, Importance aImportance, TimePoint aNow);
 
 } // namespace peridotquay
--- a/peridotquay/request/CallContext.cpp
+++ b/peridotquay/request/CallContext.cpp
@@ -66,7 +66,7 @@
 std::string NewContextToken()
 {
   std::array<unsigned char, 16> bytes{};
-  // Without random bytes tokens could be guessed, which would give away accounts and budgets.
+  // Tokens that can be guessed would let others use the accounts and retry budgets of a call.
   if (RAND_bytes(bytes.data(), static_cast<int>(bytes.size())) != 1) {
     std::abort();
   }
--- a/peridotquay/request/CallContext.h
+++ b/peridotquay/request/CallContext.h
@@ -1,5 +1,5 @@
-// Contexts of calls that run at the local target. Deeper calls name their context by an opaque
-// token.
+// Contexts of calls that run at the local target. A deeper call is one that the target makes while
+// it serves a call; it names the context of that call by an opaque token.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -15,10 +15,10 @@
 
 namespace peridotquay {
 
-/// Deepest chain of calls.
+/// Maximum depth of a chain of calls.
 inline constexpr std::uint8_t kMaxDepth = 8;
 
-/// Most contexts at once; more are refused.
+/// Maximum number of contexts; calls beyond it are refused.
 inline constexpr std::size_t kMaxContexts = 8192;
 
 /// Context of one running call.
@@ -29,9 +29,9 @@
   ClientAccountId clientAccount_;
   Importance importance_ = Importance::kLow;
   std::uint8_t depth_ = 0;
-  std::uint32_t deeperCalls_ = 0; ///< Deeper calls outstanding.
-  TimePoint deeperSince_{};       ///< With deeperCalls_ > 0: since when any is outstanding.
-  Duration deeperTime_{};         ///< Time in which any was outstanding, up to deeperSince_.
+  std::uint32_t deeperCalls_ = 0; ///< Outstanding deeper calls.
+  TimePoint deeperSince_{};       ///< If deeperCalls_ > 0: since when at least one is outstanding.
+  Duration deeperTime_{}; ///< Time before deeperSince_ in which at least one was outstanding.
   bool operator==(const CallContext&) const = default;
 };
 
@@ -52,16 +52,16 @@
 /// count.
 std::uint32_t CloseContext(ContextTable& aTable, std::string_view aToken);
 
-/// Counts a deeper call as started.
+/// Records the start of a deeper call.
 void BeginDeeperCall(CallContext& aContext, TimePoint aNow);
 
-/// Counts a deeper call as ended.
+/// Records the end of a deeper call.
 void EndDeeperCall(CallContext& aContext, TimePoint aNow);
 
-/// Time up to now in which deeper calls were outstanding.
+/// Time until aNow in which at least one deeper call was outstanding.
 Duration DeeperTime(const CallContext& aContext, TimePoint aNow);
 
-/// A new token.
+/// A new random token: 32 hex digits.
 std::string NewContextToken();
 
 } // namespace peridotquay
--- a/peridotquay/request/FailureMeter.cpp
+++ b/peridotquay/request/FailureMeter.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr double kHalfLife = 1.0; ///< Seconds.
+constexpr double kHalfLifeSeconds = 1.0;
 
-/// Fewer recent answers than this say nothing: one failure would be a large part of them.
-constexpr double kLeastAnswers = 5;
+/// With fewer recent answers, a single failure would be a large fraction of them.
+constexpr double kMinAnswers = 5;
 
 double Decay(const FailureMeter& aMeter, TimePoint aNow)
 {
-  return std::exp2(-std::max(0.0, ToSeconds(aNow - aMeter.updated_)) / kHalfLife);
+  return std::exp2(-std::max(0.0, ToSeconds(aNow - aMeter.updated_)) / kHalfLifeSeconds);
 }
 
 } // namespace
@@ -30,7 +30,7 @@
 
 std::uint32_t FailedPercent(const FailureMeter& aMeter, TimePoint aNow)
 {
-  if (aMeter.total_ * Decay(aMeter, aNow) < kLeastAnswers) {
+  if (aMeter.total_ * Decay(aMeter, aNow) < kMinAnswers) {
     return 0;
   }
   return static_cast<std::uint32_t>(std::lround(100 * aMeter.failed_ / aMeter.total_));
--- a/peridotquay/request/FailureMeter.h
+++ b/peridotquay/request/FailureMeter.h
@@ -1,4 +1,4 @@
-// Part of a target's recent answers that are failures.
+// Fraction of a target's recent answers that are failures.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -7,7 +7,7 @@
 
 namespace peridotquay {
 
-/// Counts that halve each second.
+/// Exponentially decaying counts of answers. They halve each second.
 struct FailureMeter
 {
   double failed_ = 0;
@@ -15,9 +15,10 @@
   TimePoint updated_{};
 };
 
+/// Counts an answer of the target.
 void RecordAnswer(FailureMeter& aMeter, bool aFailed, TimePoint aNow);
 
-/// Per cent of recent answers that failed; 0 while there are too few to tell.
+/// Percentage of recent answers that failed; 0 if there are too few answers.
 std::uint32_t FailedPercent(const FailureMeter& aMeter, TimePoint aNow);
 
 } // namespace peridotquay
--- a/peridotquay/request/NaivePolicy.h
+++ b/peridotquay/request/NaivePolicy.h
@@ -1,5 +1,5 @@
-// The baseline that the product is compared with: round robin, three retries at every hop, a full
-// token bucket in each process, everything admitted.
+// Baseline policy for comparison in benchmarks: round robin, three retries at every hop, a token
+// bucket with the account's full rate in each process, and no admission control.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -13,7 +13,7 @@
 
 namespace peridotquay {
 
-/// Retries of one call at one hop; hops don't know of each other's retries.
+/// Maximum number of retries of one call at one hop, whatever other hops retried.
 inline constexpr std::uint32_t kNaiveRetries = 3;
 
 /// A plain token bucket.
@@ -26,7 +26,7 @@
 /// State of the baseline in one process.
 struct NaiveState
 {
-  std::map<ServiceId, std::uint64_t> next_; ///< Position of the round robin for each service.
+  std::map<ServiceId, std::uint64_t> next_; ///< Round robin position of each service.
   std::map<ClientAccountId, NaiveBucket> buckets_;
 };
 
@@ -35,10 +35,10 @@
                                         const TargetView& aView,
                                         const ServiceId& aService);
 
-/// Takes one token from this process's bucket, which has the account's full rate and burst.
+/// Consumes one token of this process's bucket, which has the account's full rate and burst.
 bool TakeNaiveToken(NaiveState& aState, const ClientAccount& aAccount, TimePoint aNow);
 
-/// Whether a call is sent again after aRetries retries at this hop.
+/// Whether a failed call is retried after aRetries retries at this hop.
 bool NaiveRetries(std::uint32_t aRetries);
 
 } // namespace peridotquay
--- a/peridotquay/request/Outcome.h
+++ b/peridotquay/request/Outcome.h
@@ -7,13 +7,13 @@
 
 namespace peridotquay {
 
-/// What is known of a request after its last attempt.
+/// What is known about a request after its last attempt.
 enum class Outcome : std::uint8_t
 {
-  kRan,    ///< A target ran it and its whole answer is here.
-  kNotRun, ///< Certain: no byte left for a target, or the guard or the target said that it did not
+  kRan,    ///< A target ran it and its complete answer was received.
+  kNotRun, ///< No byte was sent to a target, or the guard or the target stated that it did not
            ///< start.
-  kUnknown ///< Anything else. Always HTTP status 504.
+  kUnknown ///< All other cases. Always HTTP status 504.
 };
 
 /// Importance class of a route, most important first.
--- a/peridotquay/request/Random.h
+++ b/peridotquay/request/Random.h
@@ -1,4 +1,4 @@
-// Small deterministic generator for decisions, seeded by the owner of the state.
+// Small deterministic random generator for routing and admission, seeded by the owner of its state.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
   return bits ^ (bits >> 31U);
 }
 
-/// Uniform number from 0 up to, not including, 1.
+/// Uniform number in [0, 1).
 inline double RandomFraction(std::uint64_t& aState)
 {
   return static_cast<double>(RandomBits(aState) >> 11U) * 0x1.0p-53;
--- a/peridotquay/request/RateShare.cpp
+++ b/peridotquay/request/RateShare.cpp
@@ -1,4 +1,4 @@
-// Estimate of the tokens that all hosts have left, and this host's part of them.
+// Estimates the tokens that are left for all hosts, and this host's share of them.
 #include "peridotquay/request/RateShare.h"
 
 #include <algorithm>
@@ -8,97 +8,100 @@
 
 namespace {
 
-/// Time constant of the moving average of wanted tokens.
+/// Time constant of the moving average of requested tokens.
 constexpr double kDemandSeconds = 2.0;
 
-/// Every host's demand counts as at least this part of the mean, so that a host whose demand begins
-/// has a share at once.
-constexpr double kLeastDemandPart = 0.1;
+/// Every host's demand counts as at least this fraction of the mean, so that a host whose demand
+/// begins has a share at once.
+constexpr double kMinDemandFraction = 0.1;
 
-/// Tokens that a host may always take at once while any are left, so that two requests of a small
-/// account that come together are served.
-constexpr double kLeastCredit = 2;
+/// Minimum bound of a host's credit, so that two simultaneous requests of a small account are
+/// served.
+constexpr double kMinCredit = 2;
 
-/// Reports in one datagram.
-constexpr std::size_t kReportsAtOnce = 8;
+/// Maximum number of reports in one datagram.
+constexpr std::size_t kMaxReportsPerDatagram = 8;
 
-/// Weight of the rate before a report in the moving average of a host's use.
-constexpr double kSlowerRate = 0.6;
+/// Weight of the previous rate in the moving average of a host's use.
+constexpr double kPreviousRateWeight = 0.6;
 
-/// Each so many reports one names all accounts with use.
-constexpr std::uint64_t kWholeReports = 8;
+/// Every report whose sequence is a multiple of this names all accounts with use.
+constexpr std::uint64_t kFullReportInterval = 8;
 
-/// Below so many requests a second an assumed use is dropped.
-constexpr double kNoRate = 0.05;
+/// An assumed use below this many tokens per second is dropped.
+constexpr double kMinAssumedPerSecond = 0.05;
 
-/// Reports that come closer together say little of the rate between them.
-constexpr double kLeastRateSeconds = 0.1;
+/// A rate is computed over at least this time: reports that follow each other closely say little of
+/// the rate between them.
+constexpr double kMinRateSeconds = 0.1;
 
-/// Bounds of the hint when to come back.
-constexpr double kLeastRetryMs = 20;
-constexpr double kLongestRetryMs = 2000;
+/// Bounds of the retry hint.
+constexpr double kMinRetryMs = 20;
+constexpr double kMaxRetryMs = 2000;
 
-/// Whether no host is heard although several should be. A host that is cut off alone notices it so
-/// long before each of the others counts as silent.
+/// Whether this host is cut off: no report of any host was received for long enough. A host that is
+/// cut off alone detects it this way before the others count as silent one by one.
 bool IsIsolated(const RateShareState& aState, TimePoint aNow)
 {
   const RateShareSettings& settings = aState.settings_;
   const auto hosts = static_cast<std::int64_t>(std::max<std::size_t>(1, aState.hosts_.size()));
-  return aNow - aState.heard_ >
-         std::max<Duration>(settings.isolation_, 2 * settings.silence_ / hosts);
+  return aNow - aState.lastReceivedAt_ >
+         std::max<Duration>(settings.isolationTimeout_, 2 * settings.silenceTimeout_ / hosts);
 }
 
-/// Part of all hosts that this one hears, itself included. The others keep their equal part.
-double HeardPart(const RateShareState& aState)
+/// Fraction of all hosts that aren't silent, this one included. Silent hosts keep an equal share.
+double ActiveFraction(const RateShareState& aState)
 {
   const double all = static_cast<double>(aState.hosts_.size()) + 1;
-  return (1 + static_cast<double>(aState.heardHosts_)) / all;
+  return (1 + static_cast<double>(aState.activeHosts_)) / all;
 }
 
-/// This host's part of the demand of all hosts that it hears.
-double DemandPart(const RateShareState& aState, const AccountShare& aAccount)
+/// This host's fraction of the demand of all hosts that aren't silent.
+double DemandFraction(const RateShareState& aState, const AccountShare& aAccount)
 {
-  const double hosts = 1 + static_cast<double>(aState.heardHosts_);
+  const double hosts = 1 + static_cast<double>(aState.activeHosts_);
   const double total = aAccount.demand_ + aAccount.peersPerSecond_;
-  const double least = kLeastDemandPart * total / hosts + 1e-6;
-  return (aAccount.demand_ + least) / (total + least * hosts);
+  const double minDemand = kMinDemandFraction * total / hosts + 1e-6;
+  return (aAccount.demand_ + minDemand) / (total + minDemand * hosts);
 }
 
-/// Tokens that this host may take before it hears what others took: its part of what is left, and
-/// of what the limit may be exceeded by. Over all hosts that is no more than both together.
-double MostCredit(const RateShareState& aState, const AccountShare& aAccount, double aPart)
+/// Tokens that this host may grant before it knows what others granted: its share of the tokens
+/// that are left and of the allowed overshoot. The sum over all hosts is at most both together.
+double MaxCredit(const RateShareState& aState, const AccountShare& aAccount, double aPart)
 {
   const RateShareSettings& settings = aState.settings_;
   const double overshoot =
-    settings.overshootPart_ * (settings.overshootSeconds_ * aAccount.rate_ + aAccount.burst_) +
+    settings.overshootFraction_ * (settings.overshootSeconds_ * aAccount.rate_ + aAccount.burst_) +
     settings.overshootRequests_;
   const double hosts = static_cast<double>(aState.hosts_.size()) + 1;
   return std::max(0.0, aAccount.level_) * aPart + overshoot / hosts;
 }
 
-/// Time since the last update in which this host earned credit. A host that has heard nobody for a
-/// moment may be cut off; then the others can't know what it takes.
+/// Time since the last update in which this host earned credit. It ends creditPeriod_ after the
+/// last report of another host: this host may be cut off, and then the others can't know what it
+/// grants.
 double EarningSeconds(const RateShareState& aState, const AccountShare& aAccount, TimePoint aNow)
 {
-  const TimePoint end =
-    aState.heardHosts_ == 0 ? aNow : std::min(aNow, aState.heard_ + aState.settings_.earnTime_);
-  return std::max(0.0, ToSeconds(end - aAccount.updated_));
+  const TimePoint end = aState.activeHosts_ == 0
+                          ? aNow
+                          : std::min(aNow, aState.lastReceivedAt_ + aState.settings_.creditPeriod_);
+  return std::max(0.0, ToSeconds(end - aAccount.updatedAt_));
 }
 
-/// Moves the account to aNow: refill, assumed use of other hosts, credit of this host.
+/// Advances the account to aNow: refill, assumed use of other hosts, credit of this host.
 void Advance(const RateShareState& aState, AccountShare& aAccount, TimePoint aNow)
 {
-  const double elapsed = std::max(0.0, ToSeconds(aNow - aAccount.updated_));
+  const double elapsed = std::max(0.0, ToSeconds(aNow - aAccount.updatedAt_));
   const double earning = EarningSeconds(aState, aAccount, aNow);
-  aAccount.updated_ = std::max(aAccount.updated_, aNow);
-  const double heard = HeardPart(aState);
-  aAccount.level_ += (aAccount.rate_ * heard - aAccount.peersPerSecond_) * elapsed;
-  aAccount.level_ = std::min(aAccount.level_, aAccount.burst_ * heard);
+  aAccount.updatedAt_ = std::max(aAccount.updatedAt_, aNow);
+  const double active = ActiveFraction(aState);
+  aAccount.level_ += (aAccount.rate_ * active - aAccount.peersPerSecond_) * elapsed;
+  aAccount.level_ = std::min(aAccount.level_, aAccount.burst_ * active);
   aAccount.demand_ *= std::exp(-elapsed / kDemandSeconds);
-  const double most =
-    std::max(kLeastCredit, MostCredit(aState, aAccount, DemandPart(aState, aAccount)));
-  aAccount.credit_ =
-    std::min(aAccount.credit_ + most * earning / ToSeconds(aState.settings_.spread_), most);
+  const double maxCredit =
+    std::max(kMinCredit, MaxCredit(aState, aAccount, DemandFraction(aState, aAccount)));
+  aAccount.credit_ = std::min(
+    aAccount.credit_ + maxCredit * earning / ToSeconds(aState.settings_.spreadPeriod_), maxCredit);
 }
 
 void AdvanceAll(RateShareState& aState, TimePoint aNow)
@@ -108,8 +111,9 @@
   }
 }
 
-/// Ends the assumption that a host goes on as it reported last. What was assumed stays counted.
-void StopAssuming(RateShareState& aState, SharePeer& aPeer, TimePoint aNow)
+/// Marks a host as silent: its use is no longer assumed to continue. What was assumed until aNow
+/// stays counted.
+void StopAssumingUse(RateShareState& aState, SharePeer& aPeer, TimePoint aNow)
 {
   for (auto& [id, use] : aPeer.uses_) {
     const auto account = aState.accounts_.find(id);
@@ -122,16 +126,16 @@
     use.since_ = aNow;
   }
   aPeer.silent_ = true;
-  --aState.heardHosts_;
+  --aState.activeHosts_;
 }
 
-/// Finds hosts that fell silent.
-void UpdateSilence(RateShareState& aState, TimePoint aNow)
+/// Marks hosts that sent no report for silenceTimeout_ as silent, or all if this host is cut off.
+void MarkSilentHosts(RateShareState& aState, TimePoint aNow)
 {
   const bool isolated = IsIsolated(aState, aNow);
   bool advanced = false;
   for (auto& [host, peer] : aState.peers_) {
-    const bool silent = isolated || aNow - peer.heard_ > aState.settings_.silence_;
+    const bool silent = isolated || aNow - peer.lastReceivedAt_ > aState.settings_.silenceTimeout_;
     if (!silent || peer.silent_) {
       continue;
     }
@@ -139,7 +143,7 @@
       AdvanceAll(aState, aNow);
       advanced = true;
     }
-    StopAssuming(aState, peer, aNow);
+    StopAssumingUse(aState, peer, aNow);
   }
 }
 
@@ -160,26 +164,26 @@
   aState.grants_.erase(grant);
 }
 
-/// Whether another host was heard lately enough to relay.
+/// Whether another host's last report is recent enough for it to be a relay.
 bool MayRelay(const RateShareState& aState, const HostId& aHost, TimePoint aNow)
 {
   const auto peer = aState.peers_.find(aHost);
-  const auto place = aState.hosts_.find(aHost);
-  if (peer == aState.peers_.end() || place == aState.hosts_.end() ||
-      peer->second.heard_ == TimePoint{}) {
+  const auto location = aState.hosts_.find(aHost);
+  if (peer == aState.peers_.end() || location == aState.hosts_.end() ||
+      peer->second.lastReceivedAt_ == TimePoint{}) {
     return false;
   }
-  const bool near = place->second.region_ == aState.location_.region_;
-  return aNow - peer->second.heard_ <=
-         (near ? aState.settings_.nearRelaySilence_ : aState.settings_.farRelaySilence_);
+  const bool near = location->second.region_ == aState.location_.region_;
+  return aNow - peer->second.lastReceivedAt_ <=
+         (near ? aState.settings_.nearRelayTimeout_ : aState.settings_.farRelayTimeout_);
 }
 
 /// The host that relays for this region, which is also a relay of its data centre; empty if this
 /// host does.
 std::optional<HostId> RegionRelay(const RateShareState& aState, TimePoint aNow)
 {
-  for (const auto& [host, place] : aState.hosts_) {
-    if (host < aState.host_ && place.region_ == aState.location_.region_ &&
+  for (const auto& [host, location] : aState.hosts_) {
+    if (host < aState.host_ && location.region_ == aState.location_.region_ &&
         MayRelay(aState, host, aNow)) {
       return host;
     }
@@ -190,31 +194,32 @@
 std::vector<HostId> HostsOfDataCentre(const RateShareState& aState)
 {
   std::vector<HostId> hosts;
-  for (const auto& [host, place] : aState.hosts_) {
-    if (place == aState.location_) {
+  for (const auto& [host, location] : aState.hosts_) {
+    if (location == aState.location_) {
       hosts.push_back(host);
     }
   }
   return hosts;
 }
 
-/// Hosts by the place that they share.
-using Places = std::map<std::pair<RegionId, DataCentreId>, std::vector<HostId>>;
+/// Hosts by data centre, or by region with an empty data centre.
+using HostsByLocation = std::map<std::pair<RegionId, DataCentreId>, std::vector<HostId>>;
 
-/// The relay of each place: its first host that was heard lately. Of a place without one, its first
-/// host and the others are tried by turns: the first may be down for good.
+/// The relay of each location: its first host with a recent report. Where there is none, the
+/// searches alternate between the first host and each of the others in turn, because the first may
+/// be down permanently.
 std::vector<HostId> RelaysOf(const RateShareState& aState,
-                             const Places& aPlaces,
-                             std::uint64_t& aRound,
+                             const HostsByLocation& aHostsByLocation,
+                             std::uint64_t& aSearches,
                              TimePoint aNow)
 {
   std::vector<HostId> relays;
-  ++aRound;
-  for (const auto& [place, hosts] : aPlaces) {
+  ++aSearches;
+  for (const auto& [location, hosts] : aHostsByLocation) {
     const auto relay = std::find_if(hosts.begin(), hosts.end(), [&](const HostId& aHost) {
       return MayRelay(aState, aHost, aNow);
     });
-    const std::size_t next = aRound % 2 == 0 ? 0 : aRound / 2 % hosts.size();
+    const std::size_t next = aSearches % 2 == 0 ? 0 : aSearches / 2 % hosts.size();
     relays.push_back(relay != hosts.end() ? *relay : hosts[next]);
   }
   return relays;
@@ -223,26 +228,26 @@
 /// Relays of the other data centres of the region.
 std::vector<HostId> NearRelays(RateShareState& aState, TimePoint aNow)
 {
-  Places places;
-  for (const auto& [host, place] : aState.hosts_) {
-    if (place.region_ == aState.location_.region_ &&
-        place.dataCentre_ != aState.location_.dataCentre_) {
-      places[{ place.region_, place.dataCentre_ }].push_back(host);
+  HostsByLocation hostsByLocation;
+  for (const auto& [host, location] : aState.hosts_) {
+    if (location.region_ == aState.location_.region_ &&
+        location.dataCentre_ != aState.location_.dataCentre_) {
+      hostsByLocation[{ location.region_, location.dataCentre_ }].push_back(host);
     }
   }
-  return RelaysOf(aState, places, aState.nearRounds_, aNow);
+  return RelaysOf(aState, hostsByLocation, aState.nearRelaySearches_, aNow);
 }
 
 /// Relays of the other regions.
 std::vector<HostId> FarRelays(RateShareState& aState, TimePoint aNow)
 {
-  Places places;
-  for (const auto& [host, place] : aState.hosts_) {
-    if (place.region_ != aState.location_.region_) {
-      places[{ place.region_, {} }].push_back(host);
+  HostsByLocation hostsByLocation;
+  for (const auto& [host, location] : aState.hosts_) {
+    if (location.region_ != aState.location_.region_) {
+      hostsByLocation[{ location.region_, {} }].push_back(host);
     }
   }
-  return RelaysOf(aState, places, aState.farRounds_, aNow);
+  return RelaysOf(aState, hostsByLocation, aState.farRelaySearches_, aNow);
 }
 
 bool IsReportDue(const RateShareState& aState, TimePoint aNow)
@@ -252,22 +257,23 @@
     std::any_of(aState.accounts_.begin(), aState.accounts_.end(), [&](const auto& aEntry) {
       const AccountShare& share = aEntry.second;
       return std::abs(share.used_ - share.reported_) >=
-             std::max(1.0, aState.settings_.reportPart_ * share.burst_);
+             std::max(1.0, aState.settings_.reportFraction_ * share.burst_);
     });
-  return age >= aState.settings_.idleReport_ || (used && age >= aState.settings_.reportInterval_);
+  return age >= aState.settings_.idleReportInterval_ ||
+         (used && age >= aState.settings_.reportInterval_);
 }
 
-/// The own report: accounts whose use changed, or all with use from time to time, because reports
-/// may be lost.
+/// The own report: accounts whose use changed, or every kFullReportInterval reports all accounts
+/// with use, because reports may be lost.
 RateReport OwnReport(RateShareState& aState)
 {
-  const bool whole = aState.sequence_ % kWholeReports == 0;
+  const bool full = aState.sequence_ % kFullReportInterval == 0;
   RateReport report{ aState.host_, aState.incarnation_, aState.sequence_, {} };
   for (auto& [id, share] : aState.accounts_) {
-    if (share.used_ != share.reported_ || (whole && share.used_ >= 1)) {
+    if (share.used_ != share.reported_ || (full && share.used_ >= 1)) {
       report.uses_.push_back({ id, static_cast<std::uint64_t>(std::max(0.0, share.used_)) });
       share.reported_ = share.used_;
-      share.changed_ = aState.sequence_;
+      share.changedInReport_ = aState.sequence_;
     }
   }
   return report;
@@ -282,7 +288,7 @@
   if (aState.sequence_ > ownRelayed) {
     RateReport report{ aState.host_, aState.incarnation_, aState.sequence_, {} };
     for (const auto& [id, share] : aState.accounts_) {
-      if (share.changed_ > ownRelayed) {
+      if (share.changedInReport_ > ownRelayed) {
         report.uses_.push_back({ id, static_cast<std::uint64_t>(std::max(0.0, share.reported_)) });
       }
     }
@@ -290,17 +296,17 @@
     reports.push_back(std::move(report));
   }
   for (auto& [host, peer] : aState.peers_) {
-    const auto place = aState.hosts_.find(host);
-    const bool ours =
-      place != aState.hosts_.end() && (aFar ? place->second.region_ == aState.location_.region_
-                                            : place->second == aState.location_);
+    const auto location = aState.hosts_.find(host);
+    const bool ours = location != aState.hosts_.end() &&
+                      (aFar ? location->second.region_ == aState.location_.region_
+                            : location->second == aState.location_);
     std::uint64_t& relayed = aFar ? peer.relayedFar_ : peer.relayedNear_;
     if (!ours || peer.silent_ || peer.sequence_ <= relayed) {
       continue;
     }
     RateReport report{ host, peer.incarnation_, peer.sequence_, {} };
     for (const auto& [id, use] : peer.uses_) {
-      if (use.changed_ > relayed) {
+      if (use.changedInReport_ > relayed) {
         report.uses_.push_back({ id, static_cast<std::uint64_t>(use.used_) });
       }
     }
@@ -310,27 +316,29 @@
   return reports;
 }
 
-/// Adds reports to the steps, as many datagrams as they need.
-void AddSteps(std::vector<OutgoingReports>& aSteps,
-              const HostId& aSender,
-              const std::vector<RateReport>& aReports,
-              const std::vector<HostId>& aTo)
+/// Adds reports to aOutgoing, split by kMaxReportsPerDatagram.
+void AddOutgoingReports(std::vector<OutgoingReports>& aOutgoing,
+                        const HostId& aSender,
+                        const std::vector<RateReport>& aReports,
+                        const std::vector<HostId>& aTo)
 {
-  for (std::size_t first = 0; !aTo.empty() && first < aReports.size(); first += kReportsAtOnce) {
+  for (std::size_t first = 0; !aTo.empty() && first < aReports.size();
+       first += kMaxReportsPerDatagram) {
     const auto begin = aReports.begin() + static_cast<std::ptrdiff_t>(first);
-    const auto end = aReports.begin() +
-                     static_cast<std::ptrdiff_t>(std::min(first + kReportsAtOnce, aReports.size()));
-    aSteps.push_back({ { aSender, { begin, end } }, aTo });
+    const auto end =
+      aReports.begin() +
+      static_cast<std::ptrdiff_t>(std::min(first + kMaxReportsPerDatagram, aReports.size()));
+    aOutgoing.push_back({ { aSender, { begin, end } }, aTo });
   }
 }
 
-/// Takes what a host used of one account.
-void NoteUse(RateShareState& aState,
-             SharePeer& aPeer,
-             const AccountUse& aUse,
-             double aSeconds,
-             bool aWasSilent,
-             TimePoint aNow)
+/// Applies the reported use of one account by a host.
+void ApplyUse(RateShareState& aState,
+              SharePeer& aPeer,
+              const AccountUse& aUse,
+              double aSeconds,
+              bool aWasSilent,
+              TimePoint aNow)
 {
   const auto account = aState.accounts_.find(aUse.account_);
   if (account == aState.accounts_.end()) {
@@ -338,30 +346,30 @@
   }
   AccountShare& share = account->second;
   Advance(aState, share, aNow);
-  const bool unknown = !aPeer.complete_ && !aPeer.uses_.contains(aUse.account_);
+  const bool unknown = !aPeer.allUsesKnown_ && !aPeer.uses_.contains(aUse.account_);
   PeerUse& known = aPeer.uses_[aUse.account_];
   const double assumed = known.perSecond_ * std::max(0.0, ToSeconds(aNow - known.since_));
   const double more = static_cast<double>(aUse.used_) - known.used_;
   known.used_ = static_cast<double>(aUse.used_);
   known.since_ = aNow;
-  known.changed_ = aPeer.sequence_;
-  // Use before this host heard of the other one is in the past.
+  known.changedInReport_ = aPeer.sequence_;
+  // Use before the first report that this host received from the other one isn't new.
   if (aSeconds <= 0 || unknown) {
     return;
   }
   share.level_ = std::min(share.level_ - more + assumed, share.burst_);
-  const double rate = std::max(0.0, more) / std::max(aSeconds, kLeastRateSeconds);
+  const double rate = std::max(0.0, more) / std::max(aSeconds, kMinRateSeconds);
   const double before = known.perSecond_;
-  const double slower = aWasSilent ? 0 : kSlowerRate;
+  const double slower = aWasSilent ? 0 : kPreviousRateWeight;
   known.perSecond_ = slower * before + (1 - slower) * rate;
   share.peersPerSecond_ = std::max(0.0, share.peersPerSecond_ + known.perSecond_ - before);
 }
 
-/// Lowers the assumed use of accounts that a report doesn't name: they weren't used.
-void NoteUnused(RateShareState& aState, SharePeer& aPeer, TimePoint aNow)
+/// Lowers the assumed use of accounts that a host's last report doesn't name: they weren't used.
+void ApplyNoUse(RateShareState& aState, SharePeer& aPeer, TimePoint aNow)
 {
   for (auto& [id, use] : aPeer.uses_) {
-    if (use.changed_ == aPeer.sequence_ || use.perSecond_ <= 0) {
+    if (use.changedInReport_ == aPeer.sequence_ || use.perSecond_ <= 0) {
       continue;
     }
     const auto account = aState.accounts_.find(id);
@@ -374,13 +382,13 @@
       share.level_ + use.perSecond_ * std::max(0.0, ToSeconds(aNow - use.since_)), share.burst_);
     use.since_ = aNow;
     const double before = use.perSecond_;
-    use.perSecond_ = before < kNoRate ? 0 : kSlowerRate * before;
+    use.perSecond_ = before < kMinAssumedPerSecond ? 0 : kPreviousRateWeight * before;
     share.peersPerSecond_ = std::max(0.0, share.peersPerSecond_ + use.perSecond_ - before);
   }
 }
 
-/// Takes what another host used; false if the report tells nothing new.
-bool NoteReport(RateShareState& aState, const RateReport& aReport, TimePoint aNow)
+/// Applies a report of another host; false if it is late, repeated or from an unknown host.
+bool ApplyRateReport(RateShareState& aState, const RateReport& aReport, TimePoint aNow)
 {
   if (!aState.hosts_.contains(aReport.host_)) {
     return false;
@@ -391,11 +399,11 @@
       (!newStart && aReport.sequence_ <= peer.sequence_)) {
     return false;
   }
-  const bool first = peer.heard_ == TimePoint{};
-  const double elapsed = first ? 0 : std::max(1e-3, ToSeconds(aNow - peer.heard_));
+  const bool first = peer.lastReceivedAt_ == TimePoint{};
+  const double elapsed = first ? 0 : std::max(1e-3, ToSeconds(aNow - peer.lastReceivedAt_));
   if (newStart && !peer.silent_) {
     AdvanceAll(aState, aNow);
-    StopAssuming(aState, peer, aNow);
+    StopAssumingUse(aState, peer, aNow);
   }
   if (newStart) {
     peer.uses_.clear();
@@ -406,20 +414,20 @@
   if (wasSilent) {
     AdvanceAll(aState, aNow);
     peer.silent_ = false;
-    ++aState.heardHosts_;
+    ++aState.activeHosts_;
   }
   peer.incarnation_ = aReport.incarnation_;
   peer.sequence_ = aReport.sequence_;
-  peer.heard_ = aNow;
-  aState.heard_ = aNow;
-  // The first report of a start names all use since then.
-  peer.complete_ = newStart ? aReport.sequence_ <= 1 : peer.complete_;
+  peer.lastReceivedAt_ = aNow;
+  aState.lastReceivedAt_ = aNow;
+  // The first report after a start names all use since the start.
+  peer.allUsesKnown_ = newStart ? aReport.sequence_ <= 1 : peer.allUsesKnown_;
   for (const AccountUse& use : aReport.uses_) {
-    NoteUse(aState, peer, use, elapsed, wasSilent, aNow);
+    ApplyUse(aState, peer, use, elapsed, wasSilent, aNow);
   }
-  NoteUnused(aState, peer, aNow);
-  peer.complete_ = peer.complete_ || aReport.sequence_ % kWholeReports == 0;
-  if (aReport.sequence_ <= aState.settings_.newReports_ &&
+  ApplyNoUse(aState, peer, aNow);
+  peer.allUsesKnown_ = peer.allUsesKnown_ || aReport.sequence_ % kFullReportInterval == 0;
+  if (aReport.sequence_ <= aState.settings_.startupReports_ &&
       aState.hosts_.at(aReport.host_) == aState.location_) {
     aState.newcomers_.insert(aReport.host_);
   }
@@ -430,8 +438,8 @@
 
 void SetRateLimits(RateShareState& aState, const Config& aConfig, TimePoint aNow)
 {
-  if (aState.started_ == TimePoint{}) {
-    aState.started_ = aNow;
+  if (aState.startedAt_ == TimePoint{}) {
+    aState.startedAt_ = aNow;
   }
   std::erase_if(aState.accounts_, [&](const auto& aEntry) {
     return !aConfig.clientAccounts_.contains(aEntry.first);
@@ -440,15 +448,15 @@
     const auto [entry, isNew] = aState.accounts_.try_emplace(id);
     AccountShare& share = entry->second;
     if (isNew) {
-      // What other hosts used of the burst isn't known, so it begins empty.
-      share.updated_ = aNow;
+      // The use of the burst by other hosts isn't known, so the account begins without tokens.
+      share.updatedAt_ = aNow;
     } else {
       Advance(aState, share, aNow);
     }
     share.rate_ = account.ratePerSecond_;
-    share.burst_ = std::max(1.0, aState.settings_.burstPart_ * account.burst_);
+    share.burst_ = std::max(1.0, aState.settings_.burstFraction_ * account.burst_);
     share.level_ = std::min(share.level_, share.burst_);
-    share.credit_ = std::min(share.credit_, std::max(kLeastCredit, share.level_));
+    share.credit_ = std::min(share.credit_, std::max(kMinCredit, share.level_));
   }
 }
 
@@ -458,7 +466,7 @@
   AdvanceAll(aState, aNow);
   for (auto& [host, peer] : aState.peers_) {
     if (!aHosts.contains(host) && !peer.silent_) {
-      StopAssuming(aState, peer, aNow);
+      StopAssumingUse(aState, peer, aNow);
     }
   }
   std::erase_if(aState.peers_, [&](const auto& aEntry) { return !aHosts.contains(aEntry.first); });
@@ -479,17 +487,16 @@
     return reply;
   }
   AccountShare& account = entry->second;
-  if (aState.heardHosts_ > 0 && IsIsolated(aState, aNow)) {
-    UpdateSilence(aState, aNow);
+  if (aState.activeHosts_ > 0 && IsIsolated(aState, aNow)) {
+    MarkSilentHosts(aState, aNow);
   }
   Advance(aState, account, aNow);
   account.demand_ += aRequest.wanted_ / kDemandSeconds;
   const double tokens = std::floor(std::min({ aRequest.wanted_, account.credit_, account.level_ }));
   if (tokens < 1) {
-    const double part = DemandPart(aState, account);
-    const double wait = 1000 / std::max(1e-3, account.rate_ * part);
-    reply.retryAfterMs_ =
-      static_cast<std::uint32_t>(std::clamp(wait, kLeastRetryMs, kLongestRetryMs));
+    const double fraction = DemandFraction(aState, account);
+    const double wait = 1000 / std::max(1e-3, account.rate_ * fraction);
+    reply.retryAfterMs_ = static_cast<std::uint32_t>(std::clamp(wait, kMinRetryMs, kMaxRetryMs));
     return reply;
   }
   account.credit_ -= tokens;
@@ -505,24 +512,24 @@
 
 std::vector<OutgoingReports> CollectDueReports(RateShareState& aState, TimePoint aNow)
 {
-  std::vector<OutgoingReports> steps;
-  UpdateSilence(aState, aNow);
+  std::vector<OutgoingReports> outgoing;
+  MarkSilentHosts(aState, aNow);
   if (IsReportDue(aState, aNow)) {
     aState.reported_ = aNow;
     ++aState.sequence_;
-    AddSteps(steps, aState.host_, { OwnReport(aState) }, HostsOfDataCentre(aState));
+    AddOutgoingReports(outgoing, aState.host_, { OwnReport(aState) }, HostsOfDataCentre(aState));
   }
   if (aNow - aState.relayedNear_ >= aState.settings_.nearRelayInterval_ &&
       !DataCentreRelay(aState, aNow)) {
     aState.relayedNear_ = aNow;
-    AddSteps(steps, aState.host_, NewReports(aState, false), NearRelays(aState, aNow));
+    AddOutgoingReports(outgoing, aState.host_, NewReports(aState, false), NearRelays(aState, aNow));
   }
   if (aNow - aState.relayedFar_ >= aState.settings_.farRelayInterval_ &&
       !RegionRelay(aState, aNow)) {
     aState.relayedFar_ = aNow;
-    AddSteps(steps, aState.host_, NewReports(aState, true), FarRelays(aState, aNow));
+    AddOutgoingReports(outgoing, aState.host_, NewReports(aState, true), FarRelays(aState, aNow));
   }
-  return steps;
+  return outgoing;
 }
 
 std::map<HostId, RateLevels> CollectDueLevels(RateShareState& aState, TimePoint aNow)
@@ -530,8 +537,8 @@
   std::map<HostId, RateLevels> due;
   const std::set<HostId> newcomers = std::move(aState.newcomers_);
   aState.newcomers_.clear();
-  if (newcomers.empty() || aState.started_ == TimePoint{} ||
-      aNow - aState.started_ < aState.settings_.settled_ || IsIsolated(aState, aNow)) {
+  if (newcomers.empty() || aState.startedAt_ == TimePoint{} ||
+      aNow - aState.startedAt_ < aState.settings_.startupPeriod_ || IsIsolated(aState, aNow)) {
     return due;
   }
   AdvanceAll(aState, aNow);
@@ -548,8 +555,8 @@
 
 void ApplyRateLevels(RateShareState& aState, const RateLevels& aLevels, TimePoint aNow)
 {
-  const bool fresh = aLevels.sequence_ <= aState.settings_.newReports_ &&
-                     aNow - aState.started_ < aState.settings_.settled_;
+  const bool fresh = aLevels.sequence_ <= aState.settings_.startupReports_ &&
+                     aNow - aState.startedAt_ < aState.settings_.startupPeriod_;
   if (aLevels.incarnation_ != aState.incarnation_ || aLevels.sequence_ != aState.sequence_ ||
       !fresh) {
     return;
@@ -562,15 +569,15 @@
     AccountShare& share = account->second;
     Advance(aState, share, aNow);
     const double unreported = std::max(0.0, share.used_ - share.reported_);
-    share.level_ =
-      std::min(static_cast<double>(level.tokens_) - unreported, share.burst_ * HeardPart(aState));
+    share.level_ = std::min(static_cast<double>(level.tokens_) - unreported,
+                            share.burst_ * ActiveFraction(aState));
   }
 }
 
 std::optional<HostId> DataCentreRelay(const RateShareState& aState, TimePoint aNow)
 {
-  for (const auto& [host, place] : aState.hosts_) {
-    if (host < aState.host_ && place == aState.location_ && MayRelay(aState, host, aNow)) {
+  for (const auto& [host, location] : aState.hosts_) {
+    if (host < aState.host_ && location == aState.location_ && MayRelay(aState, host, aNow)) {
       return host;
     }
   }
@@ -583,19 +590,20 @@
                                  TimePoint aNow)
 {
   std::set<HostId> lost;
-  std::set<RegionId> heard;
-  for (const auto& [host, place] : aState.hosts_) {
+  std::set<RegionId> activeRegions;
+  for (const auto& [host, location] : aState.hosts_) {
     const auto peer = aState.peers_.find(host);
     const TimePoint last =
-      peer == aState.peers_.end() ? aSince : std::max(aSince, peer->second.heard_);
+      peer == aState.peers_.end() ? aSince : std::max(aSince, peer->second.lastReceivedAt_);
     if (aNow - last > aTime) {
       lost.insert(host);
     } else if (peer != aState.peers_.end() && !peer->second.silent_) {
-      heard.insert(place.region_);
+      activeRegions.insert(location.region_);
     }
   }
-  std::erase_if(
-    lost, [&](const HostId& aHost) { return !heard.contains(aState.hosts_.at(aHost).region_); });
+  std::erase_if(lost, [&](const HostId& aHost) {
+    return !activeRegions.contains(aState.hosts_.at(aHost).region_);
+  });
   return lost;
 }
 
@@ -606,14 +614,14 @@
   std::vector<RateReport> outside;
   std::vector<RateReport> far;
   for (const RateReport& report : aReports.reports_) {
-    if (!NoteReport(aState, report, aNow)) {
+    if (!ApplyRateReport(aState, report, aNow)) {
       continue;
     }
-    const HostLocation& place = aState.hosts_.at(report.host_);
-    if (place != aState.location_) {
+    const HostLocation& location = aState.hosts_.at(report.host_);
+    if (location != aState.location_) {
       outside.push_back(report);
     }
-    if (place.region_ != aState.location_.region_) {
+    if (location.region_ != aState.location_.region_) {
       far.push_back(report);
     }
   }
@@ -623,16 +631,16 @@
   const auto region = RegionRelay(aState, aNow);
   std::vector<OutgoingReports> onward;
   if (!near) {
-    AddSteps(onward, aState.host_, outside, HostsOfDataCentre(aState));
+    AddOutgoingReports(onward, aState.host_, outside, HostsOfDataCentre(aState));
   }
   if (!region) {
-    AddSteps(onward, aState.host_, far, NearRelays(aState, aNow));
+    AddOutgoingReports(onward, aState.host_, far, NearRelays(aState, aNow));
   }
-  // A sender from elsewhere that doesn't know the relay here yet tries other hosts.
+  // A sender in another location that doesn't know the relay of this one yet tries other hosts.
   if (from.region_ != aState.location_.region_ && region) {
-    AddSteps(onward, aState.host_, far, { *region });
+    AddOutgoingReports(onward, aState.host_, far, { *region });
   } else if (from.region_ == aState.location_.region_ && from != aState.location_ && near) {
-    AddSteps(onward, aState.host_, outside, { *near });
+    AddOutgoingReports(onward, aState.host_, outside, { *near });
   }
   return onward;
 }
--- a/peridotquay/request/RateShare.h
+++ b/peridotquay/request/RateShare.h
@@ -1,6 +1,7 @@
-// Holds client accounts to their rate and burst over all hosts without a leader: hosts report what
-// they used to each other, and each takes its part of what all of them left. Within a data centre
-// every host reports to every other; a relay carries the reports to other data centres.
+// Distributed rate limiting without a leader: keeps client accounts within their rate and burst
+// over all hosts. Hosts report to each other what they used, and each grants a share of the tokens
+// that are left. Within a data centre every host reports to every other one; one host of it relays
+// the reports to other data centres.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -16,73 +17,76 @@
 
 namespace peridotquay {
 
-/// Settings of the shares.
+/// Settings of distributed rate limiting.
 struct RateShareSettings
 {
-  /// What is left of a burst is handed out over this time, so that use that isn't reported yet
-  /// can't exceed it.
-  Duration spread_ = milliseconds(200);
-  /// Use is reported after this time if it is more than reportPart_ of the burst.
+  /// The tokens that are left are handed out over this time, so that use that isn't reported yet
+  /// can't exceed them.
+  Duration spreadPeriod_ = milliseconds(200);
+  /// Use is reported after this time if it is at least reportFraction_ of the burst.
   Duration reportInterval_ = milliseconds(200);
-  double reportPart_ = 0.01;
+  double reportFraction_ = 0.01;
   /// One host of a data centre relays its reports to the other data centres of the region, and one
-  /// of the region to other regions, each at most this often: these links are paid by volume.
+  /// host of the region relays to other regions. Each relays at most once in its interval, because
+  /// these links are paid by volume.
   Duration nearRelayInterval_ = milliseconds(100);
   Duration farRelayInterval_ = milliseconds(200);
-  /// A relay of the region that isn't heard for so long is replaced by the next host; it is heard
-  /// every idleReport_, with pauses of relays between. The same for other regions, which are
-  /// farther. Both are less than silence_, so that the hosts behind a relay don't count as silent.
-  Duration nearRelaySilence_ = milliseconds(700);
-  Duration farRelaySilence_ = milliseconds(1100);
-  /// What the limit may be exceeded by: a part of what is allowed in overshootSeconds_, and a
-  /// number of requests. Divided among the hosts, it lets each take a few requests at once.
-  double overshootPart_ = 0.03;
+  /// A relay of this region without a report for nearRelayTimeout_, or of another region for
+  /// farRelayTimeout_, is replaced by the next host. Both are longer than idleReportInterval_ plus
+  /// the relay intervals, and shorter than silenceTimeout_, so that the hosts behind a lost relay
+  /// don't count as silent.
+  Duration nearRelayTimeout_ = milliseconds(700);
+  Duration farRelayTimeout_ = milliseconds(1100);
+  /// The limit may be exceeded by overshootFraction_ of the tokens allowed in overshootSeconds_
+  /// plus overshootRequests_. Divided among the hosts, this lets each grant a few requests at once.
+  double overshootFraction_ = 0.03;
   double overshootSeconds_ = 5;
   double overshootRequests_ = 4;
-  /// Part of a burst that is handed out; the rest covers use that is not known during a cut.
-  double burstPart_ = 0.7;
-  /// Longest time between two reports; one without use shows that the host is there.
-  Duration idleReport_ = milliseconds(300);
-  /// A host without a report for this long is taken to use its equal part.
-  Duration silence_ = milliseconds(1500);
-  /// A host that hears nobody for this long is taken to be cut off from all.
-  Duration isolation_ = milliseconds(330);
-  /// Credit is earned so long after any host was heard.
-  Duration earnTime_ = milliseconds(150);
+  /// Fraction of a burst that is handed out. The rest covers use that isn't known while hosts are
+  /// cut off from each other.
+  double burstFraction_ = 0.7;
+  /// Maximum time between two reports. A report without use shows that the host is alive.
+  Duration idleReportInterval_ = milliseconds(300);
+  /// A host that sent no report for this long is assumed to use an equal share of all limits.
+  Duration silenceTimeout_ = milliseconds(1500);
+  /// A host that receives no reports for this long assumes that it is cut off from all others.
+  Duration isolationTimeout_ = milliseconds(330);
+  /// A host earns credit for this long after the last report of any other host.
+  Duration creditPeriod_ = milliseconds(150);
   Duration grantLifetime_ = milliseconds(1000);
-  /// First reports of a host that just started; each is answered with levels, because it hears the
-  /// other hosts one after the other.
-  std::uint64_t newReports_ = 5;
-  /// A host that has run for so long knows the levels.
-  Duration settled_ = milliseconds(3000);
+  /// Number of reports after the start of a host that the others answer with their levels. It is
+  /// more than one, because a starting host comes to know the others one after the other.
+  std::uint64_t startupReports_ = 5;
+  /// A host that has run for this long knows the levels and tells them to others.
+  Duration startupPeriod_ = milliseconds(3000);
   bool operator==(const RateShareSettings&) const = default;
 };
 
-/// Use of one account by one other host.
+/// Use of one account by one other host, as this host knows it.
 struct PeerUse
 {
-  double used_ = 0;           ///< Since the start of that host, as it reported last.
-  double perSecond_ = 0;      ///< Between its last reports; assumed to go on until the next one.
-  TimePoint since_{};         ///< Since when perSecond_ is taken off the level without a report.
-  std::uint64_t changed_ = 0; ///< Sequence of the report that changed it last.
+  double used_ = 0;      ///< Tokens since the start of that host, from its last report.
+  double perSecond_ = 0; ///< Moving average over its reports; assumed until the next one.
+  TimePoint since_{};    ///< Time from which perSecond_ is assumed without a report.
+  std::uint64_t changedInReport_ = 0; ///< Sequence of the last report that named the account.
 };
 
-/// Another host.
+/// State of another host.
 struct SharePeer
 {
   Incarnation incarnation_ = 0;
-  std::uint64_t sequence_ = 0; ///< Of its last report.
-  TimePoint heard_{};
-  bool silent_ = true; ///< Its use isn't assumed; it is taken to use its equal part.
+  std::uint64_t sequence_ = 0; ///< Sequence of its last report.
+  TimePoint lastReceivedAt_{}; ///< When its last report was received.
+  bool silent_ = true; ///< No use is assumed; it keeps an equal share of all limits instead.
   std::map<ClientAccountId, PeerUse> uses_;
-  /// An account that isn't in uses_ wasn't used: this host heard the peer from its start on, or
-  /// heard a report of all accounts.
-  bool complete_ = false;
+  /// An account that isn't in uses_ wasn't used: this host received the peer's reports from its
+  /// start on, or one that names all accounts with use.
+  bool allUsesKnown_ = false;
   std::uint64_t relayedNear_ = 0; ///< Sequence of its last report relayed within the region.
-  std::uint64_t relayedFar_ = 0;  ///< The same to other regions.
+  std::uint64_t relayedFar_ = 0;  ///< Sequence of its last report relayed to other regions.
 };
 
-/// Where a host is.
+/// Data centre and region of a host.
 struct HostLocation
 {
   DataCentreId dataCentre_;
@@ -90,22 +94,22 @@
   bool operator==(const HostLocation&) const = default;
 };
 
-/// One account as this host sees it.
+/// Limit of one account, and what this host knows of its use.
 struct AccountShare
 {
   double rate_ = 0;
   double burst_ = 0;
-  double level_ = 0;  ///< Tokens that all hosts together have left; at most burst_.
-  double credit_ = 0; ///< Tokens that this host may grant now; at least 0.
-  double used_ = 0;   ///< Granted by this host and not given back, since its start.
-  double reported_ = 0;
-  std::uint64_t changed_ = 0; ///< Sequence of the own report that named it last.
-  double demand_ = 0;         ///< Moving average of tokens wanted a second.
-  double peersPerSecond_ = 0; ///< Invariant: sum of perSecond_ of all hosts that aren't silent.
-  TimePoint updated_{};
+  double level_ = 0;    ///< Estimate of the tokens left for all hosts; at most burst_.
+  double credit_ = 0;   ///< Tokens that this host may grant now; not negative.
+  double used_ = 0;     ///< Tokens granted by this host since its start and not returned.
+  double reported_ = 0; ///< Value of used_ in the last report that named the account.
+  std::uint64_t changedInReport_ = 0; ///< Sequence of the last own report that named it.
+  double demand_ = 0;                 ///< Moving average of the tokens requested per second.
+  double peersPerSecond_ = 0; ///< Invariant: sum of perSecond_ over all hosts that aren't silent.
+  TimePoint updatedAt_{};
 };
 
-/// A grant to this host's own cache whose use isn't known yet.
+/// A grant to this host's token cache whose use isn't known yet.
 struct OpenGrant
 {
   ClientAccountId account_;
@@ -113,7 +117,7 @@
   TimePoint expires_{};
 };
 
-/// State of one host. Changed only through the functions below.
+/// Rate limiting state of one host. Changed only through the functions below.
 struct RateShareState
 {
   RateShareSettings settings_;
@@ -125,60 +129,61 @@
   std::map<HostId, SharePeer> peers_;
   std::map<std::uint64_t, OpenGrant> grants_;
   std::uint64_t nextGrant_ = 1;
-  TimePoint started_{};        ///< When the first limits came.
-  std::set<HostId> newcomers_; ///< Hosts of the data centre that must be told the levels.
-  std::size_t heardHosts_ = 0; ///< Invariant: hosts in peers_ that aren't silent.
-  std::uint64_t sequence_ = 0; ///< Of the last own report.
-  TimePoint heard_{};          ///< When any other host was heard last.
+  TimePoint startedAt_{};       ///< When the first limits were set.
+  std::set<HostId> newcomers_;  ///< Hosts of the data centre to which levels are sent.
+  std::size_t activeHosts_ = 0; ///< Invariant: hosts in peers_ that aren't silent.
+  std::uint64_t sequence_ = 0;  ///< Of the last own report.
+  TimePoint lastReceivedAt_{};  ///< Last report of any other host.
   TimePoint reported_{};
   TimePoint relayedNear_{};
   TimePoint relayedFar_{};
   std::uint64_t ownRelayedNear_ = 0; ///< Sequence of the last own report relayed within the region.
-  std::uint64_t ownRelayedFar_ = 0;  ///< The same to other regions.
-  /// Times that relays were looked for; they choose among the hosts of a place without a known one.
-  std::uint64_t nearRounds_ = 0;
-  std::uint64_t farRounds_ = 0;
+  std::uint64_t ownRelayedFar_ = 0;  ///< Sequence of the last own report relayed to other regions.
+  /// Number of searches for relays; they select the host that is tried where none is known.
+  std::uint64_t nearRelaySearches_ = 0;
+  std::uint64_t farRelaySearches_ = 0;
 };
 
-/// Reports and the hosts that must get them.
+/// Reports and the hosts to which they must be sent.
 struct OutgoingReports
 {
   RateReports reports_;
   std::vector<HostId> to_;
 };
 
-/// Takes the limits of a configuration. A lowered burst takes effect at once.
+/// Sets the limits of all accounts from a configuration. A lowered burst takes effect at once.
 void SetRateLimits(RateShareState& aState, const Config& aConfig, TimePoint aNow);
 
-/// Takes the other hosts that may grant tokens.
+/// Sets the hosts that grant tokens; this host may be among them.
 void SetShareHosts(RateShareState& aState, std::map<HostId, HostLocation> aHosts, TimePoint aNow);
 
-/// Settles the use of an earlier grant and grants tokens, or says when to come back.
+/// Returns the unused tokens of the earlier grant that the request reports, then grants tokens or a
+/// hint when to retry.
 ShareGrant GrantTokens(RateShareState& aState, const ShareRequest& aRequest, TimePoint aNow);
 
-/// Reports that are due: the own one to the hosts of the data centre, and what this host relays to
-/// other data centres and regions. Call about every 100 ms.
+/// Collects the reports that are due: the own one to the hosts of the data centre, and those that
+/// this host relays to other data centres and regions. Called every 100 ms.
 std::vector<OutgoingReports> CollectDueReports(RateShareState& aState, TimePoint aNow);
 
-/// Hosts of the data centre that just started, each with what this host must tell it.
+/// Hosts of the data centre that just started, each with the levels that must be sent to it.
 std::map<HostId, RateLevels> CollectDueLevels(RateShareState& aState, TimePoint aNow);
 
-/// Takes the levels after a start. Without them a host begins with empty bursts, as it must when
-/// all hosts started at once and nobody knows what was used.
+/// Applies the levels that another host sent after this host's start. Without them a host begins
+/// with empty bursts, which is necessary when all hosts start at once and none knows what was used.
 void ApplyRateLevels(RateShareState& aState, const RateLevels& aLevels, TimePoint aNow);
 
 /// The host that relays for this data centre; empty if this host does.
 std::optional<HostId> DataCentreRelay(const RateShareState& aState, TimePoint aNow);
 
-/// Other hosts that weren't heard for the time although others of their region were: they are down
-/// or cut off. A host that was never heard counts from aSince on.
+/// Other hosts that sent no report for aTime although others of their region did: they are down or
+/// cut off. aSince counts as the last report of a host that sent none.
 std::set<HostId> FindSilentHosts(const RateShareState& aState,
                                  Duration aTime,
                                  TimePoint aSince,
                                  TimePoint aNow);
 
-/// Takes reports of other hosts. Late and repeated ones have no effect. Returns what this host must
-/// pass on to its data centre and region.
+/// Applies reports of other hosts. Late and repeated ones have no effect. Returns the reports that
+/// this host must pass on in its data centre and region.
 std::vector<OutgoingReports> ApplyRateReports(RateShareState& aState,
                                               const RateReports& aReports,
                                               TimePoint aNow);
--- a/peridotquay/request/RetryBudget.cpp
+++ b/peridotquay/request/RetryBudget.cpp
@@ -1,4 +1,4 @@
-// Arithmetic of retry budgets and retry ratios.
+// Retry budgets and retry ratios.
 #include "peridotquay/request/RetryBudget.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Absorbs rounding: ten additions of 0.1 give slightly less than one token.
+/// Tolerates rounding errors: ten additions of 0.1 give slightly less than one token.
 constexpr double kTokenSlack = 1e-9;
 
 } // namespace
@@ -42,8 +42,8 @@
 
 void RecordFirstAttempt(RetryRatio& aRatio, const RetryRatioSettings& aSettings)
 {
-  aRatio.tokens_ =
-    std::min(aSettings.cap_, aRatio.tokens_ + std::max(0.0, aSettings.tokensPerFirstAttempt_));
+  aRatio.tokens_ = std::min(aSettings.maxTokens_,
+                            aRatio.tokens_ + std::max(0.0, aSettings.tokensPerFirstAttempt_));
 }
 
 bool ConsumeRetryToken(RetryRatio& aRatio,
@@ -54,11 +54,11 @@
   const double cost = aMayHaveRun ? aSettings.mayHaveRunCost_ : 1;
   if (aRatio.tokens_ >= cost - kTokenSlack) {
     aRatio.tokens_ = std::max(0.0, aRatio.tokens_ - cost);
-    aRatio.last_ = aNow;
+    aRatio.lastRetryAt_ = aNow;
     return true;
   }
-  if (aNow - aRatio.last_ >= aSettings.leastInterval_) {
-    aRatio.last_ = aNow;
+  if (aNow - aRatio.lastRetryAt_ >= aSettings.minInterval_) {
+    aRatio.lastRetryAt_ = aNow;
     return true;
   }
   return false;
--- a/peridotquay/request/RetryBudget.h
+++ b/peridotquay/request/RetryBudget.h
@@ -1,4 +1,5 @@
-// Retry budget of one request over its whole call chain, and the retry ratio of one route.
+// Retry budget of one request over its whole call chain, and retry ratio of one service at one
+// node.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -7,7 +8,8 @@
 
 namespace peridotquay {
 
-/// Retries that a call context may still spend or lend. Invariant: left + lent + spent == initial
+/// Retries of a call context: it spends them on its own calls and lends them to deeper calls, which
+/// the target makes while it serves the call. Invariant: left_ + lent_ + spent_ is the initial
 /// budget.
 struct RetryBudget
 {
@@ -17,41 +19,41 @@
   bool operator==(const RetryBudget&) const = default;
 };
 
-/// Lends half of what is left, rounded up, to a deeper call. Returns the number lent.
+/// Lends half of the remaining retries, rounded up, to a deeper call. Returns the number lent.
 std::uint32_t LendRetries(RetryBudget& aBudget);
 
-/// Takes back unspent retries of a deeper call. More than was lent counts as what was lent.
+/// Returns the unspent retries of a deeper call that was lent aLent. aLent counts as
+/// at most lent_, aUnused as at most aLent.
 void ReturnRetries(RetryBudget& aBudget, std::uint32_t aLent, std::uint32_t aUnused);
 
 /// Spends one retry; false if none is left.
 bool SpendRetry(RetryBudget& aBudget);
 
-/// Limits of a token ratio.
+/// Settings of a retry ratio.
 struct RetryRatioSettings
 {
-  double tokensPerFirstAttempt_ = 0.1; ///< Tokens earned by a first try.
-  double cap_ = 10; ///< Most saved tokens, so that a quiet hour doesn't pay for a storm.
-  /// With no tokens left, one retry is allowed after this time.
-  Duration leastInterval_ = seconds(1);
-  double mayHaveRunCost_ = 1; ///< Tokens of a retry of a call that may have run.
+  double tokensPerFirstAttempt_ = 0.1; ///< Tokens added by the first attempt of a call.
+  double maxTokens_ = 10; ///< Bounds the burst of retries after a time without failures.
+  /// Without enough tokens, one retry is allowed if this time has passed since the last one.
+  Duration minInterval_ = seconds(1);
+  double mayHaveRunCost_ = 1; ///< Tokens for the retry of a call that may have run.
   bool operator==(const RetryRatioSettings&) const = default;
 };
 
-/// Token ratio of one service at one node: retries are at most ratio * first tries, and at least
-/// one in each least interval.
+/// Bounds the retries to one service from one node to tokensPerFirstAttempt_ for each first
+/// attempt, but allows one in each minInterval_.
 struct RetryRatio
 {
-  double tokens_ = 1; ///< 0 to the cap.
-  TimePoint last_{};
+  double tokens_ = 1; ///< 0 to maxTokens_.
+  TimePoint lastRetryAt_{};
   bool operator==(const RetryRatio&) const = default;
 };
 
-/// Counts a first try.
+/// Adds the tokens of the first attempt of a call.
 void RecordFirstAttempt(RetryRatio& aRatio, const RetryRatioSettings& aSettings);
 
-/// Takes a retry's tokens; false if the service has spent its ratio.
-/// A retry of a call that may have run costs mayHaveRunCost_, because its own calls are repeated
-/// too.
+/// Consumes the tokens of a retry; false if the retry isn't allowed. A retry of a call that may
+/// have run costs mayHaveRunCost_ instead of one token, because the deeper calls are repeated too.
 bool ConsumeRetryToken(RetryRatio& aRatio,
                        const RetryRatioSettings& aSettings,
                        TimePoint aNow,
--- a/peridotquay/request/RouteChoice.cpp
+++ b/peridotquay/request/RouteChoice.cpp
@@ -1,4 +1,4 @@
-// Power of two choices over the nearest usable targets.
+// Power of two choices among the nearest usable targets.
 #include "peridotquay/request/RouteChoice.h"
 
 #include "peridotquay/request/Random.h"
@@ -15,42 +15,43 @@
 /// Weight of a new latency in the moving average.
 constexpr double kLatencyWeight = 0.1;
 
-/// An average without new answers halves in this time. A slow target gets few calls, so that
-/// without this it would stay marked as slow after it recovered.
-constexpr double kLatencyHalfLife = 2.0;
+/// The latency average halves in this time without new answers. A slow target gets few calls, so
+/// without the decay it would be avoided long after it recovered.
+constexpr double kLatencyHalfLifeSeconds = 2.0;
 
-/// Added to latencies so that differences far below a millisecond don't decide.
-constexpr double kLatencyBase = 0.001;
+/// Added to latencies so that differences far below a millisecond don't affect the choice.
+constexpr double kLatencyBaseSeconds = 0.001;
 
-/// A load that a guard reported longer ago is ignored.
-constexpr Duration kReportLifetime = seconds(1);
+/// An older load report of a guard is ignored.
+constexpr Duration kMaxReportAge = seconds(1);
 
-/// Largest load that counts, reported or announced.
-constexpr double kLargestLoad = 2.0;
+/// Larger reported loads count as this one.
+constexpr double kMaxLoad = 2.0;
 
-/// Influence of the load that guards report, compared with a target's own calls in flight.
+/// Weight of the load that guards report in the cost of a target.
 constexpr double kReportedWeight = 0.5;
 
-/// Influence of the load that targets announce; small, because it lags and may be false.
+/// Weight of the load that targets announce; small, because it lags and may be false.
 constexpr double kAnnouncedWeight = 0.05;
 
-/// A target that refused is avoided this long.
+/// A target that refused a call is avoided for this long.
 constexpr Duration kRefusalPause = milliseconds(20);
 
-/// A target is avoided if the part of its answers that fail is so much larger than that of the
-/// service's best target: a failure that all share comes from elsewhere.
-constexpr double kFailingPart = 0.12;
+/// A target is avoided if its failure fraction exceeds that of the service's best target by more
+/// than this. Only the excess counts: failures that all targets share have their cause elsewhere,
+/// for example in a service that they all call.
+constexpr double kMaxExcessFailures = 0.12;
 
-/// A reported part of failures halves in this time, so that an avoided target is tried again.
-constexpr double kFailedHalfLife = 2.0;
+/// A reported failure fraction halves in this time, so that an avoided target is tried again.
+constexpr double kFailureHalfLifeSeconds = 2.0;
 
-/// A target that takes more than this part of the objective is too slow if a farther one takes less
-/// than kMuchFaster of its time.
-constexpr double kTooSlow = 0.8;
-constexpr double kMuchFaster = 0.5;
+/// A tier whose latency exceeds this fraction of the objective is skipped if the latency of a
+/// farther tier is below kMuchFasterFraction of it.
+constexpr double kSlowObjectiveFraction = 0.8;
+constexpr double kMuchFasterFraction = 0.5;
 
-/// Least part of its share that a target gets at the start of its ramp.
-constexpr double kLeastRamp = 0.02;
+/// Fraction of its share that a target gets at the beginning of its slow start.
+constexpr double kMinSlowStartFraction = 0.02;
 
 const TargetStats* FindStats(const RoutingState& aState, const Target& aTarget)
 {
@@ -61,7 +62,7 @@
   return &found->second;
 }
 
-/// 0 for the node's own data centre, 1 for its region, 2 for all others.
+/// Distance of a target: 0 for the node's own data centre, 1 for its region, 2 for other regions.
 std::size_t Tier(const RoutingState& aState, const Target& aTarget)
 {
   if (aTarget.dataCentre_ == aState.dataCentre_) {
@@ -70,55 +71,56 @@
   return aTarget.region_ == aState.region_ ? 1 : 2;
 }
 
-/// Part of its full share that the target gets at present.
-double Ramp(const RoutingSettings& aSettings, const Target& aTarget, TimePoint aNow)
+/// Fraction of its full share that the target gets at aNow.
+double SlowStartFraction(const RoutingSettings& aSettings, const Target& aTarget, TimePoint aNow)
 {
-  if (aSettings.ramp_ <= Duration::zero()) {
+  if (aSettings.slowStartPeriod_ <= Duration::zero()) {
     return 1;
   }
-  const double part = ToSeconds(aNow - aTarget.readySince_) / ToSeconds(aSettings.ramp_);
-  return std::clamp(part, kLeastRamp, 1.0);
+  const double fraction =
+    ToSeconds(aNow - aTarget.readySince_) / ToSeconds(aSettings.slowStartPeriod_);
+  return std::clamp(fraction, kMinSlowStartFraction, 1.0);
 }
 
-/// Load as the target's guard reported it lately; 0 if it didn't.
+/// Load that the target's guard reported within kMaxReportAge; 0 if it reported none.
 double RecentLoad(const TargetStats* aStats, TimePoint aNow)
 {
-  return aStats != nullptr && aNow - aStats->reported_ < kReportLifetime ? aStats->reportedLoad_
+  return aStats != nullptr && aNow - aStats->reportedAt_ < kMaxReportAge ? aStats->reportedLoad_
                                                                          : 0;
 }
 
-/// Part of the target's answers that fail; an old report counts less.
-double RecentFailures(const TargetStats* aStats, TimePoint aNow)
+/// Reported failure fraction of the target, reduced by the age of the report.
+double RecentFailureFraction(const TargetStats* aStats, TimePoint aNow)
 {
-  if (aStats == nullptr || aStats->failedPart_ <= 0) {
+  if (aStats == nullptr || aStats->failureFraction_ <= 0) {
     return 0;
   }
-  const double age = std::max(0.0, ToSeconds(aNow - aStats->reported_));
-  return aStats->failedPart_ * std::exp2(-age / kFailedHalfLife);
+  const double age = std::max(0.0, ToSeconds(aNow - aStats->reportedAt_));
+  return aStats->failureFraction_ * std::exp2(-age / kFailureHalfLifeSeconds);
 }
 
-/// Moving average of the latency; an old one counts less.
+/// Moving average of the latency in seconds, reduced by the age of its latest sample.
 double RecentLatency(const TargetStats& aStats, TimePoint aNow)
 {
-  const double age = std::max(0.0, ToSeconds(aNow - aStats.answered_));
-  return aStats.latencySeconds_ * std::exp2(-age / kLatencyHalfLife);
+  const double age = std::max(0.0, ToSeconds(aNow - aStats.latencyUpdatedAt_));
+  return aStats.latencySeconds_ * std::exp2(-age / kLatencyHalfLifeSeconds);
 }
 
-/// Expected cost of one more call; the least wins.
+/// Expected cost of one more call at the target; the target with the lower cost is chosen.
 double Cost(const Target& aTarget, const TargetStats* aStats, TimePoint aNow)
 {
   double cost = 1 + kAnnouncedWeight * std::clamp(aTarget.announcedLoad_, 0.0, 1.0);
   double latency = 0;
   if (aStats != nullptr) {
-    cost *= 1 + kReportedWeight * std::clamp(RecentLoad(aStats, aNow), 0.0, kLargestLoad);
+    cost *= 1 + kReportedWeight * std::clamp(RecentLoad(aStats, aNow), 0.0, kMaxLoad);
     latency = RecentLatency(*aStats, aNow);
     cost *= 1 + aStats->inFlight_;
   }
-  return cost * (latency + kLatencyBase);
+  return cost * (latency + kLatencyBaseSeconds);
 }
 
-/// Targets that are ejected at aNow, at most the allowed part of the service. The ones that were
-/// ejected most often stay out.
+/// Hosts that are ejected at aNow, at most maxEjectedFraction_ of the service. If more are due,
+/// those whose ejection ends last are kept out.
 std::vector<HostId> EjectedHosts(const RoutingState& aState,
                                  const std::vector<Target>& aTargets,
                                  TimePoint aNow)
@@ -130,13 +132,13 @@
       ejected.emplace_back(stats, target.host_);
     }
   }
-  const auto most = static_cast<std::size_t>(
+  const auto maxEjected = static_cast<std::size_t>(
     std::floor(aState.settings_.maxEjectedFraction_ * static_cast<double>(aTargets.size())));
-  if (ejected.size() > most) {
+  if (ejected.size() > maxEjected) {
     std::stable_sort(ejected.begin(), ejected.end(), [](const auto& aLeft, const auto& aRight) {
       return aLeft.first->ejectedUntil_ > aRight.first->ejectedUntil_;
     });
-    ejected.resize(most);
+    ejected.resize(maxEjected);
   }
   std::vector<HostId> hosts;
   hosts.reserve(ejected.size());
@@ -158,23 +160,25 @@
 
 using Candidates = std::vector<const Target*>;
 
-/// Keeps each ramping target with the probability of its present part; keeps all if none is left.
-Candidates ThinOutRamping(RoutingState& aState, const Candidates& aCandidates, TimePoint aNow)
+/// Keeps each target in slow start with the probability of its present fraction. Returns all
+/// candidates if none would be left.
+Candidates SampleSlowStarting(RoutingState& aState, const Candidates& aCandidates, TimePoint aNow)
 {
   Candidates kept;
   for (const Target* target : aCandidates) {
-    const double ramp = Ramp(aState.settings_, *target, aNow);
-    if (ramp >= 1 || RandomFraction(aState.random_) < ramp) {
+    const double fraction = SlowStartFraction(aState.settings_, *target, aNow);
+    if (fraction >= 1 || RandomFraction(aState.random_) < fraction) {
       kept.push_back(target);
     }
   }
   return kept.empty() ? aCandidates : kept;
 }
 
-/// The better of two different random candidates. aCandidates must not be empty.
-const Target* PickOfTwo(RoutingState& aState, const Candidates& aCandidates, TimePoint aNow)
+/// Draws two different random candidates and returns the cheaper one. aCandidates must not be
+/// empty.
+const Target* ChooseOfTwo(RoutingState& aState, const Candidates& aCandidates, TimePoint aNow)
 {
-  const Candidates candidates = ThinOutRamping(aState, aCandidates, aNow);
+  const Candidates candidates = SampleSlowStarting(aState, aCandidates, aNow);
   const std::size_t first = RandomIndex(aState.random_, candidates.size());
   if (candidates.size() == 1) {
     return candidates[first];
@@ -188,29 +192,30 @@
   return costTwo < costOne ? two : one;
 }
 
-/// Whether some target reports a load below the bound.
-bool HasRoom(const RoutingState& aState,
-             const Candidates& aCandidates,
-             double aLoad,
-             TimePoint aNow)
+/// Whether at least one candidate reports a load below aLoad.
+bool IsAnyBelowLoad(const RoutingState& aState,
+                    const Candidates& aCandidates,
+                    double aLoad,
+                    TimePoint aNow)
 {
   return std::any_of(aCandidates.begin(), aCandidates.end(), [&](const Target* aTarget) {
     return RecentLoad(FindStats(aState, *aTarget), aNow) < aLoad;
   });
 }
 
-/// Least recent latency of the candidates in seconds; 0 if one of them has none.
-double BestLatency(const RoutingState& aState, const Candidates& aCandidates, TimePoint aNow)
+/// Lowest recent latency of the candidates in seconds; 0 if one of them has no stats, infinity
+/// without candidates.
+double MinLatency(const RoutingState& aState, const Candidates& aCandidates, TimePoint aNow)
 {
-  double best = std::numeric_limits<double>::infinity();
+  double lowest = std::numeric_limits<double>::infinity();
   for (const Target* target : aCandidates) {
     const TargetStats* stats = FindStats(aState, *target);
-    best = std::min(best, stats == nullptr ? 0 : RecentLatency(*stats, aNow));
+    lowest = std::min(lowest, stats == nullptr ? 0 : RecentLatency(*stats, aNow));
   }
-  return best;
+  return lowest;
 }
 
-/// Loads from which a call leaves the data centre and the region.
+/// Reported loads from which a call leaves the data centre and the region.
 struct SpillBounds
 {
   double withinRegion_;
@@ -223,43 +228,43 @@
                            TimePoint aNow)
 {
   const RoutingSettings& settings = aState.settings_;
-  SpillBounds bounds{ settings.spillWithinRegion_, settings.spillBetweenRegions_ };
+  SpillBounds bounds{ settings.spillLoadWithinRegion_, settings.spillLoadBetweenRegions_ };
   double latency = std::numeric_limits<double>::infinity();
   for (const Candidates& tier : aTiers) {
-    latency = std::min(latency, BestLatency(aState, tier, aNow));
+    latency = std::min(latency, MinLatency(aState, tier, aNow));
   }
   if (aObjective <= Duration::zero() || latency <= 0 || std::isinf(latency)) {
     return bounds;
   }
-  // At a load of 1 + w, a call waits about w times the latency.
-  const double spare = std::max(0.0, ToSeconds(aObjective) / latency - 1);
-  bounds.withinRegion_ = std::clamp(1 + settings.waitWithinRegion_ * spare,
+  // At a load of 1 + w, a call queues for about w times the latency.
+  const double slack = std::max(0.0, ToSeconds(aObjective) / latency - 1);
+  bounds.withinRegion_ = std::clamp(1 + settings.waitWithinRegion_ * slack,
                                     bounds.withinRegion_,
-                                    std::max(bounds.withinRegion_, settings.highestSpill_));
-  bounds.betweenRegions_ = std::clamp(1 + settings.waitBetweenRegions_ * spare,
+                                    std::max(bounds.withinRegion_, settings.maxSpillLoad_));
+  bounds.betweenRegions_ = std::clamp(1 + settings.waitBetweenRegions_ * slack,
                                       bounds.betweenRegions_,
-                                      std::max(bounds.betweenRegions_, settings.highestSpill_));
+                                      std::max(bounds.betweenRegions_, settings.maxSpillLoad_));
   return bounds;
 }
 
-/// Empties each tier whose targets are too slow for the objective while a farther tier is much
-/// faster.
-void LeaveSlowTiers(const RoutingState& aState,
-                    std::array<Candidates, 3>& aTiers,
-                    Duration aObjective,
-                    TimePoint aNow)
+/// Empties each tier whose targets are too slow for the objective if a farther tier is much faster
+/// and has targets without a queue.
+void RemoveSlowTiers(const RoutingState& aState,
+                     std::array<Candidates, 3>& aTiers,
+                     Duration aObjective,
+                     TimePoint aNow)
 {
   if (aObjective <= Duration::zero()) {
     return;
   }
   for (std::size_t near = 0; near + 1 < aTiers.size(); ++near) {
-    const double latency = BestLatency(aState, aTiers[near], aNow);
-    if (aTiers[near].empty() || latency <= kTooSlow * ToSeconds(aObjective)) {
+    const double latency = MinLatency(aState, aTiers[near], aNow);
+    if (aTiers[near].empty() || latency <= kSlowObjectiveFraction * ToSeconds(aObjective)) {
       continue;
     }
     for (std::size_t far = near + 1; far < aTiers.size(); ++far) {
-      if (BestLatency(aState, aTiers[far], aNow) < kMuchFaster * latency &&
-          HasRoom(aState, aTiers[far], aState.settings_.spillWithinRegion_, aNow)) {
+      if (MinLatency(aState, aTiers[far], aNow) < kMuchFasterFraction * latency &&
+          IsAnyBelowLoad(aState, aTiers[far], aState.settings_.spillLoadWithinRegion_, aNow)) {
         aTiers[near].clear();
         break;
       }
@@ -267,21 +272,22 @@
   }
 }
 
-/// The nearest tier that has room; all targets if calls queue everywhere. A tier stays whole, so
-/// that a target that reports too little load doesn't draw all of its traffic.
-Candidates NearestWithRoom(const RoutingState& aState,
-                           const std::array<Candidates, 3>& aTiers,
-                           const SpillBounds& aBounds,
-                           TimePoint aNow)
+/// The nearest tier with a target below the load bounds; the targets of all tiers if there is none.
+/// All targets of the tier are returned, also those above the bound, so that a target that falsely
+/// reports a low load doesn't draw the traffic of its tier.
+Candidates NearestBelowLoad(const RoutingState& aState,
+                            const std::array<Candidates, 3>& aTiers,
+                            const SpillBounds& aBounds,
+                            TimePoint aNow)
 {
   for (const double load : { aBounds.withinRegion_, aBounds.betweenRegions_ }) {
     for (std::size_t tier = 0; tier < 2; ++tier) {
-      if (HasRoom(aState, aTiers[tier], load, aNow)) {
+      if (IsAnyBelowLoad(aState, aTiers[tier], load, aNow)) {
         return aTiers[tier];
       }
     }
   }
-  if (HasRoom(aState, aTiers[2], aState.settings_.spillWithinRegion_, aNow)) {
+  if (IsAnyBelowLoad(aState, aTiers[2], aState.settings_.spillLoadWithinRegion_, aNow)) {
     return aTiers[2];
   }
   Candidates all;
@@ -291,8 +297,8 @@
   return all;
 }
 
-/// Stats of the target's incarnation; null if a later incarnation is known already.
-TargetStats* StatsFor(RoutingState& aState, const Target& aTarget)
+/// Stats of the target's incarnation, reset if it is new; null if a later incarnation is known.
+TargetStats* FindOrResetStats(RoutingState& aState, const Target& aTarget)
 {
   TargetStats& stats = aState.stats_[aTarget.host_];
   if (stats.incarnation_ > aTarget.incarnation_) {
@@ -305,23 +311,23 @@
   return &stats;
 }
 
-void NoteLatency(TargetStats& aStats, Duration aLatency, TimePoint aNow)
+void RecordLatency(TargetStats& aStats, Duration aLatency, TimePoint aNow)
 {
   const double latency = std::max(0.0, ToSeconds(aLatency));
   aStats.latencySeconds_ =
     aStats.latencySeconds_ <= 0
       ? latency
       : aStats.latencySeconds_ + kLatencyWeight * (latency - aStats.latencySeconds_);
-  aStats.answered_ = aNow;
+  aStats.latencyUpdatedAt_ = aNow;
 }
 
-/// Counts failures and ejects the target when there are enough in a row.
-void NoteFailure(const RoutingSettings& aSettings,
-                 TargetStats& aStats,
-                 std::uint32_t aFailures,
-                 TimePoint aNow)
+/// Adds failures and ejects the target when enough are consecutive.
+void RecordFailures(const RoutingSettings& aSettings,
+                    TargetStats& aStats,
+                    std::uint32_t aFailures,
+                    TimePoint aNow)
 {
-  // Calls sent before the ejection may fail during it; they don't prolong it.
+  // Calls sent before the ejection may fail during it. They must not prolong it.
   if (aStats.ejectedUntil_ > aNow) {
     return;
   }
@@ -330,13 +336,12 @@
     return;
   }
   Duration ejection = aSettings.firstEjection_;
-  for (std::uint32_t i = 0; i < aStats.ejectionsInRow_ && ejection < aSettings.longestEjection_;
-       ++i) {
+  for (std::uint32_t i = 0; i < aStats.ejectionsInRow_ && ejection < aSettings.maxEjection_; ++i) {
     ejection *= 2;
   }
-  aStats.ejectedUntil_ = aNow + std::min(ejection, aSettings.longestEjection_);
+  aStats.ejectedUntil_ = aNow + std::min(ejection, aSettings.maxEjection_);
   ++aStats.ejectionsInRow_;
-  // The first call after the ejection decides whether the target is back.
+  // A single failure after the ejection ejects the target again.
   aStats.failuresInRow_ = aSettings.failuresToEject_ > 0 ? aSettings.failuresToEject_ - 1 : 0;
 }
 
@@ -355,26 +360,28 @@
   }
   const std::vector<HostId> ejected = EjectedHosts(aState, found->second, aNow);
 
-  double leastFailures = 1;
+  double minFailureFraction = 1;
   for (const Target& target : found->second) {
     if (Accepts(target)) {
-      leastFailures = std::min(leastFailures, RecentFailures(FindStats(aState, target), aNow));
+      minFailureFraction =
+        std::min(minFailureFraction, RecentFailureFraction(FindStats(aState, target), aNow));
     }
   }
 
-  // For each tier: targets without a reason against them, then those that refused lately.
+  // By tier: usable targets, and targets that refused a call lately. The lists are tried in the
+  // order usable, refusing, failing, ejected.
   std::array<Candidates, 3> usable;
   std::array<Candidates, 3> refusing;
   Candidates failing;
-  Candidates lastResort;
+  Candidates ejectedTargets;
   for (const Target& target : found->second) {
     if (!Accepts(target) || Contains(aExclude, target.host_)) {
       continue;
     }
     const TargetStats* stats = FindStats(aState, target);
     if (Contains(ejected, target.host_)) {
-      lastResort.push_back(&target);
-    } else if (RecentFailures(stats, aNow) > leastFailures + kFailingPart) {
+      ejectedTargets.push_back(&target);
+    } else if (RecentFailureFraction(stats, aNow) > minFailureFraction + kMaxExcessFailures) {
       failing.push_back(&target);
     } else if (stats != nullptr && stats->refusedUntil_ > aNow) {
       refusing[Tier(aState, target)].push_back(&target);
@@ -382,29 +389,29 @@
       usable[Tier(aState, target)].push_back(&target);
     }
   }
-  LeaveSlowTiers(aState, usable, aObjective, aNow);
+  RemoveSlowTiers(aState, usable, aObjective, aNow);
   const SpillBounds bounds = SpillBoundsFor(aState, usable, aObjective, aNow);
-  if (const Candidates nearest = NearestWithRoom(aState, usable, bounds, aNow); !nearest.empty()) {
-    return *PickOfTwo(aState, nearest, aNow);
+  if (const Candidates nearest = NearestBelowLoad(aState, usable, bounds, aNow); !nearest.empty()) {
+    return *ChooseOfTwo(aState, nearest, aNow);
   }
   for (const Candidates& candidates : refusing) {
     if (!candidates.empty()) {
-      return *PickOfTwo(aState, candidates, aNow);
+      return *ChooseOfTwo(aState, candidates, aNow);
     }
   }
   if (!failing.empty()) {
-    return *PickOfTwo(aState, failing, aNow);
+    return *ChooseOfTwo(aState, failing, aNow);
   }
-  // Every other target was tried for this call: an ejected one is better than none.
-  if (!lastResort.empty()) {
-    return *PickOfTwo(aState, lastResort, aNow);
+  // No other target is left for this call: an ejected one is better than none.
+  if (!ejectedTargets.empty()) {
+    return *ChooseOfTwo(aState, ejectedTargets, aNow);
   }
   return std::nullopt;
 }
 
 void RecordCallSent(RoutingState& aState, const Target& aTarget)
 {
-  if (TargetStats* stats = StatsFor(aState, aTarget)) {
+  if (TargetStats* stats = FindOrResetStats(aState, aTarget)) {
     ++stats->inFlight_;
   }
 }
@@ -416,36 +423,37 @@
                      double aLoad,
                      TimePoint aNow)
 {
-  TargetStats* stats = StatsFor(aState, aTarget);
+  TargetStats* stats = FindOrResetStats(aState, aTarget);
   if (stats == nullptr) {
     return;
   }
   stats->inFlight_ -= stats->inFlight_ > 0 ? 1 : 0;
   if (aLoad >= 0) {
     stats->reportedLoad_ = aLoad;
-    stats->reported_ = aNow;
+    stats->reportedAt_ = aNow;
   }
   switch (aResult) {
     case AttemptResult::kAnswered:
-      NoteLatency(*stats, aLatency, aNow);
+      RecordLatency(*stats, aLatency, aNow);
       stats->failuresInRow_ = 0;
       stats->ejectionsInRow_ = 0;
       stats->refusedUntil_ = {};
       break;
     case AttemptResult::kRefused:
-      // A refusal shows that the target is alive, and its short latency says nothing of its speed.
+      // A refusal shows that the target is alive. Its latency isn't recorded: refusing is faster
+      // than running a call.
       stats->failuresInRow_ = 0;
       stats->refusedUntil_ = aNow + kRefusalPause;
       break;
     case AttemptResult::kTimedOut:
-      NoteLatency(*stats, aLatency, aNow);
-      NoteFailure(aState.settings_, *stats, 1, aNow);
+      RecordLatency(*stats, aLatency, aNow);
+      RecordFailures(aState.settings_, *stats, 1, aNow);
       break;
     case AttemptResult::kFailed:
-      NoteFailure(aState.settings_, *stats, 1, aNow);
+      RecordFailures(aState.settings_, *stats, 1, aNow);
       break;
     case AttemptResult::kUnreachable:
-      NoteFailure(aState.settings_, *stats, aState.settings_.failuresToEject_, aNow);
+      RecordFailures(aState.settings_, *stats, aState.settings_.failuresToEject_, aNow);
       break;
     case AttemptResult::kCancelled:
       break;
@@ -454,12 +462,12 @@
 
 void RecordFailureFraction(RoutingState& aState,
                            const Target& aTarget,
-                           double aPart,
+                           double aFraction,
                            TimePoint aNow)
 {
-  if (TargetStats* stats = StatsFor(aState, aTarget)) {
-    stats->failedPart_ = std::clamp(aPart, 0.0, 1.0);
-    stats->reported_ = aNow;
+  if (TargetStats* stats = FindOrResetStats(aState, aTarget)) {
+    stats->failureFraction_ = std::clamp(aFraction, 0.0, 1.0);
+    stats->reportedAt_ = aNow;
   }
 }
 
--- a/peridotquay/request/RouteChoice.h
+++ b/peridotquay/request/RouteChoice.h
@@ -1,4 +1,5 @@
-// Choice of a target for one call from own observations, with outlier ejection and slow start.
+// Load balancing: chooses a target for each call from what this node observed, with outlier
+// ejection and slow start.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -15,38 +16,41 @@
 /// Settings of routing.
 struct RoutingSettings
 {
-  Duration ramp_ = seconds(10);         ///< Slow start of cold targets.
-  std::uint32_t failuresToEject_ = 5;   ///< Failures in a row.
-  Duration firstEjection_ = seconds(1); ///< Doubles with each ejection in a row.
-  Duration longestEjection_ = seconds(30);
-  double maxEjectedFraction_ = 0.5; ///< Of one service's targets.
-  /// Reported load from which calls go to another data centre of the region: from 1 on they queue.
-  double spillWithinRegion_ = 1.0;
-  /// The same for another region, whose link is slow and paid by volume.
-  double spillBetweenRegions_ = 1.25;
-  /// Parts of the time that a call can spare, from its objective, that it waits at a nearer target
-  /// before it crosses to another data centre or region. 0: the bounds above hold alone.
+  Duration slowStartPeriod_ = seconds(10); ///< A cold target gets its full share after this time.
+  std::uint32_t failuresToEject_ = 5;      ///< Consecutive failures that eject a target.
+  Duration firstEjection_ = seconds(1);    ///< Doubles with each consecutive ejection.
+  Duration maxEjection_ = seconds(30);     ///< Upper bound of the doubled ejection.
+  double maxEjectedFraction_ = 0.5; ///< Fraction of one service's targets that may be ejected.
+  /// Reported load of the nearer targets from which calls go to another data centre of the region.
+  /// Calls queue at a target from a load of 1 on.
+  double spillLoadWithinRegion_ = 1.0;
+  /// Reported load from which calls go to another region, whose link is slow and paid by volume.
+  double spillLoadBetweenRegions_ = 1.25;
+  /// Fractions of a call's slack (its latency objective minus the expected latency) that it may
+  /// queue at a nearer target before it goes to another data centre or region. 0 leaves the loads
+  /// above as they are.
   double waitWithinRegion_ = 0;
   double waitBetweenRegions_ = 0;
-  double highestSpill_ = 3.0; ///< Load from which calls go elsewhere whatever they can spare.
+  double maxSpillLoad_ = 3.0; ///< Load from which calls go elsewhere whatever their slack.
   bool operator==(const RoutingSettings&) const = default;
 };
 
-/// What this node has seen of one target itself.
+/// What this node knows of one target: its own observations and the reports of the target's guard.
 struct TargetStats
 {
-  std::uint32_t inFlight_ = 0; ///< Calls sent from here and not ended.
-  double latencySeconds_ = 0;  ///< Moving average of whole answers; 0 before the first.
-  TimePoint answered_{};       ///< When latencySeconds_ got its latest value.
+  std::uint32_t inFlight_ = 0;   ///< Calls that this node sent and that haven't ended.
+  double latencySeconds_ = 0;    ///< Moving average over complete answers; 0 before the first.
+  TimePoint latencyUpdatedAt_{}; ///< Time of the latest sample in latencySeconds_.
   std::uint32_t failuresInRow_ = 0;
   std::uint32_t ejectionsInRow_ = 0;
   TimePoint ejectedUntil_{};
-  double reportedLoad_ = 0; ///< (running + queued) / limit as its guard reported; 0 if unknown.
-  TimePoint reported_{};
-  double failedPart_ = 0; ///< Of the target's recent answers, as its guard reported at reported_.
-  TimePoint
-    refusedUntil_{}; ///< After a refusal the target is avoided until then if others are there.
-  Incarnation incarnation_ = 0; ///< Stats of an earlier incarnation are forgotten.
+  double reportedLoad_ = 0; ///< (running + queued) / limit from its guard; 0 if unknown.
+  TimePoint reportedAt_{};  ///< When reportedLoad_ or failureFraction_ was received last.
+  /// Fraction of the target's recent answers that failed, from its guard.
+  double failureFraction_ = 0;
+  /// After a refusal the target is avoided until this time if the service has other targets.
+  TimePoint refusedUntil_{};
+  Incarnation incarnation_ = 0; ///< A later incarnation resets these stats.
 };
 
 /// Routing state of one node. Changed only through the functions below.
@@ -56,12 +60,13 @@
   DataCentreId dataCentre_;
   RegionId region_;
   std::map<HostId, TargetStats> stats_;
-  std::uint64_t random_ = 1; ///< State of the generator; seeded by the owner.
+  std::uint64_t random_ = 1; ///< State of the random generator; seeded by the owner.
 };
 
-/// Chooses a target of the service, or none. Hosts in aExclude were tried for this call already.
-/// With an objective above 0, the call waits at a near target as long as it can spare the time, and
-/// a near target that is too slow for it gives way to a much faster one.
+/// Chooses a target of the service, or none if no target is usable. aExclude holds the hosts that
+/// were tried for this call already. aObjective is the call's latency objective, 0 for none: it
+/// decides how long a call may queue at a near target, and lets a much faster target replace a near
+/// one that is too slow.
 std::optional<Target> ChooseTarget(RoutingState& aState,
                                    const TargetView& aView,
                                    const ServiceId& aService,
@@ -69,21 +74,22 @@
                                    TimePoint aNow,
                                    Duration aObjective = {});
 
-/// How a call to a target ended, as seen from here.
+/// How an attempt to call a target ended, as seen by the caller's node.
 enum class AttemptResult : std::uint8_t
 {
   kAnswered,
-  kRefused,     ///< The guard or the target refused: busy, not broken.
-  kFailed,      ///< Connection lost, outcome unknown, truncated answer.
-  kUnreachable, ///< No connection could be opened; ejects at once.
+  kRefused,     ///< The guard or the target refused: it is busy, not broken.
+  kFailed,      ///< Connection lost, outcome unknown or answer truncated.
+  kUnreachable, ///< No connection could be opened; ejects the target at once.
   kTimedOut,
   kCancelled
 };
 
-/// Counts a call as sent.
+/// Records that a call was sent to the target.
 void RecordCallSent(RoutingState& aState, const Target& aTarget);
 
-/// Counts a call as ended. aLoad is the guard's reported load, negative if none was reported.
+/// Records how a call to the target ended. aLoad is the load that the guard reported with the
+/// answer, negative if it reported none.
 void RecordCallEnded(RoutingState& aState,
                      const Target& aTarget,
                      AttemptResult aResult,
@@ -91,13 +97,13 @@
                      double aLoad,
                      TimePoint aNow);
 
-/// Takes the part of a target's recent answers that were failures, as its guard reported it.
+/// Records the fraction of a target's recent answers that failed, as its guard reported it.
 void RecordFailureFraction(RoutingState& aState,
                            const Target& aTarget,
-                           double aPart,
+                           double aFraction,
                            TimePoint aNow);
 
-/// Forgets stats of hosts that aren't in the view and have no call in flight.
+/// Removes the stats of hosts that aren't in the view and have no call in flight.
 void RemoveAbsentHosts(RoutingState& aState, const TargetView& aView);
 
 } // namespace peridotquay
--- a/peridotquay/request/TokenCache.cpp
+++ b/peridotquay/request/TokenCache.cpp
@@ -1,4 +1,4 @@
-// Tokens of client accounts at one host.
+// Rate limit tokens of client accounts at one host.
 #include "peridotquay/request/TokenCache.h"
 
 #include <algorithm>
@@ -8,36 +8,36 @@
 
 namespace {
 
-/// Time constant of the moving average of takes.
+/// Time constant of the moving average of consumed tokens.
 constexpr double kUseWindowSeconds = 1.0;
 
-/// Asks ahead when the tokens at hand won't last this long.
-constexpr double kAskAheadSeconds = 0.1;
+/// More tokens are requested when the remaining ones won't last this long.
+constexpr double kRequestAheadSeconds = 0.1;
 
-/// A request brings the tokens at hand up to this much use. A grant lives 1 s, so the tokens are
-/// used well before they expire.
-constexpr double kHoldSeconds = 0.25;
+/// A request asks for the tokens of this much time. A grant lives 1 s, so that they are used well
+/// before they expire.
+constexpr double kRequestedUseSeconds = 0.25;
 
 /// A request without a reply after this time counts as lost.
-constexpr Duration kAskTimeout = milliseconds(100);
+constexpr Duration kRequestTimeout = milliseconds(100);
 
-/// Pause after a refusal that names no time.
-constexpr Duration kLeastRefusal = milliseconds(20);
+/// Minimum time for which a refusal without a retry hint holds.
+constexpr Duration kMinRefusalPeriod = milliseconds(20);
 
-/// Tokens of an account without a take for this long are given back.
-constexpr Duration kIdleReturn = milliseconds(200);
+/// Tokens of an account that consumed none for this long are given back.
+constexpr Duration kIdlePeriod = milliseconds(200);
 
-/// Use at aNow, decayed since the last take.
+/// Tokens used per second at aNow, decayed since the last consumed token.
 double CurrentUse(const CachedTokens& aTokens, TimePoint aNow)
 {
-  const double age = std::max(0.0, ToSeconds(aNow - aTokens.lastTake_));
+  const double age = std::max(0.0, ToSeconds(aNow - aTokens.lastAcquiredAt_));
   return aTokens.usePerSecond_ * std::exp(-age / kUseWindowSeconds);
 }
 
-/// Remembers the use of the present grant for the next request and moves on to the next grant.
+/// Closes the grant in use: stores its use for the next request and continues with the next grant.
 void CloseGrant(CachedTokens& aTokens, TimePoint aNow)
 {
-  // The leader treats an expired grant as used up, so only living grants need a report.
+  // The granting host counts an expired grant as used up, so it needs no report.
   if (aTokens.grant_ != 0 && aNow < aTokens.expires_) {
     aTokens.unreported_.push_back({ aTokens.grant_, aTokens.usedOfGrant_, aTokens.expires_ });
   }
@@ -48,8 +48,8 @@
   aTokens.next_ = {};
 }
 
-/// Drops expired grants and moves on from used-up ones.
-void RollGrants(CachedTokens& aTokens, TimePoint aNow)
+/// Drops expired grants and continues with the next grant if the present one is used up.
+void AdvanceGrants(CachedTokens& aTokens, TimePoint aNow)
 {
   if (aTokens.next_.grant_ != 0 && aNow >= aTokens.next_.expires_) {
     aTokens.next_ = {};
@@ -61,7 +61,7 @@
                 [aNow](const GrantUse& aUse) { return aNow >= aUse.expires_; });
 }
 
-/// A request with the oldest unreported use.
+/// A request for aWanted tokens that also reports the oldest unreported use.
 ShareRequest MakeRequest(TokenCache& aCache,
                          const ClientAccountId& aAccount,
                          CachedTokens& aTokens,
@@ -79,8 +79,9 @@
   return request;
 }
 
-/// Makes room for one more account by forgetting the idle account that was used longest ago.
-bool MakeRoom(TokenCache& aCache, TimePoint aNow)
+/// Makes room for one more account: if the cache is full, removes the least recently used account
+/// that neither holds tokens nor waits for a grant. False if there is none.
+bool EvictIdleAccount(TokenCache& aCache, TimePoint aNow)
 {
   if (aCache.accounts_.size() < kMaxCachedAccounts) {
     return true;
@@ -88,10 +89,12 @@
   auto oldest = aCache.accounts_.end();
   for (auto entry = aCache.accounts_.begin(); entry != aCache.accounts_.end(); ++entry) {
     const CachedTokens& tokens = entry->second;
-    const bool asking = tokens.askedNonce_ != 0 && aNow - tokens.asked_ < kAskTimeout;
+    const bool requestPending =
+      tokens.requestNonce_ != 0 && aNow - tokens.requestedAt_ < kRequestTimeout;
     const bool holding = (tokens.grant_ != 0 && aNow < tokens.expires_) || tokens.next_.grant_ != 0;
-    if (!asking && !holding &&
-        (oldest == aCache.accounts_.end() || tokens.lastTake_ < oldest->second.lastTake_)) {
+    if (!requestPending && !holding &&
+        (oldest == aCache.accounts_.end() ||
+         tokens.lastAcquiredAt_ < oldest->second.lastAcquiredAt_)) {
       oldest = entry;
     }
   }
@@ -117,67 +120,73 @@
 {
   auto entry = aCache.accounts_.find(aAccount);
   if (entry == aCache.accounts_.end()) {
-    if (!MakeRoom(aCache, aNow)) {
-      return { AcquireStatus::kRefused, std::nullopt, MillisecondsUntil(aNow + kAskTimeout, aNow) };
+    if (!EvictIdleAccount(aCache, aNow)) {
+      return { AcquireStatus::kRefused,
+               std::nullopt,
+               MillisecondsUntil(aNow + kRequestTimeout, aNow) };
     }
     entry = aCache.accounts_.try_emplace(aAccount).first;
   }
   CachedTokens& tokens = entry->second;
-  RollGrants(tokens, aNow);
-  const bool asking = tokens.askedNonce_ != 0 && aNow - tokens.asked_ < kAskTimeout;
+  AdvanceGrants(tokens, aNow);
+  const bool requestPending =
+    tokens.requestNonce_ != 0 && aNow - tokens.requestedAt_ < kRequestTimeout;
   const bool refused = aNow < tokens.refusedUntil_;
 
-  AcquireResult step;
+  AcquireResult result;
   double wanted = 0;
   if (tokens.grant_ != 0) {
-    step.status_ = AcquireStatus::kAcquired;
+    result.status_ = AcquireStatus::kAcquired;
     tokens.usePerSecond_ = CurrentUse(tokens, aNow) + 1 / kUseWindowSeconds;
-    tokens.lastTake_ = aNow;
+    tokens.lastAcquiredAt_ = aNow;
     tokens.tokens_ -= 1;
     tokens.usedOfGrant_ += 1;
-    // Below ten calls a second a token asked for ahead would mostly expire unused.
-    const double rest = tokens.tokens_ + tokens.next_.tokens_;
-    const double ahead = tokens.usePerSecond_ * kAskAheadSeconds;
-    if (ahead >= 1 && rest < ahead) {
-      wanted = std::ceil(tokens.usePerSecond_ * kHoldSeconds - rest);
+    // Below ten calls per second, tokens requested ahead would mostly expire unused.
+    const double remaining = tokens.tokens_ + tokens.next_.tokens_;
+    const double ahead = tokens.usePerSecond_ * kRequestAheadSeconds;
+    if (ahead >= 1 && remaining < ahead) {
+      wanted = std::ceil(tokens.usePerSecond_ * kRequestedUseSeconds - remaining);
     }
-    RollGrants(tokens, aNow);
+    AdvanceGrants(tokens, aNow);
   } else if (refused) {
-    step.status_ = AcquireStatus::kRefused;
-    step.retryAfterMs_ = MillisecondsUntil(tokens.refusedUntil_, aNow);
+    result.status_ = AcquireStatus::kRefused;
+    result.retryAfterMs_ = MillisecondsUntil(tokens.refusedUntil_, aNow);
   } else {
-    step.status_ = AcquireStatus::kPending;
+    result.status_ = AcquireStatus::kPending;
     wanted = std::max(static_cast<double>(aWaiting) + 1,
-                      std::ceil(CurrentUse(tokens, aNow) * kHoldSeconds));
+                      std::ceil(CurrentUse(tokens, aNow) * kRequestedUseSeconds));
   }
-  if (wanted >= 1 && !asking && !refused) {
-    step.shareRequest_ = MakeRequest(aCache, aAccount, tokens, wanted);
-    tokens.askedNonce_ = step.shareRequest_->nonce_;
-    tokens.asked_ = aNow;
+  if (wanted >= 1 && !requestPending && !refused) {
+    result.shareRequest_ = MakeRequest(aCache, aAccount, tokens, wanted);
+    tokens.requestNonce_ = result.shareRequest_->nonce_;
+    tokens.requestedAt_ = aNow;
   }
-  return step;
+  return result;
 }
 
-void AddGrant(TokenCache& aCache, const ShareGrant& aGrant, TimePoint aAsked)
+void AddGrant(TokenCache& aCache, const ShareGrant& aGrant, TimePoint aRequestedAt)
 {
   const auto entry = aCache.accounts_.find(aGrant.clientAccount_);
   if (entry == aCache.accounts_.end() || aGrant.nonce_ == 0 ||
-      entry->second.askedNonce_ != aGrant.nonce_) {
+      entry->second.requestNonce_ != aGrant.nonce_) {
     return;
   }
   CachedTokens& tokens = entry->second;
-  tokens.askedNonce_ = 0;
+  tokens.requestNonce_ = 0;
   if (!(aGrant.tokens_ >= 1) || aGrant.grant_ == 0) {
-    // A grant of less than one token is used for nothing; its report gives the fraction back.
+    // A grant of less than one token can't be used. Reporting a use of 0 gives it back.
     if (aGrant.grant_ != 0 && aGrant.tokens_ > 0) {
-      tokens.unreported_.push_back({ aGrant.grant_, 0, aAsked + milliseconds(aGrant.lifetimeMs_) });
+      tokens.unreported_.push_back(
+        { aGrant.grant_, 0, aRequestedAt + milliseconds(aGrant.lifetimeMs_) });
     }
     tokens.refusedUntil_ =
-      aAsked + std::max<Duration>(kLeastRefusal, milliseconds(aGrant.retryAfterMs_));
+      aRequestedAt + std::max<Duration>(kMinRefusalPeriod, milliseconds(aGrant.retryAfterMs_));
     return;
   }
   tokens.refusedUntil_ = {};
-  GrantedTokens granted{ aGrant.grant_, aGrant.tokens_, aAsked + milliseconds(aGrant.lifetimeMs_) };
+  GrantedTokens granted{ aGrant.grant_,
+                         aGrant.tokens_,
+                         aRequestedAt + milliseconds(aGrant.lifetimeMs_) };
   if (tokens.grant_ == 0) {
     tokens.grant_ = granted.grant_;
     tokens.tokens_ = granted.tokens_;
@@ -194,8 +203,8 @@
 {
   std::vector<ShareRequest> requests;
   for (auto& [account, tokens] : aCache.accounts_) {
-    RollGrants(tokens, aNow);
-    if (aNow - tokens.lastTake_ < kIdleReturn) {
+    AdvanceGrants(tokens, aNow);
+    if (aNow - tokens.lastAcquiredAt_ < kIdlePeriod) {
       continue;
     }
     while (tokens.grant_ != 0) {
--- a/peridotquay/request/TokenCache.h
+++ b/peridotquay/request/TokenCache.h
@@ -1,4 +1,5 @@
-// Tokens of client accounts that this host holds, and what to ask the share leader for.
+// Rate limit tokens of client accounts that this host holds, and requests for more to the host that
+// grants them.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -13,26 +14,26 @@
 
 namespace peridotquay {
 
-/// Most client accounts with tokens at one host.
+/// Maximum number of client accounts in the cache.
 inline constexpr std::size_t kMaxCachedAccounts = 256;
 
-/// Longest time that a call waits for tokens.
+/// Maximum time that a call waits for tokens.
 inline constexpr Duration kMaxTokenWait = milliseconds(20);
 
 /// Tokens of one grant.
 struct GrantedTokens
 {
-  std::uint64_t grant_ = 0; ///< 0 for none.
+  std::uint64_t grant_ = 0; ///< Id of the grant; 0 for none.
   double tokens_ = 0;
   TimePoint expires_{};
 };
 
-/// What was used of a grant that is closed and not reported yet.
+/// Use of a grant from which no more tokens are consumed and whose use isn't reported yet.
 struct GrantUse
 {
   std::uint64_t grant_ = 0;
   double used_ = 0;
-  TimePoint expires_{}; ///< Nothing needs to be reported after this.
+  TimePoint expires_{}; ///< No report is needed after this time.
 };
 
 /// Tokens of one client account at this host.
@@ -40,15 +41,15 @@
 {
   std::uint64_t grant_ = 0; ///< Grant in use; 0 for none, otherwise it has at least one token.
   double tokens_ = 0;       ///< Usable until expires_.
-  double usedOfGrant_ = 0;  ///< Reported with the next request.
+  double usedOfGrant_ = 0;  ///< Tokens consumed from grant_; reported after it is closed.
   TimePoint expires_{};
-  double usePerSecond_ = 0; ///< Moving average of takes.
-  TimePoint lastTake_{};
-  std::uint64_t askedNonce_ = 0; ///< Outstanding request; 0 if none.
-  TimePoint asked_{};
-  GrantedTokens next_;              ///< Used once the grant in use is spent or has expired.
+  double usePerSecond_ = 0; ///< Moving average of consumed tokens.
+  TimePoint lastAcquiredAt_{};
+  std::uint64_t requestNonce_ = 0; ///< Nonce of the outstanding request; 0 if none.
+  TimePoint requestedAt_{};
+  GrantedTokens next_;              ///< Used after the grant in use is spent or expired.
   std::deque<GrantUse> unreported_; ///< Each request reports one of these.
-  TimePoint refusedUntil_{};        ///< The leader had no tokens; callers get 429 until then.
+  TimePoint refusedUntil_{};        ///< No tokens were granted; callers get 429 until then.
 };
 
 /// Tokens at one host. Changed only through the functions below.
@@ -61,33 +62,34 @@
 enum class AcquireStatus : std::uint8_t
 {
   kAcquired,
-  kPending, ///< A request is under way: try again when a grant arrives, at most kMaxTokenWait.
-  kRefused  ///< Over rate; see refusedUntil_ for the hint.
+  kPending, ///< A request is outstanding: the call waits for its grant, at most kMaxTokenWait.
+  kRefused  ///< The account is over its rate; retryAfterMs_ is the hint for the caller.
 };
 
-/// Result of a take with the request to send to the share leader, if any.
+/// Result of AcquireToken.
 struct AcquireResult
 {
   AcquireStatus status_ = AcquireStatus::kRefused;
-  std::optional<ShareRequest> shareRequest_;
+  std::optional<ShareRequest> shareRequest_; ///< To be sent to the granting host.
   std::uint32_t retryAfterMs_ = 0;
 };
 
-/// Takes one token for a call. Asks ahead when the rest won't last 100 ms at the recent use.
-/// aWaiting counts the other calls of the account that wait for tokens. The use of a grant is
-/// reported with the first request after the grant is spent, so no token is used after it was
-/// reported unused.
+/// Acquires one token for a call. Requests more tokens when the remaining ones won't last 100 ms at
+/// the recent use. aWaiting is the number of other calls of the account that wait for tokens. The
+/// use of a grant is reported with the first request after the grant is spent, so that no token is
+/// used after it was reported as unused.
 AcquireResult AcquireToken(TokenCache& aCache,
                            const ClientAccountId& aAccount,
                            std::uint32_t aWaiting,
                            TimePoint aNow);
 
-/// Adds a grant; aAsked is when it was asked for, by this node's clock. Late or unknown grants give
-/// nothing.
-void AddGrant(TokenCache& aCache, const ShareGrant& aGrant, TimePoint aAsked);
+/// Adds a grant. aRequestedAt is the time of its request by this node's clock, from which its
+/// lifetime counts. Grants that are late, repeated or weren't requested are ignored.
+void AddGrant(TokenCache& aCache, const ShareGrant& aGrant, TimePoint aRequestedAt);
 
-/// Requests that give back the tokens of accounts without a take for 200 ms and report use that is
-/// still open. They want nothing, and their replies are ignored. Call about every 100 ms.
+/// Requests that give back the tokens of accounts that consumed none for 200 ms and report the use
+/// that wasn't reported yet. They ask for no tokens, and their replies are ignored. Called every
+/// 100 ms.
 std::vector<ShareRequest> ReturnIdleTokens(TokenCache& aCache, TimePoint aNow);
 
 } // namespace peridotquay
--- a/tests/request/AdmissionTest.cpp
+++ b/tests/request/AdmissionTest.cpp
@@ -28,15 +28,15 @@
   return { aId, aImportance, { aAccount }, aWeight, aNow, aNow + aDeadline };
 }
 
-/// Independent record of what waits and runs; judges every step of the admission.
-struct Judge
+/// Independent model of the waiting and running calls; checks the result of every operation.
+struct AdmissionModel
 {
   std::map<std::uint64_t, WaitingCall> waiting_;
   std::set<std::uint64_t> running_;
 
-  void Apply(const AdmissionState& aState, const AdmissionActions& aStep, TimePoint aNow)
+  void Apply(const AdmissionState& aState, const AdmissionActions& aActions, TimePoint aNow)
   {
-    for (const std::uint64_t id : aStep.start_) {
+    for (const std::uint64_t id : aActions.start_) {
       const auto call = waiting_.find(id);
       RC_ASSERT(call != waiting_.end());
       RC_ASSERT(call->second.deadline_ > aNow);
@@ -45,16 +45,17 @@
       RC_ASSERT(running_.insert(id).second);
       for (const auto& other : waiting_) {
         const bool starts =
-          std::find(aStep.start_.begin(), aStep.start_.end(), other.first) != aStep.start_.end();
+          std::find(aActions.start_.begin(), aActions.start_.end(), other.first) !=
+          aActions.start_.end();
         const bool refused =
-          std::any_of(aStep.refuse_.begin(), aStep.refuse_.end(), [&](const RefusedCall& aCall) {
-            return aCall.id_ == other.first;
-          });
-        // A more important call that waits on goes first.
+          std::any_of(aActions.refuse_.begin(),
+                      aActions.refuse_.end(),
+                      [&](const RefusedCall& aCall) { return aCall.id_ == other.first; });
+        // No more important call may be left waiting.
         RC_ASSERT(starts || refused || other.second.importance_ >= importance);
       }
     }
-    for (const RefusedCall& refused : aStep.refuse_) {
+    for (const RefusedCall& refused : aActions.refuse_) {
       const auto call = waiting_.find(refused.id_);
       RC_ASSERT(call != waiting_.end());
       const WaitingCall victim = call->second;
@@ -85,14 +86,15 @@
     const bool hasSlot = static_cast<double>(running_.size()) + 1 <= aState.limit_;
     RC_ASSERT((waiting_.empty() || !hasSlot));
     const bool isOver = static_cast<double>(running_.size()) > aState.limit_;
-    RC_ASSERT((aStep.start_.empty() || !isOver));
+    RC_ASSERT((aActions.start_.empty() || !isOver));
     RC_ASSERT(aState.limit_ >= 1);
     const bool isAboveSlots = aState.announcedSlots_ > 0 && aState.limit_ > aState.announcedSlots_;
     RC_ASSERT(!isAboveSlots);
   }
 };
 
-/// Weighted max-min fair shares of a capacity by filling up the least satisfied accounts.
+/// Reference for weighted max-min fair shares: repeatedly satisfies all accounts whose demand is
+/// below an equal weighted share of the remaining capacity.
 std::vector<double> FairShares(const std::vector<double>& aDemands,
                                const std::vector<double>& aWeights,
                                double aCapacity)
@@ -128,7 +130,7 @@
   return shares;
 }
 
-/// A limit that never changes.
+/// State with a concurrency limit that never changes.
 AdmissionState FixedLimit(std::uint32_t aLimit, std::uint32_t aCapacity)
 {
   AdmissionState state;
@@ -138,7 +140,7 @@
   return state;
 }
 
-/// A simulated target behind a guard: more calls wait than can run, time in steps of 1 ms.
+/// Simulates a target behind a guard, with waiting calls at all times, in steps of 1 ms.
 class SaturatedTarget
 {
 public:
@@ -150,7 +152,7 @@
   int refused_ = 0;
   double leastLimit_ = 1e9;
 
-  /// Runs for the time. aQueued calls are kept waiting; 0 offers a call only when none runs.
+  /// Runs for aTime and keeps aQueued calls waiting. With 0, a call is offered only when none runs.
   void Run(Duration aTime, std::size_t aQueued, const Latency& aLatency)
   {
     leastLimit_ = 1e9;
@@ -179,11 +181,11 @@
     ExecutionResult end_ = ExecutionResult::kAnswered;
   };
 
-  void StartAll(const AdmissionActions& aStep, const Latency& aLatency)
+  void StartAll(const AdmissionActions& aActions, const Latency& aLatency)
   {
-    for (std::size_t i = 0; i < aStep.start_.size(); ++i) {
+    for (std::size_t i = 0; i < aActions.start_.size(); ++i) {
       const double latency = aLatency(static_cast<std::uint32_t>(ends_.size()) + 1);
-      // Latencies vary by a fifth, so that windows see noise.
+      // Latencies vary by 20 % in both directions, so that the window means are noisy.
       noise_ = noise_ * 1664525U + 1013904223U;
       const double factor = 0.8 + 0.4 * (noise_ >> 8U) / 16777216.0;
       const auto micros = static_cast<std::int64_t>(std::abs(latency) * factor * 1000);
@@ -202,8 +204,9 @@
 
 } // namespace
 
-// Guards against a critical call refused or kept waiting for a less important one, queues above
-// their bound, calls that vanish or start twice, and starts above the limit or after the deadline.
+// Guards against a critical call that is refused or waits while a less important one starts, queues
+// above their capacity, calls that are lost or start twice, and starts above the limit or after the
+// deadline.
 TEST_CASE("admission keeps its invariants over random operations", "[admission]")
 {
   CHECK(rc::check("random operations", [] {
@@ -211,7 +214,7 @@
     state.settings_.queueCapacity_ = *rc::gen::inRange(0U, 12U);
     state.settings_.minLimit_ = 1;
     state.limit_ = *rc::gen::inRange(1, 6);
-    Judge judge;
+    AdmissionModel model;
     TimePoint now = kStart;
     std::uint64_t nextId = 1;
     const int steps = *rc::gen::inRange(0, 300);
@@ -226,31 +229,31 @@
                                           importance,
                                           *rc::gen::element(0.0, 1.0, 5.0),
                                           milliseconds(*rc::gen::element(0, 20, 200, 2000)));
-        judge.waiting_[call.id_] = call;
-        judge.Apply(state, OfferCall(state, call, now), now);
-      } else if (action < 16 && !judge.running_.empty()) {
-        judge.running_.erase(judge.running_.begin());
+        model.waiting_[call.id_] = call;
+        model.Apply(state, OfferCall(state, call, now), now);
+      } else if (action < 16 && !model.running_.empty()) {
+        model.running_.erase(model.running_.begin());
         const auto end = *rc::gen::element(ExecutionResult::kAnswered,
                                            ExecutionResult::kAnswered,
                                            ExecutionResult::kTargetRefused,
                                            ExecutionResult::kTimedOut,
                                            ExecutionResult::kCancelled);
         const auto service = milliseconds(*rc::gen::inRange(0, 100));
-        judge.Apply(state, FinishCall(state, end, service, now), now);
+        model.Apply(state, FinishCall(state, end, service, now), now);
       } else if (action < 18) {
-        judge.Apply(state, DropLateCalls(state, now), now);
-        for (const auto& entry : judge.waiting_) {
+        model.Apply(state, DropLateCalls(state, now), now);
+        for (const auto& entry : model.waiting_) {
           RC_ASSERT(entry.second.deadline_ > now);
         }
-      } else if (action == 18 && !judge.waiting_.empty()) {
-        const std::uint64_t id = judge.waiting_.begin()->first;
+      } else if (action == 18 && !model.waiting_.empty()) {
+        const std::uint64_t id = model.waiting_.begin()->first;
         RC_ASSERT(CancelWaiting(state, id));
         RC_ASSERT(!CancelWaiting(state, id));
-        judge.waiting_.erase(id);
-        judge.Apply(state, {}, now);
+        model.waiting_.erase(id);
+        model.Apply(state, {}, now);
       } else {
         ApplyAnnouncedSlots(state, *rc::gen::element(0U, 1U, 3U, 10U));
-        judge.Apply(state, DropLateCalls(state, now), now);
+        model.Apply(state, DropLateCalls(state, now), now);
         const AdmissionLevel level = CurrentAdmissionLevel(state, now);
         RC_ASSERT((level.lowestAdmitted_ != Importance::kCritical || level.admittedFraction_ == 1));
       }
@@ -279,8 +282,8 @@
     std::map<std::uint64_t, int> owner;
     std::uint64_t nextId = 1;
     TimePoint now = kStart;
-    const auto count = [&](const AdmissionActions& aStep) {
-      for (const std::uint64_t id : aStep.start_) {
+    const auto count = [&](const AdmissionActions& aActions) {
+      for (const std::uint64_t id : aActions.start_) {
         served[owner[id]] += 1;
       }
     };
@@ -303,13 +306,13 @@
     }
     const auto fair = FairShares(demands, weights, kLimit);
     for (int i = 0; i < accounts; ++i) {
-      // What waits at the end and the first round aren't part of the comparison.
+      // The margin covers the first round and the calls that still wait at the end.
       RC_ASSERT(served[i] >= 0.95 * fair[i] * kRounds - 40);
     }
   }));
 }
 
-// Guards against credit for idle time: an account that comes back must not take all slots.
+// Guards against credit for idle time: an account that was idle must not get all slots.
 TEST_CASE("an idle account earns no credit", "[admission]")
 {
   AdmissionState state = FixedLimit(1, 100);
@@ -334,7 +337,7 @@
   CHECK(back <= 11);
 }
 
-// Guards against starvation of an account with a single call behind a large one.
+// Guards against starvation of an account with a single call by an account with many.
 TEST_CASE("a single call of a small account is served soon", "[admission]")
 {
   AdmissionState state = FixedLimit(1, 1000);
@@ -352,7 +355,8 @@
   CHECK(position <= 2);
 }
 
-// Guards against a full queue that refuses a critical call, or sheds an account below its share.
+// Guards against a full queue that refuses a critical call, or a call of an account below its
+// share.
 TEST_CASE("a full queue sheds the lowest class and the account most over its share", "[admission]")
 {
   AdmissionState state = FixedLimit(1, 4);
@@ -377,8 +381,8 @@
         std::vector<std::uint64_t>{ 7 });
 }
 
-// Guards against work spent on calls that can't be answered in time, and against a spell of slow
-// answers after which no call is admitted any more.
+// Guards against running calls that can't be answered in time, and against a short slowdown after
+// which no call is admitted any more.
 TEST_CASE("late calls are dropped, and a slow spell doesn't block admission", "[admission]")
 {
   AdmissionState state = FixedLimit(1, 100);
@@ -392,7 +396,8 @@
   REQUIRE(tooShort.refuse_.size() == 1);
   CHECK(tooShort.refuse_[0].code_ == ErrorCode::kDeadlineExceeded);
   CHECK(DropLateCalls(state, kStart + milliseconds(99)).refuse_.empty());
-  // Half of its time has passed; a critical call waits on while its deadline can be met.
+  // Call 3 has waited for half of its time. Call 4 is critical and waits while its deadline can be
+  // met.
   const AdmissionActions half = DropLateCalls(state, kStart + milliseconds(101));
   REQUIRE(half.refuse_.size() == 1);
   CHECK(half.refuse_[0].id_ == 3);
@@ -426,8 +431,8 @@
   }
 }
 
-// Guards against refusals in a surge while announced slots are free, and against belief in
-// announced slots after the target refused.
+// Guards against refused calls in a surge while announced slots are free, and against trusting the
+// announced slots after the target refused calls below them.
 TEST_CASE("announced slots are believed until the target refuses", "[admission]")
 {
   AdmissionState state;
@@ -446,8 +451,8 @@
   CHECK(state.limit_ == limit);
 }
 
-// Guards against a limit that collapses on a latency spike or when a deeper service is slow, and
-// against one that doesn't return.
+// Guards against a limit that collapses during a latency spike or while a deeper service is slow,
+// and against one that doesn't recover.
 TEST_CASE("a latency spike doesn't collapse the limit", "[admission]")
 {
   SaturatedTarget target;
@@ -462,7 +467,8 @@
   CHECK(target.state_.limit_ >= 45);
 }
 
-// Guards against a floor that never follows a target which became slower or faster for good.
+// Guards against a latency floor that doesn't follow a target which became slower or faster
+// permanently.
 TEST_CASE("the floor follows a lasting change", "[admission]")
 {
   SaturatedTarget target;
@@ -476,8 +482,9 @@
   }
 }
 
-// Guards against a limit far above what a target runs at once, when it announces nothing and queues
-// inside: the queue belongs into the guard, where importance and deadlines count.
+// Guards against a limit far above the calls that a target can run at once, if it announces no
+// slots and queues calls itself: calls must queue in the guard, which respects importance and
+// deadlines.
 TEST_CASE("the limit follows a target that queues inside", "[admission]")
 {
   SaturatedTarget target;
@@ -496,12 +503,12 @@
   target.Run(seconds(30), 100, [](std::uint32_t aRunning) { return aRunning > 20 ? -1.0 : 10.0; });
   CHECK(target.refused_ <= 0.01 * target.answered_);
   CHECK(target.answered_ >= 0.95 * 2000 * 30);
-  // More slots are found again.
+  // The limit rises again when the target accepts more calls.
   target.Run(seconds(15), 100, [](std::uint32_t aRunning) { return aRunning > 40 ? -1.0 : 10.0; });
   CHECK(target.state_.limit_ >= 38);
 }
 
-// Guards against a target left nearly idle because it refuses some calls whatever its load.
+// Guards against a target that is nearly idle because it refuses some calls at any load.
 TEST_CASE("refusals at random don't collapse the limit", "[admission]")
 {
   SaturatedTarget target;
@@ -514,7 +521,8 @@
   CHECK(target.answered_ >= 0.85 * 5000 * 30);
 }
 
-// Guards against early refusal of critical calls, of calls without overload, and without probes.
+// Guards against callers' hosts that refuse critical calls, refuse calls without overload, or send
+// no probes of a closed class.
 TEST_CASE("callers' hosts refuse the shed class and probe", "[admission]")
 {
   ReceivedAdmissionLevel upstream;
@@ -536,8 +544,8 @@
   CHECK(admitted(Importance::kLow, kStart + kAdmissionLevelLifetime) == 10000);
 }
 
-// Guards against a level that oscillates between all and nothing, cuts a class that is served in
-// part (the cut would fall on accounts below their share too), or stays low after the overload.
+// Guards against an admission level that oscillates, that closes a class which is served in part
+// (accounts below their share would lose calls too), or that stays low after the overload.
 TEST_CASE("the announced level closes classes that are wholly shed", "[admission]")
 {
   AdmissionState state = FixedLimit(10, 20);
@@ -552,8 +560,8 @@
   const auto run = [&](Duration aTime, int aPerMs) {
     offered = sent = {};
     answered = 0;
-    const auto apply = [&](const AdmissionActions& aStep) {
-      for (std::size_t i = 0; i < aStep.start_.size(); ++i) {
+    const auto apply = [&](const AdmissionActions& aActions) {
+      for (std::size_t i = 0; i < aActions.start_.size(); ++i) {
         ends.emplace(now + milliseconds(10), now);
       }
     };
@@ -589,8 +597,8 @@
   CHECK(answered >= 990);
 }
 
-// Guards against a limit that falls because a deeper service slowed down: the queue it causes here
-// refused 8 % of the calls at 0.7 of the capacity.
+// Guards against a limit that falls because a deeper service slowed down. The queue behind the
+// lower limit refused 8 % of the calls at 0.7 of the capacity.
 TEST_CASE("time in deeper calls doesn't lower the limit", "[admission]")
 {
   AdmissionState state;
@@ -598,7 +606,7 @@
   ApplyAnnouncedSlots(state, 16);
   for (std::uint64_t id = 1; id <= 2000; ++id) {
     OfferCall(state, { id, Importance::kNormal, {}, 1, now, now + seconds(10) }, now);
-    // From the middle on the deeper calls take ten times longer.
+    // In the second half the deeper calls take ten times longer.
     const Duration deeper = milliseconds(id < 1000 ? 100 : 1000);
     now += milliseconds(5);
     FinishCall(
@@ -607,8 +615,8 @@
   CHECK(state.limit_ == Approx(16));
 }
 
-// Guards against short calls that are refused as too late because other routes of the target take
-// longer.
+// Guards against short calls that are refused as too late because other routes of the target have
+// longer service times.
 TEST_CASE("a call is judged by the service time of its route", "[admission]")
 {
   AdmissionState state;
--- a/tests/request/CallContextTest.cpp
+++ b/tests/request/CallContextTest.cpp
@@ -20,8 +20,8 @@
   CHECK(tokens.size() == 1000);
 }
 
-// Guards against a token that stays valid after its call, and against retries that are returned
-// although a deeper call may still spend them.
+// Guards against a token that is valid after its call ended, and against returning retries that a
+// deeper call may still spend.
 TEST_CASE("a context lives as long as its call", "[context]")
 {
   ContextTable table;
@@ -38,7 +38,8 @@
   CHECK(CloseContext(table, token) == 0);
 }
 
-// Guards against unbounded memory, chains without end, and one call taking over another's context.
+// Guards against unbounded memory, unbounded call chains, and a call that replaces the context of
+// another.
 TEST_CASE("contexts are bounded", "[context]")
 {
   ContextTable table;
@@ -58,7 +59,7 @@
   CHECK(OpenContext(table, "7", {}));
 }
 
-// Guards against counting parallel deeper calls twice.
+// Guards against counting the time of parallel deeper calls twice.
 TEST_CASE("deeper time is the union of the deeper calls", "[context]")
 {
   CallContext context;
--- a/tests/request/FailureMeterTest.cpp
+++ b/tests/request/FailureMeterTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the part of recent answers that are failures.
+// Tests of the failure fraction of recent answers.
 #include "peridotquay/request/FailureMeter.h"
 
 #include <catch2/catch.hpp>
@@ -11,8 +11,8 @@
 
 } // namespace
 
-// Guards against a target that is avoided for one failure, and against one that fails part of its
-// requests and isn't found.
+// Guards against avoiding a target after a single failure, and against not detecting one that fails
+// a fraction of its requests.
 TEST_CASE("the failed part needs several answers", "[failures]")
 {
   FailureMeter meter;
@@ -24,7 +24,7 @@
   CHECK(FailedPercent(meter, kStart) == 60);
 }
 
-// Guards against old failures that count for a target that has recovered.
+// Guards against old failures that still count after the target recovered.
 TEST_CASE("failures are forgotten", "[failures]")
 {
   FailureMeter meter;
--- a/tests/request/OutcomeTest.cpp
+++ b/tests/request/OutcomeTest.cpp
@@ -5,7 +5,7 @@
 
 using namespace peridotquay;
 
-// Guards against an importance name that can be written but not read back.
+// Guards against an importance name that is written but can't be parsed.
 TEST_CASE("importance names parse back", "[outcome]")
 {
   for (int i = 0; i < kImportanceClassCount; ++i) {
--- a/tests/request/RateShareTest.cpp
+++ b/tests/request/RateShareTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the shares of rate and burst over all hosts.
+// Tests of distributed rate limiting over simulated hosts.
 #include "peridotquay/request/RateShare.h"
 
 #include "peridotquay/connection/PeerCodec.h"
@@ -14,10 +14,10 @@
 
 const ClientAccountId kAccount{ "parish" };
 
-/// Hosts in virtual time whose reports arrive late, and a history of taken tokens.
+/// Simulated hosts in virtual time that exchange delayed reports, and the times of granted tokens.
 struct Fleet
 {
-  struct Late
+  struct DelayedReports
   {
     TimePoint due_;
     std::size_t to_;
@@ -30,20 +30,20 @@
   Duration farDelay_ = milliseconds(25);
   TimePoint now_{ seconds(1000) };
   std::vector<RateShareState> hosts_;
-  std::vector<bool> cut_;
-  std::vector<Late> late_;
+  std::vector<bool> isolated_;
+  std::vector<DelayedReports> delayed_;
   std::vector<TimePoint> taken_;
   std::size_t refused_ = 0;
   std::uint64_t nonce_ = 1;
   std::uint64_t steps_ = 0;
-  std::size_t regionBytes_ = 0;     ///< Between regions.
-  std::size_t dataCentreBytes_ = 0; ///< Between data centres, regions included.
+  std::size_t regionBytes_ = 0;     ///< Sent between regions.
+  std::size_t dataCentreBytes_ = 0; ///< Sent between data centres, also of different regions.
   std::mt19937_64 random_;
 
   Fleet(std::size_t aHosts, double aRate, double aBurst, std::uint64_t aSeed)
     : rate_(aRate)
     , burst_(aBurst)
-    , cut_(aHosts, false)
+    , isolated_(aHosts, false)
     , random_(aSeed)
   {
     for (std::size_t i = 0; i < aHosts; ++i) {
@@ -60,16 +60,16 @@
     config.clientAccounts_[kAccount] = { kAccount, rate_, burst_ };
     SetRateLimits(state, config, now_);
     std::map<HostId, HostLocation> all;
-    for (std::size_t i = 0; i < cut_.size(); ++i) {
-      all[{ "h" + std::to_string(i) }] = PlaceOf(i);
+    for (std::size_t i = 0; i < isolated_.size(); ++i) {
+      all[{ "h" + std::to_string(i) }] = LocationOf(i);
     }
-    state.location_ = PlaceOf(aHost);
+    state.location_ = LocationOf(aHost);
     SetShareHosts(state, all, now_);
     return state;
   }
 
   /// Two regions of two data centres each.
-  static HostLocation PlaceOf(std::size_t aHost)
+  static HostLocation LocationOf(std::size_t aHost)
   {
     return { { "d" + std::to_string(aHost % 4) }, { aHost % 2 == 0 ? "east" : "west" } };
   }
@@ -78,17 +78,17 @@
   {
     for (const HostId& host : aStep.to_) {
       const std::size_t to = std::stoul(host.value_.substr(1));
-      if (!cut_[aFrom] && !cut_[to]) {
-        const bool near = PlaceOf(aFrom).region_ == PlaceOf(to).region_;
-        late_.push_back({ now_ + (near ? nearDelay_ : farDelay_), to, aStep.reports_ });
+      if (!isolated_[aFrom] && !isolated_[to]) {
+        const bool near = LocationOf(aFrom).region_ == LocationOf(to).region_;
+        delayed_.push_back({ now_ + (near ? nearDelay_ : farDelay_), to, aStep.reports_ });
         const std::size_t bytes = EncodePeerMessage(aStep.reports_).size();
         regionBytes_ += near ? 0 : bytes;
-        dataCentreBytes_ += PlaceOf(aFrom) == PlaceOf(to) ? 0 : bytes;
+        dataCentreBytes_ += LocationOf(aFrom) == LocationOf(to) ? 0 : bytes;
       }
     }
   }
 
-  void Take(std::size_t aHost)
+  void RequestToken(std::size_t aHost)
   {
     ShareRequest request;
     request.nonce_ = nonce_++;
@@ -101,23 +101,24 @@
     }
   }
 
-  void Step()
+  void Advance()
   {
     now_ += milliseconds(10);
-    std::vector<Late> due;
-    std::erase_if(late_, [&](Late& aLate) {
-      if (aLate.due_ > now_) {
+    std::vector<DelayedReports> due;
+    std::erase_if(delayed_, [&](DelayedReports& aDelayed) {
+      if (aDelayed.due_ > now_) {
         return false;
       }
-      due.push_back(aLate);
+      due.push_back(aDelayed);
       return true;
     });
-    for (const Late& late : due) {
-      for (const OutgoingReports& step : ApplyRateReports(hosts_[late.to_], late.reports_, now_)) {
-        Send(late.to_, step);
+    for (const DelayedReports& delayed : due) {
+      for (const OutgoingReports& step :
+           ApplyRateReports(hosts_[delayed.to_], delayed.reports_, now_)) {
+        Send(delayed.to_, step);
       }
-      for (const auto& [host, levels] : CollectDueLevels(hosts_[late.to_], now_)) {
-        // Within a data centre a datagram takes less than a step.
+      for (const auto& [host, levels] : CollectDueLevels(hosts_[delayed.to_], now_)) {
+        // A datagram within a data centre takes less than one 10 ms step, so it isn't delayed.
         ApplyRateLevels(hosts_[std::stoul(host.value_.substr(1))], levels, now_);
       }
     }
@@ -131,35 +132,36 @@
     }
   }
 
-  /// Requests a second over all hosts; the first aHot hosts get all of them.
-  void Run(double aPerSecond, Duration aTime, std::size_t aHot)
+  /// Runs for aTime with aPerSecond requests per second, which the first aActiveHosts hosts
+  /// receive.
+  void Run(double aPerSecond, Duration aTime, std::size_t aActiveHosts)
   {
     const TimePoint end = now_ + aTime;
     std::poisson_distribution<int> arrivals(aPerSecond * 0.01);
     while (now_ < end) {
-      Step();
+      Advance();
       for (int i = arrivals(random_); i > 0; --i) {
-        Take(random_() % aHot);
+        RequestToken(random_() % aActiveHosts);
       }
     }
   }
 
-  /// Most taken in any window of the length.
-  std::size_t Most(Duration aWindow) const
+  /// Maximum number of tokens granted in any window of this length.
+  std::size_t MaxTakenIn(Duration aWindow) const
   {
-    std::size_t most = 0;
+    std::size_t maxTaken = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < taken_.size(); ++last) {
       while (taken_[last] - taken_[first] > aWindow) {
         ++first;
       }
-      most = std::max(most, last - first + 1);
+      maxTaken = std::max(maxTaken, last - first + 1);
     }
-    return most;
+    return maxTaken;
   }
 };
 
-/// The limit that the users state for a window of 5 s: a tenth over, and 20 requests.
+/// Required bound for every window of 5 s: a tenth more than rate and burst, plus 20 requests.
 double Allowed(double aRate, double aBurst)
 {
   return (5 * aRate + aBurst) * 1.1 + 20;
@@ -167,7 +169,8 @@
 
 } // namespace
 
-// Guards against more than rate and burst when hosts know of each other's use only later.
+// Guards against grants above rate and burst, which can happen because hosts receive the use of
+// others with a delay.
 TEST_CASE("an account over its rate gets its limit over all hosts", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -176,34 +179,36 @@
       fleet.Run(0.5 * rate, seconds(8), 16);
       fleet.Run(8 * rate, seconds(10), 16);
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.Most(seconds(5)) <= Allowed(rate, rate));
-      // What the account may have isn't held back: at least nine tenths of the rate are served.
+      CHECK(fleet.MaxTakenIn(seconds(5)) <= Allowed(rate, rate));
+      // At least nine tenths of the rate are served.
       CHECK(static_cast<double>(fleet.taken_.size()) >= 0.9 * (4 * rate + 10 * rate));
     }
   }
 }
 
-// Guards against refusals of accounts that stay within their rate, at even and at uneven demand.
+// Guards against refusals of accounts that stay within their rate, with demand at all hosts or at a
+// few.
 TEST_CASE("an account within its rate is rarely refused", "[rate]")
 {
-  for (const std::size_t hot : { std::size_t{ 16 }, std::size_t{ 4 }, std::size_t{ 1 } }) {
+  for (const std::size_t activeHosts : { std::size_t{ 16 }, std::size_t{ 4 }, std::size_t{ 1 } }) {
     for (const double rate : { 10.0, 51.0, 400.0 }) {
       std::size_t refused = 0;
       std::size_t asked = 0;
       for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Fleet fleet(16, rate, rate, seed);
         fleet.Run(0, seconds(8), 16);
-        fleet.Run(rate / 1.6, seconds(20), hot);
+        fleet.Run(rate / 1.6, seconds(20), activeHosts);
         refused += fleet.refused_;
         asked += fleet.taken_.size() + fleet.refused_;
       }
-      INFO("hot " << hot << " rate " << rate << " refused " << refused << " of " << asked);
+      INFO("active hosts " << activeHosts << " rate " << rate << " refused " << refused << " of "
+                           << asked);
       CHECK(static_cast<double>(refused) <= 0.01 * static_cast<double>(asked));
     }
   }
 }
 
-// Guards against two halves of a cut fleet that each hand out the whole limit.
+// Guards against groups of hosts that are cut off from each other and each grant the whole limit.
 TEST_CASE("hosts that are cut off keep the limit together", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -211,18 +216,18 @@
       Fleet fleet(16, rate, rate, seed);
       fleet.Run(rate, seconds(8), 16);
       for (std::size_t i = 0; i < 6; ++i) {
-        fleet.cut_[i] = true;
+        fleet.isolated_[i] = true;
       }
       fleet.Run(6 * rate, seconds(12), 16);
-      fleet.cut_.assign(16, false);
+      fleet.isolated_.assign(16, false);
       fleet.Run(6 * rate, seconds(5), 16);
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.Most(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxTakenIn(seconds(5)) <= Allowed(rate, rate));
     }
   }
 }
 
-// Guards against a second burst when all hosts restart with nothing kept.
+// Guards against a second burst after all hosts restart at once and lose what they knew of the use.
 TEST_CASE("restarted hosts don't hand out the burst again", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -235,12 +240,12 @@
     }
     fleet.Run(4 * rate, seconds(8), 16);
     INFO("seed " << seed);
-    CHECK(fleet.Most(seconds(5)) <= Allowed(rate, rate));
+    CHECK(fleet.MaxTakenIn(seconds(5)) <= Allowed(rate, rate));
   }
 }
 
-// Guards against refusals below the limit while hosts are restarted one after the other: a host
-// that begins with empty bursts must learn what is left of them.
+// Guards against refusals below the limit while hosts restart one after the other: a host that
+// begins with empty bursts must receive the levels from the others.
 TEST_CASE("accounts within their rate are served while hosts restart in turn", "[rate]")
 {
   for (const std::size_t hosts : { std::size_t{ 16 }, std::size_t{ 73 } }) {
@@ -262,7 +267,7 @@
   }
 }
 
-// Guards against more than the limit when hosts that know the levels tell them to many that start.
+// Guards against grants above the limit when many starting hosts receive the same levels.
 TEST_CASE("hosts that restart in turn keep the limit", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -276,12 +281,12 @@
         fleet.Run(5 * rate, milliseconds(700), 16);
       }
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.Most(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxTakenIn(seconds(5)) <= Allowed(rate, rate));
     }
   }
 }
 
-// Guards against tokens that were given back but count as used.
+// Guards against returned tokens of a grant that still count as used.
 TEST_CASE("unused tokens of a grant come back", "[rate]")
 {
   Fleet fleet(1, 10, 20, 1);
@@ -295,7 +300,7 @@
   CHECK(GrantTokens(host, { 3, kAccount, grant.grant_, 0, 8 }, fleet.now_).tokens_ == 8);
 }
 
-// Guards against use that is counted twice because a report came again, late or out of order.
+// Guards against use that is counted twice because a report arrives repeatedly or out of order.
 TEST_CASE("reports may be lost, late and repeated", "[rate]")
 {
   Fleet fleet(2, 10, 100, 1);
@@ -306,13 +311,13 @@
   const double level = host.accounts_.at(kAccount).level_;
   ApplyRateReports(host, { { "h1" }, { first } }, fleet.now_);
   CHECK(host.accounts_.at(kAccount).level_ == Approx(level));
-  // A report of an earlier start of the host says nothing of the present one.
+  // A report of an earlier incarnation has no effect.
   ApplyRateReports(host, { { "h1" }, { { { "h1" }, 1, 9, { { kAccount, 90 } } } } }, fleet.now_);
   CHECK(host.accounts_.at(kAccount).level_ == Approx(level));
 }
 
-// Guards against use of the past that counts as new: a host that started hears an account of
-// another host for the first time only when that host uses it again.
+// Guards against earlier use that counts as new: a started host receives another host's use of an
+// account for the first time only when that host uses the account again.
 TEST_CASE("what a host used before this one started isn't taken off the level", "[rate]")
 {
   Fleet fleet(2, 10, 100, 1);
@@ -329,17 +334,17 @@
   CHECK(host.accounts_.at(kAccount).level_ == Approx(before - 5));
 }
 
-// Guards against control traffic that grows over the dear links between regions.
+// Guards against report traffic that grows on the links between regions, which are paid by volume.
 TEST_CASE("few bytes of reports cross between regions", "[rate]")
 {
   Fleet fleet(16, 51, 51, 1);
   fleet.Run(30, seconds(20), 16);
-  // A report of an account takes about 30 bytes; each host has one a second at least.
+  // A report of one account has about 30 bytes; each host sends at least one per second.
   CHECK(fleet.regionBytes_ / 20 < 8192);
 }
 
-// Guards against reports from every host to every other one: their number grows with the square of
-// the hosts, and links between data centres are paid by volume.
+// Guards against reports from every host to every other one: their number would grow with the
+// square of the hosts, and links between data centres are paid by volume.
 TEST_CASE("bytes between data centres grow with the hosts, not their square", "[rate]")
 {
   const auto bytesPerHost = [](std::size_t aHosts) {
@@ -351,53 +356,53 @@
   CHECK(bytesPerHost(80) < 1.5 * few);
 }
 
-// Guards against a region that is never heard again because its first hosts are gone for good.
+// Guards against a region whose reports never arrive because its first hosts are down permanently.
 TEST_CASE("regions find each other although the first hosts of both are down", "[rate]")
 {
   Fleet fleet(16, 50, 50, 1);
   for (const std::size_t down : { 0, 1, 2, 3, 4, 5 }) {
-    fleet.cut_[down] = true;
+    fleet.isolated_[down] = true;
   }
   fleet.Run(20, seconds(12), 16);
   for (std::size_t host = 6; host < 16; ++host) {
     INFO("host " << host);
-    CHECK(fleet.hosts_[host].heardHosts_ == 9);
+    CHECK(fleet.hosts_[host].activeHosts_ == 9);
   }
 }
 
-// Guards against regions that find each other's relay only after as many tries as they have hosts:
-// until then both keep the other's part of all rates unused.
+// Guards against regions that need as many attempts as they have hosts to find each other's relay:
+// until then each leaves the other's share of all rates unused.
 TEST_CASE("large regions that restarted at once hear each other within two seconds", "[rate]")
 {
   Fleet fleet(80, 60, 60, 1);
   fleet.Run(40, seconds(6), 80);
   for (std::size_t i = 0; i < 80; ++i) {
     fleet.hosts_[i] = fleet.Start(i, 2);
-    // The first hosts of both regions don't come back.
-    fleet.cut_[i] = i < 4 || i == 10 || i == 11 || i == 12 || i == 13;
+    // The first hosts of both regions stay down.
+    fleet.isolated_[i] = i < 4 || i == 10 || i == 11 || i == 12 || i == 13;
   }
   fleet.Run(40, seconds(2), 80);
   for (std::size_t host = 20; host < 80; ++host) {
     INFO("host " << host);
-    CHECK(fleet.hosts_[host].heardHosts_ >= 71);
+    CHECK(fleet.hosts_[host].activeHosts_ >= 71);
   }
 }
 
-// Guards against calls to a host that is gone for good, and against a region that is cut off and
-// taken for gone.
+// Guards against calls to a host that is down permanently, and against treating a region that is
+// cut off as down.
 TEST_CASE("a host that is gone is found by its silence", "[rate]")
 {
   Fleet fleet(8, 50, 50, 1);
   const TimePoint start = fleet.now_;
   fleet.Run(20, seconds(6), 8);
   CHECK(FindSilentHosts(fleet.hosts_[0], seconds(4), start, fleet.now_).empty());
-  fleet.cut_[3] = true;
+  fleet.isolated_[3] = true;
   fleet.Run(20, seconds(6), 8);
   CHECK(FindSilentHosts(fleet.hosts_[0], seconds(4), start, fleet.now_) ==
         std::set<HostId>{ { "h3" } });
-  // The host itself hears nobody, so it can't tell who is gone.
+  // The isolated host receives no reports, so it can't tell which hosts are down.
   CHECK(FindSilentHosts(fleet.hosts_[3], seconds(4), start, fleet.now_).empty());
-  fleet.cut_[3] = false;
+  fleet.isolated_[3] = false;
   fleet.Run(20, seconds(3), 8);
   CHECK(FindSilentHosts(fleet.hosts_[0], seconds(4), start, fleet.now_).empty());
 }
--- a/tests/request/RetryBudgetTest.cpp
+++ b/tests/request/RetryBudgetTest.cpp
@@ -15,8 +15,9 @@
   return aBudget.left_ + aBudget.lent_ + aBudget.spent_;
 }
 
-/// Runs one call with random fan-out, retries, and answers that are lost or claim too much. Returns
-/// the retries that were really made in the tree; aUnused receives what the call would return.
+/// Simulates one call with random fan-out, retries, and answers that are lost or claim too many
+/// unused retries. Returns the retries made in its tree; aUnused receives the retries that it
+/// returns.
 std::uint32_t RunCall(std::uint32_t aRetries, int aDepth, std::uint32_t& aUnused)
 {
   RetryBudget budget{ aRetries, 0, 0 };
@@ -33,7 +34,7 @@
       made += RunCall(retries, aDepth + 1, unused);
       const int answer = *rc::gen::inRange(0, 4);
       const std::uint32_t claimed = answer == 0 ? 0 : answer == 1 ? unused + 100 : unused;
-      // A claim above what was lent returns at most what was lent; the guard's own count is right.
+      // The guard limits a claim that is too large to its own count of unused retries.
       ReturnRetries(budget, retries, answer == 1 ? std::min(claimed, unused) : claimed);
       RC_ASSERT(Sum(budget) == aRetries);
     }
@@ -49,7 +50,7 @@
 
 } // namespace
 
-// Guards against retries that multiply down a chain of calls.
+// Guards against retries that multiply at each hop of a call chain.
 TEST_CASE("retries of a tree of calls stay within the budget", "[retry]")
 {
   CHECK(rc::check("budget of a random tree", [] {
@@ -76,8 +77,8 @@
   }));
 }
 
-// Guards against a copy of the budget for a deeper call, and against a last retry that can't be
-// lent.
+// Guards against a budget that is copied to a deeper call instead of shared with it, and against a
+// last retry that can't be lent.
 TEST_CASE("half of the budget is lent, rounded up", "[retry]")
 {
   RetryBudget budget{ 3, 0, 0 };
@@ -89,15 +90,16 @@
   CHECK(budget == RetryBudget{ 1, 1, 1 });
 }
 
-// Guards against repeated runs whose own calls exceed the ratio of deeper services.
+// Guards against retries of calls that ran, whose repeated deeper calls exceed the retry ratio of
+// deeper services.
 TEST_CASE("a retry of a call that may have run costs more", "[retry]")
 {
   const RetryRatioSettings settings{ .tokensPerFirstAttempt_ = 0.5,
-                                     .leastInterval_ = seconds(100),
+                                     .minInterval_ = seconds(100),
                                      .mayHaveRunCost_ = 2 };
   RetryRatio state;
   const TimePoint now{ seconds(1000) };
-  state.last_ = now;
+  state.lastRetryAt_ = now;
   CHECK_FALSE(ConsumeRetryToken(state, settings, now, true));
   RecordFirstAttempt(state, settings);
   RecordFirstAttempt(state, settings);
@@ -105,7 +107,8 @@
   CHECK_FALSE(ConsumeRetryToken(state, settings, now, false));
 }
 
-// Guards against retry storms on one route, and against a quiet route that may never retry.
+// Guards against retry storms on one service, and against a service with few calls that may never
+// retry.
 TEST_CASE("retries are at most the ratio and one a second", "[retry]")
 {
   const RetryRatioSettings settings;
@@ -140,7 +143,7 @@
   }
   CHECK(ConsumeRetryToken(state, settings, now + milliseconds(1001)));
 
-  // A long quiet time must not pay for a burst of retries.
+  // A long time without retries must not allow a large burst of them.
   for (int i = 0; i < 100000; ++i) {
     RecordFirstAttempt(state, settings);
   }
@@ -148,5 +151,5 @@
   while (ConsumeRetryToken(state, settings, now + milliseconds(1002))) {
     ++burst;
   }
-  CHECK(burst == static_cast<int>(settings.cap_));
+  CHECK(burst == static_cast<int>(settings.maxTokens_));
 }
