--- a/tests/request/RouteChoiceTest.cpp
+++ b/tests/request/RouteChoiceTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the choice of targets.
+// Tests of load balancing: choice of targets, ejection and slow start.
 #include "peridotquay/request/RouteChoice.h"
 
 #include <catch2/catch.hpp>
@@ -50,7 +50,9 @@
   }
 }
 
-std::map<std::string, int> Draw(RoutingState& aState, const TargetView& aView, TimePoint aNow)
+std::map<std::string, int> CountChoices(RoutingState& aState,
+                                        const TargetView& aView,
+                                        TimePoint aNow)
 {
   std::map<std::string, int> counts;
   for (int i = 0; i < 2000; ++i) {
@@ -61,10 +63,10 @@
   return counts;
 }
 
-/// Open-loop calls, one every millisecond; the latency of a call is given by aLatencyMs. Returns
-/// the part of the calls that went to the first target.
+/// Simulates open-loop calls, one every millisecond. aLatencyMs gives the latency of a call, aLoad
+/// the reported load of a target. Returns the fraction of the calls that went to the first target.
 template<typename Latency, typename Load>
-double ShareOfFirst(const TargetView& aView, Latency aLatencyMs, Load aLoad)
+double FractionToFirst(const TargetView& aView, Latency aLatencyMs, Load aLoad)
 {
   RoutingState state = MakeState();
   struct Running
@@ -104,8 +106,8 @@
 
 } // namespace
 
-// Guards against targets chosen although they are draining, left or tried already, and against no
-// choice although a usable target is there.
+// Guards against choosing a target that is draining, left or tried already, and against choosing
+// none although the service has a usable one.
 TEST_CASE("a choice is usable and exists if a usable target exists", "[route]")
 {
   CHECK(rc::check("random views and results", [] {
@@ -173,37 +175,38 @@
     for (const Target& target : targets) {
       Fail(state, target, 5, kStart);
     }
-    const auto counts = Draw(state, view, kStart + milliseconds(10));
+    const auto counts = CountChoices(state, view, kStart + milliseconds(10));
     CHECK(static_cast<int>(counts.size()) == count - count / 2);
   }
 }
 
-// Guards against a broken target that keeps its traffic, and against one that never comes back.
+// Guards against a broken target that keeps receiving calls, and against one that is ejected
+// permanently.
 TEST_CASE("ejection lasts one second and doubles", "[route]")
 {
   RoutingState state = MakeState();
   const TargetView view = MakeView({ MakeTarget("a"), MakeTarget("b"), MakeTarget("c") });
   const Target& broken = view.targets_.at(kService)[0];
   Fail(state, broken, 4, kStart);
-  CHECK(Draw(state, view, kStart).contains("a"));
+  CHECK(CountChoices(state, view, kStart).contains("a"));
   Fail(state, broken, 1, kStart);
-  CHECK_FALSE(Draw(state, view, kStart + milliseconds(999)).contains("a"));
-  CHECK(Draw(state, view, kStart + milliseconds(1000)).contains("a"));
+  CHECK_FALSE(CountChoices(state, view, kStart + milliseconds(999)).contains("a"));
+  CHECK(CountChoices(state, view, kStart + milliseconds(1000)).contains("a"));
   // Late failures during the ejection don't count.
   Fail(state, broken, 5, kStart + milliseconds(1000));
   Fail(state, broken, 50, kStart + milliseconds(1100));
-  CHECK_FALSE(Draw(state, view, kStart + milliseconds(2999)).contains("a"));
-  CHECK(Draw(state, view, kStart + milliseconds(3000)).contains("a"));
+  CHECK_FALSE(CountChoices(state, view, kStart + milliseconds(2999)).contains("a"));
+  CHECK(CountChoices(state, view, kStart + milliseconds(3000)).contains("a"));
   // A new incarnation starts without the old one's failures.
   Fail(state, broken, 5, kStart + seconds(3));
   Target restarted = broken;
   restarted.incarnation_ = 2;
   const TargetView after = MakeView({ restarted, MakeTarget("b"), MakeTarget("c") });
-  CHECK(Draw(state, after, kStart + seconds(3)).contains("a"));
+  CHECK(CountChoices(state, after, kStart + seconds(3)).contains("a"));
 }
 
-// Guards against calls to far targets while near ones accept, and against refusals while far ones
-// would accept.
+// Guards against calls to far targets while near ones accept, and against refused calls while far
+// targets would accept them.
 TEST_CASE("work spills over to the next tier when the nearer one refuses", "[route]")
 {
   RoutingState state = MakeState();
@@ -216,7 +219,7 @@
   };
   const auto hosts = [&] {
     std::set<std::string> names;
-    for (const auto& entry : Draw(state, view, kStart + milliseconds(1))) {
+    for (const auto& entry : CountChoices(state, view, kStart + milliseconds(1))) {
       names.insert(entry.first);
     }
     return names;
@@ -242,16 +245,16 @@
   const TargetView view = MakeView(targets);
   const auto load = [](const Target& aTarget) { return aTarget.host_.value_ == "a" ? 0.0 : 1.0; };
   const auto equal = [](const Target&, int) { return 20; };
-  CHECK(ShareOfFirst(view, equal, load) < 0.4);
-  // Its latency grows with its calls: the node's own observation outweighs the report.
+  CHECK(FractionToFirst(view, equal, load) < 0.4);
+  // If its latency grows with its calls, the node's own observation outweighs the report.
   const auto loaded = [](const Target& aTarget, int aInFlight) {
     return aTarget.host_.value_ == "a" ? 20 + 4 * aInFlight : 20;
   };
-  CHECK(ShareOfFirst(view, loaded, load) < 0.25);
+  CHECK(FractionToFirst(view, loaded, load) < 0.25);
 }
 
-// Guards against a slow target that keeps its full part of the traffic, and against one that is
-// avoided for good after it recovered.
+// Guards against a slow target that keeps its full share of the traffic, and against one that is
+// avoided permanently although it recovered.
 TEST_CASE("a slow target gets fewer calls and is tried again later", "[route]")
 {
   const TargetView view = MakeView({ MakeTarget("a"), MakeTarget("b"), MakeTarget("c") });
@@ -259,7 +262,7 @@
     return aTarget.host_.value_ == "a" ? 100 : 10;
   };
   const auto noLoad = [](const Target&) { return -1.0; };
-  const double share = ShareOfFirst(view, slow, noLoad);
+  const double share = FractionToFirst(view, slow, noLoad);
   CHECK(share < 0.15);
   CHECK(share > 0);
 
@@ -274,7 +277,7 @@
                     -1,
                     kStart);
   }
-  CHECK_FALSE(Draw(state, view, kStart).contains("a"));
+  CHECK_FALSE(CountChoices(state, view, kStart).contains("a"));
   for (int ms = 0; ms < 20000; ms += 100) {
     for (std::size_t i = 1; i < targets.size(); ++i) {
       RecordCallSent(state, targets[i]);
@@ -286,7 +289,7 @@
                       kStart + milliseconds(ms));
     }
   }
-  CHECK(Draw(state, view, kStart + seconds(20)).contains("a"));
+  CHECK(CountChoices(state, view, kStart + seconds(20)).contains("a"));
 }
 
 // Guards against full load on a target that has just started.
@@ -300,7 +303,7 @@
     targets[0].state_ = TargetState::kCold;
     targets[0].readySince_ = kStart - seconds(age);
     RoutingState state = MakeState();
-    const double share = Draw(state, MakeView(targets), kStart)["a"] / 2000.0;
+    const double share = CountChoices(state, MakeView(targets), kStart)["a"] / 2000.0;
     CHECK(share <= 0.07 * age + 0.03);
     CHECK(share >= last);
     last = share;
@@ -308,7 +311,7 @@
   CHECK(last > 0.2);
 }
 
-// Guards against memory that grows with every host that ever lived.
+// Guards against memory that grows with every host that was ever a target.
 TEST_CASE("stats of absent hosts are forgotten", "[route]")
 {
   RoutingState state = MakeState();
@@ -321,8 +324,9 @@
   CHECK(state.stats_.contains(busy.host_));
 }
 
-// Guards against a queue at the only target of the own data centre while another has free slots:
-// after a host died, 6 % of the calls failed in the queue behind the overloaded neighbour.
+// Guards against a queue at the only target of the own data centre while a target in another one
+// has free slots. After a host died, 6 % of the calls failed in the queue of its overloaded
+// neighbour.
 TEST_CASE("work spills over to the region when nearer targets queue", "[route]")
 {
   RoutingState state;
@@ -355,7 +359,8 @@
   CHECK(chosen() == "far");
 }
 
-// Guards against five failed calls to a dead host after each ejection, each of which costs a retry.
+// Guards against failuresToEject_ more failed calls, each of which costs a retry, to a dead host
+// after each ejection.
 TEST_CASE("an unreachable target is ejected at once and again by its first failure", "[route]")
 {
   RoutingState state;
@@ -365,7 +370,9 @@
     RecordCallSent(state, targets[0]);
     RecordCallEnded(state, targets[0], aResult, milliseconds(1), -1, aNow);
   };
-  const auto ejected = [&](TimePoint aNow) { return Draw(state, view, aNow).count("a") == 0; };
+  const auto ejected = [&](TimePoint aNow) {
+    return CountChoices(state, view, aNow).count("a") == 0;
+  };
   fail(AttemptResult::kUnreachable, kStart);
   CHECK(ejected(kStart + milliseconds(999)));
   CHECK_FALSE(ejected(kStart + milliseconds(1001)));
@@ -373,8 +380,8 @@
   CHECK(ejected(kStart + milliseconds(2900)));
 }
 
-// Guards against a target that fails at once what it is sent: it looks fast and free, so that it
-// would draw more and more calls.
+// Guards against a target that fails its calls at once: it seems fast and idle, and would draw more
+// and more calls.
 TEST_CASE("a target that fails more than the others gets hardly any calls", "[route]")
 {
   RoutingState state;
@@ -383,17 +390,17 @@
   for (const Target& target : targets) {
     RecordFailureFraction(state, target, target.host_.value_ == "a" ? 0.4 : 0.02, kStart);
   }
-  CHECK(Draw(state, view, kStart).count("a") == 0);
-  CHECK(Draw(state, view, kStart + seconds(1)).count("a") == 0);
-  // It is tried again without a report, which only calls could bring.
-  CHECK(Draw(state, view, kStart + seconds(4)).count("a") == 1);
-  // With all other targets tried, it is better than none.
+  CHECK(CountChoices(state, view, kStart).count("a") == 0);
+  CHECK(CountChoices(state, view, kStart + seconds(1)).count("a") == 0);
+  // It is tried again although no newer report arrived: reports only come with answers to calls.
+  CHECK(CountChoices(state, view, kStart + seconds(4)).count("a") == 1);
+  // If all other targets were tried for the call, it is chosen.
   const auto last = ChooseTarget(state, view, kService, { { "b" }, { "c" } }, kStart);
   REQUIRE(last);
   CHECK(last->host_.value_ == "a");
 }
 
-// Guards against targets that are avoided because a deeper service fails all of them.
+// Guards against avoiding all targets because a service that they all call makes them fail.
 TEST_CASE("failures that all targets share are no reason against any", "[route]")
 {
   RoutingState state;
@@ -402,5 +409,5 @@
   for (const Target& target : targets) {
     RecordFailureFraction(state, target, target.host_.value_ == "a" ? 0.7 : 0.65, kStart);
   }
-  CHECK(Draw(state, view, kStart).size() == 3);
+  CHECK(CountChoices(state, view, kStart).size() == 3);
 }
--- a/tests/request/TokenCacheTest.cpp
+++ b/tests/request/TokenCacheTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the token cache against a model of the share leader.
+// Tests of the token cache against a model of the granting host.
 #include "peridotquay/request/TokenCache.h"
 
 #include <catch2/catch.hpp>
@@ -15,29 +15,29 @@
 
 const ClientAccountId kAccount{ "orchard" };
 
-/// One grant as the leader saw it. Steps number the actions of a run.
+/// One grant as the granting host knows it. Steps number the actions of a run.
 struct ModelGrant
 {
-  double tokens_ = 0; ///< Granted; what was reported as used once it was reported.
+  double tokens_ = 0; ///< Granted tokens; after the report, the reported use.
   TimePoint expires_{};
-  int arrived_ = 0;
-  int reported_ = std::numeric_limits<int>::max();
+  int arrivedStep_ = 0;
+  int reportedStep_ = std::numeric_limits<int>::max();
 };
 
 struct ModelTake
 {
   int step_ = 0;
-  TimePoint time_{};
+  TimePoint takenAt_{};
 };
 
-/// Log of one run and its judge.
+/// Records the grants, reports and consumed tokens of one run and checks them.
 struct Model
 {
   std::map<std::uint64_t, ModelGrant> grants_;
   std::uint64_t nextGrant_ = 1;
   std::vector<ModelTake> takes_;
 
-  void Report(const ShareRequest& aRequest, int aStep)
+  void ApplyReport(const ShareRequest& aRequest, int aStep)
   {
     if (aRequest.grant_ == 0) {
       RC_ASSERT(aRequest.used_ == 0);
@@ -45,22 +45,23 @@
     }
     const auto entry = grants_.find(aRequest.grant_);
     RC_ASSERT(entry != grants_.end());
-    RC_ASSERT(entry->second.reported_ > aStep);
+    RC_ASSERT(entry->second.reportedStep_ > aStep);
     RC_ASSERT(aRequest.used_ <= entry->second.tokens_);
-    entry->second.reported_ = aStep;
+    entry->second.reportedStep_ = aStep;
     entry->second.tokens_ = aRequest.used_;
   }
 
-  /// Each take must have a token of its own, from a grant that had arrived, had not expired and was
-  /// not reported yet. Taking from the grant that ends first finds an assignment if there is one.
-  void Judge() const
+  /// Each consumed token must come from a grant that had arrived, had not expired and wasn't
+  /// reported yet, and no token may be consumed twice. Assigning the usable grant that ends first
+  /// finds an assignment if there is one.
+  void CheckTakes() const
   {
     std::vector<ModelGrant> grants;
     for (const auto& entry : grants_) {
       grants.push_back(entry.second);
       for (const ModelTake& take : takes_) {
-        if (take.time_ >= entry.second.expires_) {
-          grants.back().reported_ = std::min(grants.back().reported_, take.step_);
+        if (take.takenAt_ >= entry.second.expires_) {
+          grants.back().reportedStep_ = std::min(grants.back().reportedStep_, take.step_);
           break;
         }
       }
@@ -68,9 +69,9 @@
     for (const ModelTake& take : takes_) {
       ModelGrant* best = nullptr;
       for (ModelGrant& grant : grants) {
-        const bool usable =
-          grant.arrived_ <= take.step_ && take.step_ < grant.reported_ && grant.tokens_ >= 1;
-        if (usable && (best == nullptr || grant.reported_ < best->reported_)) {
+        const bool usable = grant.arrivedStep_ <= take.step_ && take.step_ < grant.reportedStep_ &&
+                            grant.tokens_ >= 1;
+        if (usable && (best == nullptr || grant.reportedStep_ < best->reportedStep_)) {
           best = &grant;
         }
       }
@@ -80,10 +81,10 @@
   }
 };
 
-struct PendingAsk
+struct PendingRequest
 {
   ShareRequest request_;
-  TimePoint asked_{};
+  TimePoint requestedAt_{};
 };
 
 } // namespace
@@ -95,7 +96,7 @@
   CHECK(rc::check("random leader", [] {
     TokenCache cache;
     Model model;
-    std::deque<PendingAsk> asks;
+    std::deque<PendingRequest> pendingRequests;
     std::optional<std::pair<ShareGrant, TimePoint>> lastGrant;
     TimePoint now{ seconds(100) };
     const int steps = *rc::gen::inRange(0, 300);
@@ -107,18 +108,18 @@
         const AcquireResult step = AcquireToken(cache, kAccount, 0, now);
         if (step.shareRequest_) {
           RC_ASSERT(step.shareRequest_->wanted_ >= 1);
-          // A report leaves after the take of the same step.
-          model.Report(*step.shareRequest_, 2 * i + 1);
-          asks.push_back({ *step.shareRequest_, now });
+          // A report is sent after the token of the same step was consumed.
+          model.ApplyReport(*step.shareRequest_, 2 * i + 1);
+          pendingRequests.push_back({ *step.shareRequest_, now });
         }
         if (step.status_ == AcquireStatus::kAcquired) {
           model.takes_.push_back({ 2 * i, now });
         } else {
           RC_ASSERT((step.status_ == AcquireStatus::kRefused) == (step.retryAfterMs_ > 0));
         }
-      } else if (action < 8 && !asks.empty()) {
-        const PendingAsk ask = asks.front();
-        asks.pop_front();
+      } else if (action < 8 && !pendingRequests.empty()) {
+        const PendingRequest ask = pendingRequests.front();
+        pendingRequests.pop_front();
         ShareGrant grant{ ask.request_.nonce_, kAccount, model.nextGrant_++, 0, 1000, 30 };
         grant.tokens_ = *rc::gen::element(0.0, 0.5, 1.0, 2.5, ask.request_.wanted_);
         grant.lifetimeMs_ = *rc::gen::element(10U, 1000U);
@@ -126,47 +127,48 @@
           grant.grant_ = 0;
         } else {
           model.grants_[grant.grant_] = { grant.tokens_,
-                                          ask.asked_ + milliseconds(grant.lifetimeMs_),
+                                          ask.requestedAt_ + milliseconds(grant.lifetimeMs_),
                                           2 * i };
         }
-        AddGrant(cache, grant, ask.asked_);
-        lastGrant = std::pair(grant, ask.asked_);
-      } else if (action == 8 && !asks.empty()) {
-        asks.pop_front();
+        AddGrant(cache, grant, ask.requestedAt_);
+        lastGrant = std::pair(grant, ask.requestedAt_);
+      } else if (action == 8 && !pendingRequests.empty()) {
+        pendingRequests.pop_front();
       } else if (action == 9 && lastGrant) {
         AddGrant(cache, lastGrant->first, lastGrant->second);
       } else {
         for (const ShareRequest& request : ReturnIdleTokens(cache, now)) {
           RC_ASSERT(request.wanted_ == 0);
-          model.Report(request, 2 * i + 1);
+          model.ApplyReport(request, 2 * i + 1);
         }
       }
     }
-    model.Judge();
+    model.CheckTakes();
   }));
 }
 
-// Guards against wrongful refusals: an account within its rate gets every call through, without
-// waiting once its use is known.
+// Guards against calls of an account within its rate that are refused, or that wait for tokens
+// after its use is known.
 TEST_CASE("asking ahead keeps tokens at hand", "[tokens]")
 {
   TokenCache cache;
   TimePoint now{ seconds(100) };
-  std::deque<PendingAsk> asks;
+  std::deque<PendingRequest> pendingRequests;
   std::uint64_t nextGrant = 1;
   int waited = 0;
   int requests = 0;
   double granted = 0;
   for (int ms = 0; ms < 4000; ++ms) {
     now += milliseconds(1);
-    // The leader's reply takes 2 ms.
-    while (!asks.empty() && now - asks.front().asked_ >= milliseconds(2)) {
-      const ShareRequest& request = asks.front().request_;
+    // The reply to a request takes 2 ms.
+    while (!pendingRequests.empty() &&
+           now - pendingRequests.front().requestedAt_ >= milliseconds(2)) {
+      const ShareRequest& request = pendingRequests.front().request_;
       granted += request.wanted_;
       AddGrant(cache,
                { request.nonce_, kAccount, nextGrant++, request.wanted_, 1000, 0 },
-               asks.front().asked_);
-      asks.pop_front();
+               pendingRequests.front().requestedAt_);
+      pendingRequests.pop_front();
     }
     if (ms % 10 != 0) {
       continue;
@@ -175,7 +177,7 @@
     CHECK(step.status_ != AcquireStatus::kRefused);
     waited += step.status_ == AcquireStatus::kPending && ms > 1000 ? 1 : 0;
     if (step.shareRequest_) {
-      asks.push_back({ *step.shareRequest_, now });
+      pendingRequests.push_back({ *step.shareRequest_, now });
       ++requests;
     }
   }
@@ -184,7 +186,8 @@
   CHECK(granted < 400 + 40);
 }
 
-// Guards against tokens that a quiet host takes from the others: at low use nothing is asked ahead.
+// Guards against a host with low use that holds tokens which other hosts need: it must not request
+// tokens ahead.
 TEST_CASE("a rarely used account asks for one token at a time", "[tokens]")
 {
   TokenCache cache;
@@ -205,8 +208,8 @@
   CHECK(reports[0].used_ == 1);
 }
 
-// Guards against memory that grows with the number of accounts, and against one lost reply that
-// blocks an account for good.
+// Guards against memory that grows with the number of accounts, and against an account that a lost
+// reply blocks permanently.
 TEST_CASE("accounts are bounded and lost replies are asked again", "[tokens]")
 {
   TokenCache cache;
