--- a/peridotquay/request/CallContext.h
+++ b/peridotquay/request/CallContext.h
@@ -42,7 +42,7 @@
 };
 
 /// Adds a context under the token, 32 hex digits from a cryptographic generator. Errors:
-/// kLimitReached.
+/// kLimitReached, kDepthExceeded.
 Result<void> OpenContext(ContextTable& aTable, std::string aToken, const CallContext& aContext);
 
 /// The context of a token; null if the token is unknown or its call has ended.
--- a/peridotquay/request/RateShare.cpp
+++ b/peridotquay/request/RateShare.cpp
@@ -15,8 +15,8 @@
 /// begins has a share at once.
 constexpr double kMinDemandFraction = 0.1;
 
-/// Minimum bound of a host's credit, so that two simultaneous requests of a small account are
-/// served.
+/// A host's credit may always reach this while the account has tokens left, so that two
+/// simultaneous requests of a small account are served.
 constexpr double kMinCredit = 2;
 
 /// Maximum number of reports in one datagram.
@@ -67,14 +67,14 @@
 
 /// Tokens that this host may grant before it knows what others granted: its share of the tokens
 /// that are left and of the allowed overshoot. The sum over all hosts is at most both together.
-double MaxCredit(const RateShareState& aState, const AccountShare& aAccount, double aPart)
+double MaxCredit(const RateShareState& aState, const AccountShare& aAccount, double aFraction)
 {
   const RateShareSettings& settings = aState.settings_;
   const double overshoot =
     settings.overshootFraction_ * (settings.overshootSeconds_ * aAccount.rate_ + aAccount.burst_) +
     settings.overshootRequests_;
   const double hosts = static_cast<double>(aState.hosts_.size()) + 1;
-  return std::max(0.0, aAccount.level_) * aPart + overshoot / hosts;
+  return std::max(0.0, aAccount.level_) * aFraction + overshoot / hosts;
 }
 
 /// Time since the last update in which this host earned credit. It ends creditPeriod_ after the
@@ -360,8 +360,8 @@
   share.level_ = std::min(share.level_ - more + assumed, share.burst_);
   const double rate = std::max(0.0, more) / std::max(aSeconds, kMinRateSeconds);
   const double before = known.perSecond_;
-  const double slower = aWasSilent ? 0 : kPreviousRateWeight;
-  known.perSecond_ = slower * before + (1 - slower) * rate;
+  const double weight = aWasSilent ? 0 : kPreviousRateWeight;
+  known.perSecond_ = weight * before + (1 - weight) * rate;
   share.peersPerSecond_ = std::max(0.0, share.peersPerSecond_ + known.perSecond_ - before);
 }
 
--- a/peridotquay/request/RetryBudget.h
+++ b/peridotquay/request/RetryBudget.h
@@ -22,8 +22,8 @@
 /// Lends half of the remaining retries, rounded up, to a deeper call. Returns the number lent.
 std::uint32_t LendRetries(RetryBudget& aBudget);
 
-/// Returns the unspent retries of a deeper call that was lent aLent. aLent counts as
-/// at most lent_, aUnused as at most aLent.
+/// Returns the unspent retries of a deeper call that was lent aLent. aLent counts as at most lent_,
+/// aUnused as at most aLent.
 void ReturnRetries(RetryBudget& aBudget, std::uint32_t aLent, std::uint32_t aUnused);
 
 /// Spends one retry; false if none is left.
--- a/tests/request/AdmissionTest.cpp
+++ b/tests/request/AdmissionTest.cpp
@@ -338,7 +338,7 @@
 }
 
 // Guards against starvation of an account with a single call by an account with many.
-TEST_CASE("a single call of a small account is served soon", "[admission]")
+TEST_CASE("a small account isn't starved by a large one", "[admission]")
 {
   AdmissionState state = FixedLimit(1, 1000);
   for (std::uint64_t id = 1; id < 500; ++id) {
@@ -383,7 +383,7 @@
 
 // Guards against running calls that can't be answered in time, and against a short slowdown after
 // which no call is admitted any more.
-TEST_CASE("late calls are dropped, and a slow spell doesn't block admission", "[admission]")
+TEST_CASE("late calls are dropped, and a short slowdown doesn't block admission", "[admission]")
 {
   AdmissionState state = FixedLimit(1, 100);
   OfferCall(state, MakeCall(1, "a", kStart), kStart);
@@ -469,7 +469,7 @@
 
 // Guards against a latency floor that doesn't follow a target which became slower or faster
 // permanently.
-TEST_CASE("the floor follows a lasting change", "[admission]")
+TEST_CASE("the latency floor follows a lasting change", "[admission]")
 {
   SaturatedTarget target;
   ApplyAnnouncedSlots(target.state_, 50);
@@ -523,7 +523,7 @@
 
 // Guards against callers' hosts that refuse critical calls, refuse calls without overload, or send
 // no probes of a closed class.
-TEST_CASE("callers' hosts refuse the shed class and probe", "[admission]")
+TEST_CASE("callers' hosts refuse closed classes and send probes", "[admission]")
 {
   ReceivedAdmissionLevel upstream;
   const auto admitted = [&](Importance aImportance, TimePoint aNow) {
--- a/tests/request/FailureMeterTest.cpp
+++ b/tests/request/FailureMeterTest.cpp
@@ -13,7 +13,7 @@
 
 // Guards against avoiding a target after a single failure, and against not detecting one that fails
 // a fraction of its requests.
-TEST_CASE("the failed part needs several answers", "[failures]")
+TEST_CASE("the failure fraction needs several answers", "[failures]")
 {
   FailureMeter meter;
   RecordAnswer(meter, true, kStart);
--- a/tests/request/RateShareTest.cpp
+++ b/tests/request/RateShareTest.cpp
@@ -208,7 +208,7 @@
   }
 }
 
-// Guards against groups of hosts that are cut off from each other and each grant the whole limit.
+// Guards against isolated hosts and the rest of the fleet each granting the whole limit.
 TEST_CASE("hosts that are cut off keep the limit together", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -372,7 +372,7 @@
 
 // Guards against regions that need as many attempts as they have hosts to find each other's relay:
 // until then each leaves the other's share of all rates unused.
-TEST_CASE("large regions that restarted at once hear each other within two seconds", "[rate]")
+TEST_CASE("large regions that restarted at once exchange reports within two seconds", "[rate]")
 {
   Fleet fleet(80, 60, 60, 1);
   fleet.Run(40, seconds(6), 80);
--- a/tests/request/TokenCacheTest.cpp
+++ b/tests/request/TokenCacheTest.cpp
@@ -149,7 +149,7 @@
 
 // Guards against calls of an account within its rate that are refused, or that wait for tokens
 // after its use is known.
-TEST_CASE("asking ahead keeps tokens at hand", "[tokens]")
+TEST_CASE("tokens are requested before they run out", "[tokens]")
 {
   TokenCache cache;
   TimePoint now{ seconds(100) };
@@ -210,7 +210,7 @@
 
 // Guards against memory that grows with the number of accounts, and against an account that a lost
 // reply blocks permanently.
-TEST_CASE("accounts are bounded and lost replies are asked again", "[tokens]")
+TEST_CASE("accounts are bounded and lost replies are requested again", "[tokens]")
 {
   TokenCache cache;
   const TimePoint now{ seconds(100) };
