--- a/peridotquay/request/Admission.h
+++ b/peridotquay/request/Admission.h
@@ -58,7 +58,7 @@
 };
 
 /// Measurements from which the concurrency limit is adapted. A window ends after enough calls and
-/// time; its mean service time is compared with the floor, the lowest mean seen so far. A higher
+/// time; its mean service time is compared with the floor, a moving minimum of the means. A higher
 /// latency alone doesn't lower the limit permanently: a trial with a lower limit shows whether the
 /// latency depends on it.
 struct LimitWindow
@@ -78,9 +78,9 @@
   std::uint32_t slowWindows_ = 0; ///< Consecutive windows with a mean far above the floor.
   double slowSeconds_ = 0;        ///< Sum of the means of slowWindows_.
   Trial trial_ = Trial::kNone;
-  std::uint32_t ignoredCalls_ =
-    0;                          ///< Ends of calls to ignore: they started under an earlier limit.
-  double limitBeforeTrial_ = 0; ///< Limit at the start of the trial.
+  /// Number of ending calls still to ignore, because they started under an earlier limit.
+  std::uint32_t ignoredCalls_ = 0;
+  double limitBeforeTrial_ = 0;          ///< Limit at the start of the trial.
   double latencyBeforeTrialSeconds_ = 0; ///< Mean service time at the start of the trial.
   double refusedAtLimit_ = 0;            ///< Limit at the latest refusal by the target; 0 if none.
   TimePoint lastTrialAt_{};
--- a/peridotquay/request/RateShare.cpp
+++ b/peridotquay/request/RateShare.cpp
@@ -252,7 +252,7 @@
 
 bool IsReportDue(const RateShareState& aState, TimePoint aNow)
 {
-  const Duration age = aNow - aState.reported_;
+  const Duration age = aNow - aState.reportedAt_;
   const bool used =
     std::any_of(aState.accounts_.begin(), aState.accounts_.end(), [&](const auto& aEntry) {
       const AccountShare& share = aEntry.second;
@@ -515,18 +515,18 @@
   std::vector<OutgoingReports> outgoing;
   MarkSilentHosts(aState, aNow);
   if (IsReportDue(aState, aNow)) {
-    aState.reported_ = aNow;
+    aState.reportedAt_ = aNow;
     ++aState.sequence_;
     AddOutgoingReports(outgoing, aState.host_, { OwnReport(aState) }, HostsOfDataCentre(aState));
   }
-  if (aNow - aState.relayedNear_ >= aState.settings_.nearRelayInterval_ &&
+  if (aNow - aState.relayedNearAt_ >= aState.settings_.nearRelayInterval_ &&
       !DataCentreRelay(aState, aNow)) {
-    aState.relayedNear_ = aNow;
+    aState.relayedNearAt_ = aNow;
     AddOutgoingReports(outgoing, aState.host_, NewReports(aState, false), NearRelays(aState, aNow));
   }
-  if (aNow - aState.relayedFar_ >= aState.settings_.farRelayInterval_ &&
+  if (aNow - aState.relayedFarAt_ >= aState.settings_.farRelayInterval_ &&
       !RegionRelay(aState, aNow)) {
-    aState.relayedFar_ = aNow;
+    aState.relayedFarAt_ = aNow;
     AddOutgoingReports(outgoing, aState.host_, NewReports(aState, true), FarRelays(aState, aNow));
   }
   return outgoing;
--- a/peridotquay/request/RateShare.h
+++ b/peridotquay/request/RateShare.h
@@ -134,9 +134,9 @@
   std::size_t activeHosts_ = 0; ///< Invariant: hosts in peers_ that aren't silent.
   std::uint64_t sequence_ = 0;  ///< Of the last own report.
   TimePoint lastReceivedAt_{};  ///< Last report of any other host.
-  TimePoint reported_{};
-  TimePoint relayedNear_{};
-  TimePoint relayedFar_{};
+  TimePoint reportedAt_{};
+  TimePoint relayedNearAt_{};
+  TimePoint relayedFarAt_{};
   std::uint64_t ownRelayedNear_ = 0; ///< Sequence of the last own report relayed within the region.
   std::uint64_t ownRelayedFar_ = 0;  ///< Sequence of the last own report relayed to other regions.
   /// Number of searches for relays; they select the host that is tried where none is known.
