--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -1,7 +1,7 @@
 // Attempts of a call at guards: choice, answers, retries, fate of lost calls.
 #include "peridotquay/process/Dispatcher.h"
+#include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
-#include "peridotquay/process/OwnAnswer.h"
 
 #include <algorithm>
 #include <optional>
@@ -49,7 +49,7 @@
   std::vector<HostId> excluded = aCall->excluded_;
   while (true) {
     auto target =
-      ChooseTarget(routing_, *targets_, service, excluded, now, aCall->route_->objective_);
+      ChooseTarget(routing_, *targets_, service, excluded, now, aCall->route_->latencyObjective_);
     if (!target || std::find(excluded.begin(), excluded.end(), target->host_) != excluded.end()) {
       return std::nullopt;
     }
@@ -195,9 +195,10 @@
 RetryRatioSettings Dispatcher::RetrySettings(const ActiveCall& aCall) const
 {
   const Policy& policy = aCall.config_->policy_;
-  return {
-    policy.retryRatio_, policy.retryCap_, policy.leastRetryInterval_, policy.retryMayHaveRunCost_
-  };
+  return { policy.retryRatio_,
+           policy.retryBudgetCapacity_,
+           policy.guaranteedRetryInterval_,
+           policy.retryMayHaveRunCost_ };
 }
 
 bool Dispatcher::MayRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget)
@@ -279,7 +280,7 @@
   const CallPointer call = entry->second;
   if (call->asksFate_) {
     if (aCall.sent_ && call->fateQuestions_ < kMaxFateQuestions) {
-      AskFate(call);
+      QueryCallStatus(call);
       return;
     }
     // The host can't be reached any more.
@@ -310,7 +311,7 @@
   }
   if (!call->call_.repeatable_ && !settings_.naive_) {
     call->guard_ = aCall.peer_;
-    AskFate(call);
+    QueryCallStatus(call);
     return;
   }
   EndAttempt(call, AttemptResult::kFailed, nullptr);
@@ -320,16 +321,16 @@
              aCall.end_ != LinkEnd::kSilent);
 }
 
-void Dispatcher::AskFate(const CallPointer& aCall)
+void Dispatcher::QueryCallStatus(const CallPointer& aCall)
 {
-  metrics_.Add(Counter::kFatesAsked);
+  metrics_.Add(Counter::kFateQueries);
   aCall->asksFate_ = true;
   ++aCall->fateQuestions_;
   hub_.SendCall(
     aCall->target_.peer_, aCall->attempt_, CallFate{ ledger_.incarnation_, aCall->attempt_ });
 }
 
-void Dispatcher::OnFateReply(const CallFateReply& aReply, std::uint64_t aLink)
+void Dispatcher::OnCallStatusReply(const CallFateReply& aReply, std::uint64_t aLink)
 {
   const auto entry = attempts_.find(aReply.callId_);
   if (entry == attempts_.end() || !entry->second->asksFate_ ||
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -54,9 +54,9 @@
   answer.callId_ = aCall.callId_;
   // 504 from a target means that it doesn't know whether its own work ran.
   answer.outcome_ =
-    aDialect.unknown504_ && aResponse.status_ == 504 ? Outcome::kUnknown : Outcome::kRan;
+    aDialect.status504IsUnknown_ && aResponse.status_ == 504 ? Outcome::kUnknown : Outcome::kRan;
   answer.status_ = aResponse.status_;
-  aDialect.toCaller_(aResponse.headers_);
+  aDialect.rewriteForCaller_(aResponse.headers_);
   answer.headers_ = std::move(aResponse.headers_);
   answer.bodyBytes_ = aCall.method_ == "HEAD" ? aResponse.declaredLength_.value_or(0)
                                               : static_cast<std::uint64_t>(aResponse.body_.size());
@@ -76,7 +76,7 @@
   , dialect_(aDialect)
   , client_(aLoop,
             { .target_ = aSettings.target_,
-              .maxConnections_ = aSettings.targetConnections_,
+              .maxConnections_ = aSettings.maxTargetConnections_,
               .maxBodyBytes_ = aSettings.maxBodyBytes_,
               .maxHeaderBytes_ = aSettings.maxHeaderBytes_,
               .idleTimeout_ = aSettings.targetIdleTimeout_,
@@ -85,9 +85,9 @@
   , freshClient_(aLoop, { .target_ = aSettings.target_, .maxConnections_ = 2 })
   , pollClient_(aLoop, { .target_ = aSettings.target_, .maxConnections_ = 2 })
 {
-  admission_.settings_.adaptive_ = !aDialect.trustsSlots_;
+  admission_.settings_.adaptive_ = !aDialect.slotsAreLimit_;
   admission_.settings_.maxLimit_ =
-    std::min(admission_.settings_.maxLimit_, aSettings.targetConnections_);
+    std::min(admission_.settings_.maxLimit_, aSettings.maxTargetConnections_);
 }
 
 Guard::~Guard() = default;
@@ -154,7 +154,7 @@
   }
   Running& running = entry->second;
   running.started_ = loop_.Now();
-  metrics_.Note(Timing::kQueue, running.started_ - running.arrived_);
+  metrics_.RecordTime(Stage::kQueue, running.started_ - running.arrived_);
   CallContext context;
   context.budget_.left_ = running.call_.retries_;
   context.deadline_ = running.deadline_;
@@ -183,11 +183,11 @@
   HttpRequest request{ call.method_, call.path_, call.headers_, call.body_ };
   const auto left =
     std::chrono::duration_cast<milliseconds>(aRunning.deadline_ - aRunning.started_).count();
-  dialect_.toTarget_(request.headers_,
-                     { call,
-                       aRunning.token_,
-                       target_ ? std::string_view(target_->id_) : std::string_view(),
-                       std::max<std::int64_t>(1, left) });
+  dialect_.rewriteForTarget_(request.headers_,
+                             { call,
+                               aRunning.token_,
+                               target_ ? std::string_view(target_->id_) : std::string_view(),
+                               std::max<std::int64_t>(1, left) });
   return request;
 }
 
@@ -206,17 +206,17 @@
              RefusedAnswer(call, ErrorCode::kTargetUnreachable, 0));
       return;
     case TargetEnd::kLost:
-      metrics_.Add(Counter::kTargetLost);
+      metrics_.Add(Counter::kTargetAnswersLost);
       Finish(aCall, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kOutcomeUnknown));
       return;
     case TargetEnd::kTruncated:
-      metrics_.Add(Counter::kTargetTruncated);
+      metrics_.Add(Counter::kTargetAnswersTruncated);
       Finish(aCall, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kTruncatedAnswer));
       return;
     case TargetEnd::kAnswered:
       break;
   }
-  metrics_.Note(Timing::kTarget, loop_.Now() - running.started_);
+  metrics_.RecordTime(Stage::kTarget, loop_.Now() - running.started_);
   if (const auto load = dialect_.load_(aResult.response_)) {
     SetSlots(load->slots_);
   }
@@ -445,7 +445,7 @@
       silent.push_back(number);
     }
   }
-  metrics_.Add(Counter::kTargetLost, silent.size());
+  metrics_.Add(Counter::kTargetAnswersLost, silent.size());
   for (const std::uint64_t number : silent) {
     const auto entry = calls_.find(number);
     if (entry == calls_.end()) {
@@ -624,7 +624,7 @@
   return FindContext(contexts_, aToken);
 }
 
-std::size_t Guard::Calls() const
+std::size_t Guard::ActiveCalls() const
 {
   return calls_.size();
 }
