--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -588,7 +588,7 @@
 void MeasureIdle()
 {
   const auto residentBefore = ResidentBytes();
-  SocketPort port;
+  DataPlaneCallbacks port;
   port.sendPeer_ = [](const Address&, PeerMessage) {};
   port.sendDatagram_ = [](const Address&, PeerMessage) {};
   port.publishConfig_ = [](std::shared_ptr<const Config>) {};
--- a/bench/path_latency.cpp
+++ b/bench/path_latency.cpp
@@ -37,7 +37,7 @@
 class GrantingControl final : public ControlPlane
 {
 public:
-  explicit GrantingControl(SocketPort aPort)
+  explicit GrantingControl(DataPlaneCallbacks aPort)
     : port_(std::move(aPort))
   {
   }
@@ -61,7 +61,7 @@
   void AnnounceLeft(const HostId& /*aSuccessor*/) override {}
   ControlStatus Status() const override { return {}; }
 
-  SocketPort port_;
+  DataPlaneCallbacks port_;
 
 private:
   std::atomic<std::uint64_t> grant_{ 0 };
@@ -82,9 +82,8 @@
     settings.service_ = { aService };
     settings.target_ = { "127.0.0.1", aTarget };
     auto node = Node::Start(settings,
-                            [this](const NodeSettings&,
-                                   Incarnation,
-                                   SocketPort aPort) -> Result<std::unique_ptr<ControlPlane>> {
+                            [this](const NodeSettings&, Incarnation, DataPlaneCallbacks aPort)
+                              -> Result<std::unique_ptr<ControlPlane>> {
                               auto control = std::make_unique<GrantingControl>(std::move(aPort));
                               control_ = control.get();
                               return std::unique_ptr<ControlPlane>(std::move(control));
--- a/peridotquay/process/ControlActor.h
+++ b/peridotquay/process/ControlActor.h
@@ -88,7 +88,7 @@
 /// What the actors have in common. Immutable once the actors run.
 struct ControlContext
 {
-  SocketPort port_;
+  DataPlaneCallbacks port_;
   std::shared_ptr<ControlStatusSlots> status_;
 };
 
--- a/peridotquay/process/ControlActorPlatform.cpp
+++ b/peridotquay/process/ControlActorPlatform.cpp
@@ -14,8 +14,8 @@
           // The start is read before the call: what the answer says held at some time after it.
           const auto started = aSelf->clock().now();
           auto answer = RunPlatformCall(*platform, aJob.call_);
-          answer.started_ = started;
-          answer.finished_ = aSelf->clock().now();
+          answer.startedAt_ = started;
+          answer.finishedAt_ = aSelf->clock().now();
           return answer;
         },
       };
--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -63,7 +63,7 @@
           : kNoProof;
   status.delegate_ = IsDelegate(versions);
   status.platformReachable_ = versions.platformReachable_;
-  status.dataCentreLeast_ = versions.watermark_;
+  status.minDataCentreVersion_ = versions.watermark_;
   aState.context_.status_->versions_.store(std::make_shared<const ControlStatus>(status));
 }
 
--- a/peridotquay/process/ControlPlane.h
+++ b/peridotquay/process/ControlPlane.h
@@ -18,7 +18,7 @@
 
 /// What the control side calls on the socket side. Each function may be called from any thread and
 /// doesn't block.
-struct SocketPort
+struct DataPlaneCallbacks
 {
   /// Sends a frame to a host's peer address, connecting if needed. Lost if the host can't be
   /// reached.
@@ -49,7 +49,7 @@
   bool delegate_ = false;
   bool shareLeader_ = false;
   bool platformReachable_ = false;
-  Version dataCentreLeast_ = 0; ///< Delegates only: least version in force in the data centre.
+  Version minDataCentreVersion_ = 0; ///< Delegates only: least version in force in the data centre.
 };
 
 /// The control side of a node. Each function may be called from any thread and doesn't block.
@@ -65,7 +65,7 @@
   virtual void OnPeerMessage(const Hello& aFrom, const Address& aPeer, PeerMessage aMessage) = 0;
   /// A datagram arrived.
   virtual void OnDatagram(const Address& aFrom, PeerMessage aMessage) = 0;
-  /// Asks for tokens; the answer comes through SocketPort::deliverGrant_.
+  /// Asks for tokens; the answer comes through DataPlaneCallbacks::deliverGrant_.
   virtual void RequestTokens(ShareRequest aRequest) = 0;
   /// Announces the local target's state.
   virtual void AnnounceTarget(TargetState aState, std::uint32_t aSlots, double aLoad) = 0;
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -42,8 +42,8 @@
 {
   routing_.dataCentre_ = aSettings.dataCentre_;
   routing_.region_ = aSettings.region_;
-  routing_.random_ = aSettings.seed_ != 0
-                       ? aSettings.seed_
+  routing_.random_ = aSettings.randomSeed_ != 0
+                       ? aSettings.randomSeed_
                        : static_cast<std::uint64_t>(Clock::now().time_since_epoch().count()) | 1U;
   guard_.onContextClosed_ = [this](const std::string& aToken) {
     const auto entry = deeper_.find(aToken);
@@ -183,7 +183,7 @@
     return;
   }
   if (!config_) {
-    metrics_.Add(Counter::kRefusedNotFresh);
+    metrics_.Add(Counter::kRefusedStaleConfig);
     RefuseExchange(aExchange, { ErrorCode::kConfigurationNotFresh, kShedRetryMs });
     return;
   }
@@ -210,7 +210,7 @@
   }
   if (refusal) {
     const bool notFresh = refusal->code_ == ErrorCode::kConfigurationNotFresh;
-    metrics_.Add(notFresh ? Counter::kRefusedNotFresh : Counter::kRefusedKey);
+    metrics_.Add(notFresh ? Counter::kRefusedStaleConfig : Counter::kRefusedKey);
     RefuseExchange(aExchange, *refusal);
     return;
   }
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -322,7 +322,7 @@
 
 void Dispatcher::AskFate(const CallPointer& aCall)
 {
-  metrics_.Add(Counter::kFatesAsked);
+  metrics_.Add(Counter::kFateQueries);
   aCall->asksFate_ = true;
   ++aCall->fateQuestions_;
   hub_.SendCall(
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -168,8 +168,8 @@
   }
   if (call.contextToken_.empty()) {
     const Duration time = loop_.Now() - call.arrived_;
-    metrics_.Note(Timing::kCaller, time);
-    metrics_.NoteRoute(call.call_.route_.value_, time);
+    metrics_.RecordTime(Stage::kCaller, time);
+    metrics_.RecordRouteTime(call.call_.route_.value_, time);
   }
   LogEnd(call, aAnswer);
   const Done done = std::move(call.done_);
--- a/peridotquay/process/DispatcherRequestIds.cpp
+++ b/peridotquay/process/DispatcherRequestIds.cpp
@@ -84,7 +84,7 @@
       repeats_[{ aCall->ledger_.first, aCall->ledger_.second, aSequence }].push_back(aCall);
       return;
     case BeginResult::kRepeat: {
-      metrics_.Add(Counter::kRepeatsAnswered);
+      metrics_.Add(Counter::kDuplicatesAnswered);
       const RequestRecord* record = FindRecord(aLedger, aSequence);
       End(aCall, *record->answer_);
       return;
@@ -162,7 +162,7 @@
   const std::vector<CallPointer> calls = std::move(waiting->second);
   repeats_.erase(waiting);
   for (const auto& call : calls) {
-    metrics_.Add(Counter::kRepeatsAnswered);
+    metrics_.Add(Counter::kDuplicatesAnswered);
     Answer answer = aAnswer;
     answer.retriesUnused_ = call->budget_.left_;
     End(call, std::move(answer));
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -76,7 +76,7 @@
   , dialect_(aDialect)
   , client_(aLoop,
             { .target_ = aSettings.target_,
-              .maxConnections_ = aSettings.targetConnections_,
+              .maxConnections_ = aSettings.maxTargetConnections_,
               .maxBodyBytes_ = aSettings.maxBodyBytes_,
               .maxHeaderBytes_ = aSettings.maxHeaderBytes_,
               .idleTimeout_ = aSettings.targetIdleTimeout_,
@@ -87,7 +87,7 @@
 {
   admission_.settings_.adaptive_ = !aDialect.trustsSlots_;
   admission_.settings_.maxLimit_ =
-    std::min(admission_.settings_.maxLimit_, aSettings.targetConnections_);
+    std::min(admission_.settings_.maxLimit_, aSettings.maxTargetConnections_);
 }
 
 Guard::~Guard() = default;
@@ -154,7 +154,7 @@
   }
   Running& running = entry->second;
   running.started_ = loop_.Now();
-  metrics_.Note(Timing::kQueue, running.started_ - running.arrived_);
+  metrics_.RecordTime(Stage::kQueue, running.started_ - running.arrived_);
   CallContext context;
   context.budget_.left_ = running.call_.retries_;
   context.deadline_ = running.deadline_;
@@ -202,17 +202,17 @@
       Finish(aCall, CallEnd::kTargetRefused, RefusedAnswer(call, ErrorCode::kTargetUnreachable, 0));
       return;
     case TargetEnd::kLost:
-      metrics_.Add(Counter::kTargetLost);
+      metrics_.Add(Counter::kTargetAnswersLost);
       Finish(aCall, CallEnd::kCancelled, UnknownAnswer(call, ErrorCode::kOutcomeUnknown));
       return;
     case TargetEnd::kTruncated:
-      metrics_.Add(Counter::kTargetTruncated);
+      metrics_.Add(Counter::kTargetAnswersTruncated);
       Finish(aCall, CallEnd::kCancelled, UnknownAnswer(call, ErrorCode::kTruncatedAnswer));
       return;
     case TargetEnd::kAnswered:
       break;
   }
-  metrics_.Note(Timing::kTarget, loop_.Now() - running.started_);
+  metrics_.RecordTime(Stage::kTarget, loop_.Now() - running.started_);
   if (const auto load = dialect_.load_(aResult.response_)) {
     SetSlots(load->slots_);
   }
@@ -438,7 +438,7 @@
       silent.push_back(number);
     }
   }
-  metrics_.Add(Counter::kTargetLost, silent.size());
+  metrics_.Add(Counter::kTargetAnswersLost, silent.size());
   for (const std::uint64_t number : silent) {
     const auto entry = calls_.find(number);
     if (entry == calls_.end()) {
--- a/peridotquay/process/MakeControlPlane.cpp
+++ b/peridotquay/process/MakeControlPlane.cpp
@@ -29,9 +29,9 @@
 
 std::uint64_t FirstRandom(const NodeSettings& aSettings)
 {
-  if (aSettings.seed_ != 0) {
+  if (aSettings.randomSeed_ != 0) {
     // Mixed with the host, so that nodes with the same seed choose differently.
-    return aSettings.seed_ ^ RankWeight("seed", aSettings.dataCentre_, aSettings.host_);
+    return aSettings.randomSeed_ ^ RankWeight("seed", aSettings.dataCentre_, aSettings.host_);
   }
   std::random_device device;
   return (std::uint64_t{ device() } << 32U) ^ device();
@@ -52,7 +52,7 @@
 
 std::shared_ptr<Platform> MakeClient(const NodeSettings& aSettings)
 {
-  PlatformSettings settings;
+  PlatformClientSettings settings;
   settings.addresses_ = aSettings.platform_;
   return MakePlatformClient(std::move(settings));
 }
@@ -60,7 +60,9 @@
 class ActorControlPlane : public ControlPlane
 {
 public:
-  ActorControlPlane(const NodeSettings& aSettings, Incarnation aIncarnation, SocketPort aPort)
+  ActorControlPlane(const NodeSettings& aSettings,
+                    Incarnation aIncarnation,
+                    DataPlaneCallbacks aPort)
     : system_(config_)
   {
     auto random = FirstRandom(aSettings);
@@ -169,7 +171,7 @@
 
 std::unique_ptr<ControlPlane> MakeControlPlane(const NodeSettings& aSettings,
                                                Incarnation aIncarnation,
-                                               SocketPort aPort)
+                                               DataPlaneCallbacks aPort)
 {
   return std::make_unique<ActorControlPlane>(aSettings, aIncarnation, std::move(aPort));
 }
--- a/peridotquay/process/MakeControlPlane.h
+++ b/peridotquay/process/MakeControlPlane.h
@@ -14,6 +14,6 @@
 /// for a platform call under way (at most its request timeout).
 std::unique_ptr<ControlPlane> MakeControlPlane(const NodeSettings& aSettings,
                                                Incarnation aIncarnation,
-                                               SocketPort aPort);
+                                               DataPlaneCallbacks aPort);
 
 } // namespace peridotquay
--- a/peridotquay/process/Metrics.cpp
+++ b/peridotquay/process/Metrics.cpp
@@ -154,14 +154,14 @@
   return state_->counters_.at(static_cast<std::size_t>(aCounter));
 }
 
-void Metrics::Note(Timing aTiming, Duration aDuration)
+void Metrics::RecordTime(Stage aTiming, Duration aDuration)
 {
   const auto stage = static_cast<std::size_t>(aTiming);
   state_->timings_.at(stage)(ToSeconds(aDuration) * 1000);
   state_->stages_.at(stage).Add(std::max(0.0, ToSeconds(aDuration)));
 }
 
-void Metrics::NoteRoute(std::string_view aRoute, Duration aDuration)
+void Metrics::RecordRouteTime(std::string_view aRoute, Duration aDuration)
 {
   auto& routes = state_->routes_;
   auto entry = routes.find(aRoute);
--- a/peridotquay/process/Metrics.h
+++ b/peridotquay/process/Metrics.h
@@ -24,7 +24,7 @@
   kAnswersUnknown,
   kRefusedKey,
   kRefusedRate,
-  kRefusedNotFresh,
+  kRefusedStaleConfig,
   kRefusedUpstream, ///< Refused near the caller because of a guard's admission level.
   kRefusedDraining,
   kAttempts,
@@ -34,18 +34,18 @@
   kGuardRefused,
   kTargetCalls,
   kTargetRefusals,
-  kTargetTruncated,
-  kTargetLost,
+  kTargetAnswersTruncated,
+  kTargetAnswersLost,
   kDroppedAnswers,
-  kFatesAsked,
+  kFateQueries,
   kRequestIdsIssued,
-  kRepeatsAnswered
+  kDuplicatesAnswered
 };
 
 inline constexpr std::size_t kCounters = 24;
 
 /// What is timed.
-enum class Timing : std::uint8_t
+enum class Stage : std::uint8_t
 {
   kCaller, ///< A caller's request from its last byte to its answer.
   kTarget, ///< A request at the local target.
@@ -68,9 +68,9 @@
 
   void Add(Counter aCounter, std::uint64_t aCount = 1);
   std::uint64_t Get(Counter aCounter) const;
-  void Note(Timing aTiming, Duration aDuration);
+  void RecordTime(Stage aTiming, Duration aDuration);
   /// Notes a caller's request by its route. Beyond kMaxRoutes, routes are counted as "other".
-  void NoteRoute(std::string_view aRoute, Duration aDuration);
+  void RecordRouteTime(std::string_view aRoute, Duration aDuration);
   /// Counters, histograms by stage and by route (seconds), quantiles by stage (milliseconds) and
   /// gauges.
   std::string Text(const std::vector<std::pair<std::string_view, double>>& aGauges) const;
--- a/peridotquay/process/Node.cpp
+++ b/peridotquay/process/Node.cpp
@@ -178,9 +178,9 @@
     return port.as_failure();
   }
 
-  SocketPort MakePort()
+  DataPlaneCallbacks MakePort()
   {
-    SocketPort port;
+    DataPlaneCallbacks port;
     port.sendPeer_ = [this](const Address& aPeer, PeerMessage aMessage) {
       loop_.Post([this, aPeer, message = std::move(aMessage)] { hub_->Send(aPeer, message); });
     };
@@ -500,7 +500,7 @@
           { "delegate", control.delegate_ },
           { "share_leader", control.shareLeader_ },
           { "platform_reachable", control.platformReachable_ },
-          { "data_centre_least", control.dataCentreLeast_ } } }
+          { "data_centre_least", control.minDataCentreVersion_ } } }
     };
     return json.dump();
   }
--- a/peridotquay/process/Node.h
+++ b/peridotquay/process/Node.h
@@ -28,7 +28,7 @@
 public:
   /// Makes the control side. The settings hold the bound ports instead of 0.
   using ControlFactory = std::function<
-    Result<std::unique_ptr<ControlPlane>>(const NodeSettings&, Incarnation, SocketPort)>;
+    Result<std::unique_ptr<ControlPlane>>(const NodeSettings&, Incarnation, DataPlaneCallbacks)>;
 
   /// Opens all listeners, then writes the port file. Errors: kAddressInUse, kOutOfRange,
   /// kFileUnreadable (the port file can't be written), and those of the control side.
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -3,7 +3,7 @@
 
 #include "peridotquay/process/BlockingHttp.h"
 #include "peridotquay/process/InForce.h"
-#include "peridotquay/process/TomlPlaces.h"
+#include "peridotquay/process/TomlFile.h"
 #include "peridotquay/version/Config.h"
 #include "peridotquay/version/ConfigCompiler.h"
 #include "peridotquay/version/ConfigParser.h"
@@ -140,7 +140,7 @@
 {
   const auto waited = WaitInForce(aPlatform, aSettings);
   if (waited.has_error()) {
-    aReport.exit_ = kExitNotInForce;
+    aReport.exitCode_ = kExitNotInForce;
     aReport.json_["in_force"] = nullptr;
     aReport.text_ +=
       "written, but the watermarks can't be read: " + Describe(waited.assume_error()) + "\n";
@@ -148,7 +148,7 @@
   }
   const auto& result = waited.assume_value();
   const auto ms = std::chrono::duration_cast<milliseconds>(result.waited_).count();
-  aReport.exit_ = result.inForce_ ? 0 : kExitNotInForce;
+  aReport.exitCode_ = result.inForce_ ? 0 : kExitNotInForce;
   aReport.json_["in_force"] = result.inForce_;
   aReport.json_["by_freshness_bound"] = result.byFreshnessBound_;
   aReport.json_["waited_ms"] = ms;
@@ -222,7 +222,7 @@
       report.json_["snapshot_error"] = Describe(snapshot.assume_error());
     }
   }
-  if (aOptions.wait_) {
+  if (aOptions.waitUntilInForce_) {
     auto entities = aStored.entities_;
     static_cast<void>(ApplyChange(entities, change));
     AddWait(aPlatform,
@@ -239,10 +239,10 @@
 Result<StoredConfig> LoadAgainst(Platform& aPlatform, const WriteOptions& aOptions)
 {
   BOOST_OUTCOME_TRY(stored, LoadConfig(aPlatform));
-  if (aOptions.against_ && *aOptions.against_ != stored.version_) {
+  if (aOptions.expectedVersion_ && *aOptions.expectedVersion_ != stored.version_) {
     return Fail(ErrorCode::kVersionConflict,
                 "version " + std::to_string(stored.version_),
-                "written for version " + std::to_string(*aOptions.against_));
+                "written for version " + std::to_string(*aOptions.expectedVersion_));
   }
   return stored;
 }
@@ -253,7 +253,7 @@
                                const WriteOptions& aOptions)
 {
   return aError.code_ == ErrorCode::kVersionConflict
-           ? ReportConflict(aPlatform, aError, aOptions.against_.value_or(0))
+           ? ReportConflict(aPlatform, aError, aOptions.expectedVersion_.value_or(0))
            : ReportError(aError);
 }
 
@@ -425,10 +425,10 @@
   return report;
 }
 
-OperatorReport GrantCommand(Platform& aPlatform,
-                            const std::string& aAccount,
-                            const std::string& aLabel,
-                            const WriteOptions& aOptions)
+OperatorReport GrantKeyCommand(Platform& aPlatform,
+                               const std::string& aAccount,
+                               const std::string& aLabel,
+                               const WriteOptions& aOptions)
 {
   const auto stored = LoadAgainst(aPlatform, aOptions);
   if (stored.has_error()) {
@@ -442,8 +442,8 @@
   }
   auto report =
     WriteAndWait(aPlatform, stored.assume_value(), { { edit.assume_value() } }, aOptions);
-  const bool written = report.exit_ == 0 || report.exit_ == kExitNotInForce;
-  const bool unknown = report.exit_ == ExitCode(ErrorCode::kPlatformUnknown);
+  const bool written = report.exitCode_ == 0 || report.exitCode_ == kExitNotInForce;
+  const bool unknown = report.exitCode_ == ExitCode(ErrorCode::kPlatformUnknown);
   if (written || unknown) {
     // With an unknown outcome the key may be in force, so its owner must be able to use or to
     // withdraw it.
@@ -454,9 +454,9 @@
   return report;
 }
 
-OperatorReport WithdrawCommand(Platform& aPlatform,
-                               const std::string& aDigest,
-                               const WriteOptions& aOptions)
+OperatorReport WithdrawKeyCommand(Platform& aPlatform,
+                                  const std::string& aDigest,
+                                  const WriteOptions& aOptions)
 {
   const auto stored = LoadAgainst(aPlatform, aOptions);
   if (stored.has_error()) {
--- a/peridotquay/process/OperatorCommands.h
+++ b/peridotquay/process/OperatorCommands.h
@@ -18,8 +18,8 @@
   std::string operator_; ///< Name in the audit trail.
   std::string summary_;
   /// Version that the change was written for; empty takes the latest.
-  std::optional<Version> against_;
-  bool wait_ = false; ///< Wait until the change is in force everywhere.
+  std::optional<Version> expectedVersion_;
+  bool waitUntilInForce_ = false; ///< Wait until the change is in force everywhere.
   Duration timeout_ = seconds(15);
   CommitSettings commit_;
 };
@@ -46,15 +46,15 @@
                               const std::string& aOperationId);
 
 /// keys grant: makes a key, writes its digest and reports the key, this once only.
-OperatorReport GrantCommand(Platform& aPlatform,
-                            const std::string& aAccount,
-                            const std::string& aLabel,
-                            const WriteOptions& aOptions);
+OperatorReport GrantKeyCommand(Platform& aPlatform,
+                               const std::string& aAccount,
+                               const std::string& aLabel,
+                               const WriteOptions& aOptions);
 
 /// keys withdraw: withdraws a key by its digest or the beginning of it.
-OperatorReport WithdrawCommand(Platform& aPlatform,
-                               const std::string& aDigest,
-                               const WriteOptions& aOptions);
+OperatorReport WithdrawKeyCommand(Platform& aPlatform,
+                                  const std::string& aDigest,
+                                  const WriteOptions& aOptions);
 
 /// keys list: all keys, or those of one client account.
 OperatorReport ListKeysCommand(Platform& aPlatform, const std::string& aAccount);
--- a/peridotquay/process/OperatorReport.cpp
+++ b/peridotquay/process/OperatorReport.cpp
@@ -54,7 +54,7 @@
 OperatorReport ReportError(const Error& aError)
 {
   OperatorReport report;
-  report.exit_ = ExitCode(aError.code_);
+  report.exitCode_ = ExitCode(aError.code_);
   nlohmann::json error = { { "type", ErrorName(aError.code_) },
                            { "subject", aError.subject_ },
                            { "allowed", aError.allowed_ } };
--- a/peridotquay/process/OperatorReport.h
+++ b/peridotquay/process/OperatorReport.h
@@ -19,7 +19,7 @@
 /// Result of one command.
 struct OperatorReport
 {
-  int exit_ = 0;
+  int exitCode_ = 0;
   nlohmann::json json_ = nlohmann::json::object(); ///< Printed with --json.
   std::string text_;                               ///< Printed without; lines end in '\n'.
 };
--- a/peridotquay/process/Platform.cpp
+++ b/peridotquay/process/Platform.cpp
@@ -17,7 +17,7 @@
 class PlatformClient : public Platform
 {
 public:
-  explicit PlatformClient(PlatformSettings aSettings)
+  explicit PlatformClient(PlatformClientSettings aSettings)
     : settings_(std::move(aSettings))
     , http_(settings_.connectTimeout_, settings_.maxBodyBytes_)
   {
@@ -36,7 +36,7 @@
   /// only if it is a read.
   Result<HttpExchange> Send(const HttpCall& aCall);
 
-  PlatformSettings settings_;
+  PlatformClientSettings settings_;
   BlockingHttp http_;
   std::size_t preferred_ = 0; ///< Index of the address that answered last.
 };
@@ -106,7 +106,7 @@
     }
     return UnexpectedStatus(response, "transaction");
   }
-  BOOST_OUTCOME_TRY(result, DecodePlatformResult(response.body_));
+  BOOST_OUTCOME_TRY(result, DecodePlatformTransactionResult(response.body_));
   if (status == 409) {
     return Fail(ErrorCode::kPlatformConflict, result.key_, std::to_string(result.revision_));
   }
@@ -137,7 +137,7 @@
 
 } // namespace
 
-std::unique_ptr<Platform> MakePlatformClient(PlatformSettings aSettings)
+std::unique_ptr<Platform> MakePlatformClient(PlatformClientSettings aSettings)
 {
   return std::make_unique<PlatformClient>(std::move(aSettings));
 }
--- a/peridotquay/process/Platform.h
+++ b/peridotquay/process/Platform.h
@@ -49,13 +49,13 @@
 };
 
 /// Settings of the client.
-struct PlatformSettings
+struct PlatformClientSettings
 {
   std::vector<Address> addresses_; ///< Tried in turn; the one that answered last is tried first.
   Duration connectTimeout_ = milliseconds(500); ///< For each address.
   Duration requestTimeout_ = seconds(2);        ///< For a whole request over all addresses.
   std::size_t maxBodyBytes_ = std::size_t{ 32 } << 20U;
-  bool operator==(const PlatformSettings&) const = default;
+  bool operator==(const PlatformClientSettings&) const = default;
 };
 
 /// The platform's interface. Every call blocks for at most the request timeout. Errors of all
@@ -89,7 +89,7 @@
 };
 
 /// A client over HTTP. It connects at the first call. Not thread-safe; each thread has its own.
-std::unique_ptr<Platform> MakePlatformClient(PlatformSettings aSettings);
+std::unique_ptr<Platform> MakePlatformClient(PlatformClientSettings aSettings);
 
 /// A random operation id: 32 hex digits.
 std::string NewOperationId();
--- a/peridotquay/process/PlatformCall.h
+++ b/peridotquay/process/PlatformCall.h
@@ -55,8 +55,8 @@
   std::vector<PlatformRow> rows_;     ///< Of reads; a row that doesn't exist isn't there.
   std::uint64_t revision_ = 0;        ///< Of a transaction.
   std::optional<std::string> object_; ///< Of GetObject.
-  TimePoint started_{};               ///< Just before the call was sent.
-  TimePoint finished_{};              ///< Just after the answer arrived.
+  TimePoint startedAt_{};             ///< Just before the call was sent.
+  TimePoint finishedAt_{};            ///< Just after the answer arrived.
   bool operator==(const PlatformAnswer&) const = default;
 };
 
--- a/peridotquay/process/PlatformJson.cpp
+++ b/peridotquay/process/PlatformJson.cpp
@@ -107,7 +107,7 @@
                     { "writes", std::move(writes) } });
 }
 
-std::string EncodePlatformResult(const PlatformResult& aResult)
+std::string EncodePlatformTransactionResult(const PlatformTransactionResult& aResult)
 {
   Json json = { { "revision", aResult.revision_ } };
   if (!aResult.key_.empty()) {
@@ -158,13 +158,13 @@
   return transaction;
 }
 
-Result<PlatformResult> DecodePlatformResult(std::string_view aText)
+Result<PlatformTransactionResult> DecodePlatformTransactionResult(std::string_view aText)
 {
   BOOST_OUTCOME_TRY(json, Parse(aText));
   if (!At(json, "revision").is_number_unsigned()) {
     return Fail(ErrorCode::kPlatformMalformed, "revision");
   }
-  PlatformResult result;
+  PlatformTransactionResult result;
   result.revision_ = At(json, "revision").get<std::uint64_t>();
   if (At(json, "key").is_string()) {
     result.key_ = At(json, "key").get<std::string>();
--- a/peridotquay/process/PlatformJson.h
+++ b/peridotquay/process/PlatformJson.h
@@ -11,22 +11,22 @@
 namespace peridotquay {
 
 /// Body of an answer to a transaction: the new revision, or the condition that failed.
-struct PlatformResult
+struct PlatformTransactionResult
 {
   std::string key_; ///< Empty on success.
   std::uint64_t revision_ = 0;
-  bool operator==(const PlatformResult&) const = default;
+  bool operator==(const PlatformTransactionResult&) const = default;
 };
 
 std::string EncodePlatformRow(const PlatformRow& aRow);
 std::string EncodePlatformRows(const std::vector<PlatformRow>& aRows);
 std::string EncodePlatformTransaction(const PlatformTransaction& aTransaction);
-std::string EncodePlatformResult(const PlatformResult& aResult);
+std::string EncodePlatformTransactionResult(const PlatformTransactionResult& aResult);
 
 // Errors of all decoders: kPlatformMalformed.
 Result<PlatformRow> DecodePlatformRow(std::string_view aText);
 Result<std::vector<PlatformRow>> DecodePlatformRows(std::string_view aText);
 Result<PlatformTransaction> DecodePlatformTransaction(std::string_view aText);
-Result<PlatformResult> DecodePlatformResult(std::string_view aText);
+Result<PlatformTransactionResult> DecodePlatformTransactionResult(std::string_view aText);
 
 } // namespace peridotquay
--- a/peridotquay/process/Settings.cpp
+++ b/peridotquay/process/Settings.cpp
@@ -1,7 +1,7 @@
 // Parses the settings file of a node with toml++.
 #include "peridotquay/process/Settings.h"
 
-#include "peridotquay/process/TomlPlaces.h"
+#include "peridotquay/process/TomlFile.h"
 #include "peridotquay/version/ConfigReader.h"
 
 #include <boost/asio/ip/address.hpp>
@@ -54,18 +54,22 @@
             std::string_view aKey,
             std::string aAllowed)
 {
-  return BOOST_OUTCOME_V2_NAMESPACE::failure(Error{
-    aCode, std::string(aKey), std::move(aAllowed), PlaceOf(aNode.source(), *aDocument.file_) });
+  return BOOST_OUTCOME_V2_NAMESPACE::failure(
+    Error{ aCode,
+           std::string(aKey),
+           std::move(aAllowed),
+           SourceLocationOf(aNode.source(), *aDocument.file_) });
 }
 
 Result<void> CheckKnownKeys(const Document& aDocument)
 {
   for (const auto& [key, value] : *aDocument.table_) {
     if (std::find(kKeys.begin(), kKeys.end(), key.str()) == kKeys.end()) {
-      return BOOST_OUTCOME_V2_NAMESPACE::failure(Error{ ErrorCode::kUnknownSetting,
-                                                        std::string(key.str()),
-                                                        "a setting of docs/OPERATIONS.md",
-                                                        PlaceOf(key.source(), *aDocument.file_) });
+      return BOOST_OUTCOME_V2_NAMESPACE::failure(
+        Error{ ErrorCode::kUnknownSetting,
+               std::string(key.str()),
+               "a setting of docs/OPERATIONS.md",
+               SourceLocationOf(key.source(), *aDocument.file_) });
     }
   }
   return Success();
@@ -261,7 +265,7 @@
   BOOST_OUTCOME_TRYV(ReadText(aDocument, "port_file", settings.portFile_));
   BOOST_OUTCOME_TRYV(ReadText(aDocument, "log_directory", settings.logDirectory_));
   BOOST_OUTCOME_TRYV(
-    ReadInteger(aDocument, "target_connections", 1, 65535, settings.targetConnections_));
+    ReadInteger(aDocument, "target_connections", 1, 65535, settings.maxTargetConnections_));
   BOOST_OUTCOME_TRYV(
     ReadInteger(aDocument, "caller_connections", 1, 65535, settings.callerConnections_));
   // A body travels in one frame of at most 1 MiB with its headers, so both together stay below it.
@@ -273,8 +277,8 @@
     ReadMilliseconds(aDocument, "read_timeout_ms", 10, 600000, settings.readTimeout_));
   BOOST_OUTCOME_TRYV(
     ReadMilliseconds(aDocument, "drain_timeout_ms", 0, 3600000, settings.drainTimeout_));
-  BOOST_OUTCOME_TRYV(
-    ReadInteger(aDocument, "seed", 0, std::numeric_limits<std::int64_t>::max(), settings.seed_));
+  BOOST_OUTCOME_TRYV(ReadInteger(
+    aDocument, "seed", 0, std::numeric_limits<std::int64_t>::max(), settings.randomSeed_));
   BOOST_OUTCOME_TRYV(ReadFlag(aDocument, "naive", settings.naive_));
   BOOST_OUTCOME_TRYV(ReadMilliseconds(
     aDocument, "accept_while_draining_ms", 0, 600000, settings.acceptWhileDraining_));
--- a/peridotquay/process/Settings.h
+++ b/peridotquay/process/Settings.h
@@ -27,9 +27,9 @@
   std::vector<Address> seeds_;         ///< Peer addresses of other hosts, tried at start.
   std::vector<Address> platform_;      ///< Platform HTTP addresses.
   std::string portFile_; ///< If set, the bound ports are written there as JSON once all are open.
-  std::string logDirectory_;               ///< Empty logs to standard error.
-  std::uint32_t targetConnections_ = 400;  ///< Most connections to the local target.
-  std::uint32_t callerConnections_ = 4096; ///< Most open connections of callers.
+  std::string logDirectory_;                 ///< Empty logs to standard error.
+  std::uint32_t maxTargetConnections_ = 400; ///< Most connections to the local target.
+  std::uint32_t callerConnections_ = 4096;   ///< Most open connections of callers.
   std::size_t maxBodyBytes_ =
     std::size_t{ 768 } * 1024; ///< Largest request or answer body; a frame holds at most 1 MiB.
   std::size_t maxHeaderBytes_ = std::size_t{ 16 } * 1024;
@@ -38,7 +38,7 @@
   /// After SIGTERM new requests are still taken so long, for callers that haven't noticed yet.
   Duration acceptWhileDraining_{};
   Duration targetIdleTimeout_ = seconds(30); ///< Unused connections to the target are closed then.
-  std::uint64_t seed_ = 0; ///< Seed of all random choices; 0 takes one from the system.
+  std::uint64_t randomSeed_ = 0; ///< Seed of all random choices; 0 takes one from the system.
   bool naive_ = false; ///< Baseline: round robin, three retries at every hop, a token bucket for
                        ///< each process, no shedding.
   bool operator==(const NodeSettings&) const = default;
--- a/peridotquay/process/ShareLease.cpp
+++ b/peridotquay/process/ShareLease.cpp
@@ -271,11 +271,11 @@
     const bool renewsFloors =
       !known || read.floorEpoch_ != seen.row_.floorEpoch_ || read.floorEpoch_ == read.epoch_;
     if (renewsFloors) {
-      seen.floorSeen_ = aAnswer.finished_;
+      seen.floorSeen_ = aAnswer.finishedAt_;
     }
     seen.revision_ = stored.revision_;
     seen.row_ = read;
-    seen.seen_ = aAnswer.finished_;
+    seen.seen_ = aAnswer.finishedAt_;
   }
   std::erase_if(aLease.observed_,
                 [&](const auto& aSeen) { return present.count(aSeen.first) == 0; });
--- a/peridotquay/process/TomlPlaces.cpp
+++ b/peridotquay/process/TomlFile.cpp
@@ -1,5 +1,5 @@
 // Reads TOML files and parses addresses.
-#include "peridotquay/process/TomlPlaces.h"
+#include "peridotquay/process/TomlFile.h"
 
 #include <boost/asio/ip/address.hpp>
 
@@ -9,7 +9,7 @@
 
 namespace peridotquay {
 
-SourcePlace PlaceOf(const toml::source_region& aRegion, const std::string& aFile)
+SourcePlace SourceLocationOf(const toml::source_region& aRegion, const std::string& aFile)
 {
   return { aFile, aRegion.begin.line, aRegion.begin.column };
 }
@@ -45,7 +45,7 @@
     return BOOST_OUTCOME_V2_NAMESPACE::failure(Error{ ErrorCode::kSyntax,
                                                       "TOML",
                                                       std::string(failure.description()),
-                                                      PlaceOf(failure.source(), aFile) });
+                                                      SourceLocationOf(failure.source(), aFile) });
   }
 }
 
--- a/peridotquay/version/ConfigParser.cpp
+++ b/peridotquay/version/ConfigParser.cpp
@@ -2,7 +2,7 @@
 // kept under the subject that errors of the entity checks name.
 #include "peridotquay/version/ConfigParser.h"
 
-#include "peridotquay/process/TomlPlaces.h"
+#include "peridotquay/process/TomlFile.h"
 #include "peridotquay/version/ConfigCompiler.h"
 #include "peridotquay/version/ConfigReader.h"
 
@@ -53,7 +53,7 @@
   auto json = ConfigJson::object();
   for (const auto& [key, node] : aTable) {
     const auto subject = aPrefix + std::string(key.str());
-    (*aTarget.places_)[subject] = PlaceOf(key.source(), *aTarget.file_);
+    (*aTarget.places_)[subject] = SourceLocationOf(key.source(), *aTarget.file_);
     BOOST_OUTCOME_TRY(value, ConvertNode(aTarget, node, subject));
     json[std::string(key.str())] = std::move(value);
   }
@@ -64,7 +64,7 @@
                                const toml::node& aNode,
                                const std::string& aSubject)
 {
-  const auto place = PlaceOf(aNode.source(), *aTarget.file_);
+  const auto place = SourceLocationOf(aNode.source(), *aTarget.file_);
   if (const auto* table = aNode.as_table()) {
     return ConvertTable(aTarget, *table, aSubject + ".");
   }
@@ -150,7 +150,7 @@
   const Target target{ &aBase.name_, &aPlaces };
   for (const auto& [key, node] : table) {
     const auto name = std::string(key.str());
-    const auto place = PlaceOf(key.source(), aBase.name_);
+    const auto place = SourceLocationOf(key.source(), aBase.name_);
     const auto* members = node.as_table();
     const auto* const kind = std::find_if(
       kTables.begin(), kTables.end(), [&name](const auto& aEntry) { return name == aEntry.first; });
@@ -168,7 +168,7 @@
     }
     for (const auto& [id, member] : *members) {
       const auto entity = std::string(kind->second) + "/" + std::string(id.str());
-      aPlaces[entity] = PlaceOf(id.source(), aBase.name_);
+      aPlaces[entity] = SourceLocationOf(id.source(), aBase.name_);
       if (!member.is_table()) {
         return FailAt(ErrorCode::kWrongType, entity, "a table", aPlaces[entity]);
       }
@@ -189,7 +189,7 @@
   if (node == nullptr) {
     return FailAt(ErrorCode::kMissingSetting, "data_centre", "required", { aFile.name_, 1, 1 });
   }
-  const auto place = PlaceOf(node->source(), aFile.name_);
+  const auto place = SourceLocationOf(node->source(), aFile.name_);
   const auto dataCentre = node->value_exact<std::string>();
   if (!dataCentre) {
     return FailAt(ErrorCode::kWrongType, "data_centre", "a string", place);
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -751,7 +751,7 @@
   if (aAnswer.error_) {
     const auto code = aAnswer.error_->code_;
     if (code == ErrorCode::kPlatformUnavailable || code == ErrorCode::kPlatformUnknown) {
-      aState.pollFailed_ = aAnswer.started_;
+      aState.pollFailed_ = aAnswer.startedAt_;
     }
     return;
   }
@@ -764,7 +764,7 @@
     }
     head = decoded.assume_value();
   }
-  AddProof(aState, { head, aAnswer.started_ }, aEffects);
+  AddProof(aState, { head, aAnswer.startedAt_ }, aEffects);
   if (aState.version_ < head) {
     StartFetch(aState, aEffects);
   } else {
--- a/programs/quayctl.cpp
+++ b/programs/quayctl.cpp
@@ -2,7 +2,7 @@
 #include "peridotquay/process/BlockingHttp.h"
 #include "peridotquay/process/LogTrace.h"
 #include "peridotquay/process/OperatorCommands.h"
-#include "peridotquay/process/TomlPlaces.h"
+#include "peridotquay/process/TomlFile.h"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -62,7 +62,7 @@
 
 std::unique_ptr<Platform> PlatformFromFlags()
 {
-  PlatformSettings settings;
+  PlatformClientSettings settings;
   for (const auto& text : absl::GetFlag(FLAGS_platform)) {
     settings.addresses_.push_back(ParseOrThrow(text, "--platform"));
   }
@@ -104,8 +104,8 @@
   if (options.summary_.empty()) {
     options.summary_ = aSummary;
   }
-  options.against_ = ParseAgainst(aAgainst);
-  options.wait_ = absl::GetFlag(FLAGS_wait);
+  options.expectedVersion_ = ParseAgainst(aAgainst);
+  options.waitUntilInForce_ = absl::GetFlag(FLAGS_wait);
   options.timeout_ = milliseconds(absl::GetFlag(FLAGS_timeout_ms));
   return options;
 }
@@ -134,13 +134,13 @@
 {
   const auto account = Required(FLAGS_account, "--account");
   const auto options = WriteFlags(AgainstOrLatest(), "grant a key to " + account);
-  return GrantCommand(*PlatformFromFlags(), account, absl::GetFlag(FLAGS_label), options);
+  return GrantKeyCommand(*PlatformFromFlags(), account, absl::GetFlag(FLAGS_label), options);
 }
 
 OperatorReport RunWithdraw(const Arguments& aArguments)
 {
   const auto options = WriteFlags(AgainstOrLatest(), "withdraw a key");
-  return WithdrawCommand(*PlatformFromFlags(), aArguments[0], options);
+  return WithdrawKeyCommand(*PlatformFromFlags(), aArguments[0], options);
 }
 
 OperatorReport RunStatus(const Arguments&)
@@ -264,11 +264,11 @@
     std::cout << aReport.json_.dump(2, ' ', false, nlohmann::json::error_handler_t::replace)
               << "\n";
   } else {
-    (aReport.exit_ == 0 || aReport.exit_ == kExitNotInForce ? std::cout : std::cerr)
+    (aReport.exitCode_ == 0 || aReport.exitCode_ == kExitNotInForce ? std::cout : std::cerr)
       << aReport.text_;
   }
   std::cout.flush();
-  return aReport.exit_;
+  return aReport.exitCode_;
 }
 
 int Run(const Arguments& aWords)
--- a/programs/quayd.cpp
+++ b/programs/quayd.cpp
@@ -4,7 +4,7 @@
 #include "peridotquay/process/MakeControlPlane.h"
 #include "peridotquay/process/Node.h"
 #include "peridotquay/process/Settings.h"
-#include "peridotquay/process/TomlPlaces.h"
+#include "peridotquay/process/TomlFile.h"
 
 #include "platform/PlatformControl.h"
 #include "platform/PlatformDialect.h"
@@ -216,13 +216,13 @@
     return Node::Start(aSettings.node_,
                        [](const NodeSettings& aNode,
                           Incarnation aIncarnation,
-                          SocketPort aPort) -> Result<std::unique_ptr<ControlPlane>> {
+                          DataPlaneCallbacks aPort) -> Result<std::unique_ptr<ControlPlane>> {
                          return MakeControlPlane(aNode, aIncarnation, std::move(aPort));
                        });
   }
   return Node::Start(
     aSettings.node_,
-    [&](const NodeSettings& aNode, Incarnation aIncarnation, SocketPort aPort) {
+    [&](const NodeSettings& aNode, Incarnation aIncarnation, DataPlaneCallbacks aPort) {
       return platform::StartPlatformControl(
         *aSettings.platform_, aNode, aIncarnation, std::move(aPort));
     },
--- a/standins/lib/PlatformService.cpp
+++ b/standins/lib/PlatformService.cpp
@@ -174,13 +174,13 @@
     return aNow - aEntry.second.done_ > kOperationLifetime;
   });
   if (const auto done = operations_.find(transaction.operationId_); done != operations_.end()) {
-    return { 200, EncodePlatformResult({ "", done->second.revision_ }), LoseAnswer() };
+    return { 200, EncodePlatformTransactionResult({ "", done->second.revision_ }), LoseAnswer() };
   }
   for (const auto& condition : transaction.conditions_) {
     const auto found = rows_.find(condition.key_);
     const auto revision = found == rows_.end() ? 0 : found->second.revision_;
     if (revision != condition.revision_) {
-      return { 409, EncodePlatformResult({ condition.key_, revision }), false };
+      return { 409, EncodePlatformTransactionResult({ condition.key_, revision }), false };
     }
   }
   ++revision_;
@@ -192,7 +192,7 @@
     }
   }
   operations_[transaction.operationId_] = { revision_, aNow };
-  return { 200, EncodePlatformResult({ "", revision_ }), LoseAnswer() };
+  return { 200, EncodePlatformTransactionResult({ "", revision_ }), LoseAnswer() };
 }
 
 PlatformReply PlatformService::HandleObject(const PlatformRequest& aRequest, std::string_view aName)
--- a/tests/failure/PathFleet.h
+++ b/tests/failure/PathFleet.h
@@ -132,7 +132,7 @@
 class StaticControl final : public ControlPlane
 {
 public:
-  explicit StaticControl(SocketPort aPort)
+  explicit StaticControl(DataPlaneCallbacks aPort)
     : port_(std::move(aPort))
   {
   }
@@ -155,7 +155,7 @@
   }
   ControlStatus Status() const override { return {}; }
 
-  SocketPort port_;
+  DataPlaneCallbacks port_;
   std::atomic<bool> tokens_{ true };
   std::atomic<bool> left_{ false };
   std::atomic<TargetState> state_{ TargetState::kCold };
@@ -176,11 +176,12 @@
   explicit RunningNode(NodeSettings aSettings)
     : settings_(std::move(aSettings))
   {
-    auto node = Node::Start(settings_, [this](const NodeSettings&, Incarnation, SocketPort aPort) {
-      auto control = std::make_unique<StaticControl>(std::move(aPort));
-      control_ = control.get();
-      return control;
-    });
+    auto node =
+      Node::Start(settings_, [this](const NodeSettings&, Incarnation, DataPlaneCallbacks aPort) {
+        auto control = std::make_unique<StaticControl>(std::move(aPort));
+        control_ = control.get();
+        return control;
+      });
     REQUIRE(node.has_value());
     node_ = std::move(node.assume_value());
     thread_ = std::thread([this] { node_->Run(); });
@@ -247,7 +248,7 @@
   settings.region_ = { "r1" };
   settings.service_ = { aService };
   settings.target_ = { "127.0.0.1", aTarget };
-  settings.seed_ = 42;
+  settings.randomSeed_ = 42;
   settings.drainTimeout_ = seconds(3);
   return settings;
 }
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -36,7 +36,7 @@
 
   std::unique_ptr<Platform> NewClient(std::vector<Address> aOthers = {}) const
   {
-    PlatformSettings settings;
+    PlatformClientSettings settings;
     settings.addresses_ = std::move(aOthers);
     settings.addresses_.push_back(server_->Bound());
     settings.requestTimeout_ = milliseconds(400);
@@ -79,7 +79,7 @@
 {
   WriteOptions options;
   options.operator_ = "test";
-  options.against_ = aAgainst;
+  options.expectedVersion_ = aAgainst;
   options.commit_ = aBench.commit_;
   return options;
 }
@@ -244,7 +244,7 @@
   };
   bench.SetFaults(R"({"outage":"refuse"})");
   CHECK(commit(*bench.client_) == ErrorCode::kPlatformUnavailable);
-  PlatformSettings nobody;
+  PlatformClientSettings nobody;
   nobody.addresses_ = { ClosedPort() };
   CHECK(commit(*MakePlatformClient(nobody)) == ErrorCode::kPlatformUnavailable);
   CHECK(commit(*MakePlatformClient({})) == ErrorCode::kPlatformUnavailable);
@@ -328,12 +328,12 @@
   Bench bench;
   const auto foundry = ExampleDirectory("foundry");
   const auto first = ApplyCommand(*bench.client_, foundry, Options(bench, 0));
-  REQUIRE(first.exit_ == 0);
+  REQUIRE(first.exitCode_ == 0);
   CHECK(first.json_["version"] == 1);
-  const auto granted = GrantCommand(*bench.client_, "museum", "desk", Options(bench));
-  REQUIRE(granted.exit_ == 0);
+  const auto granted = GrantKeyCommand(*bench.client_, "museum", "desk", Options(bench));
+  REQUIRE(granted.exitCode_ == 0);
   const auto lost = ApplyCommand(*bench.client_, foundry, Options(bench, 1));
-  CHECK(lost.exit_ == ExitCode(ErrorCode::kVersionConflict));
+  CHECK(lost.exitCode_ == ExitCode(ErrorCode::kVersionConflict));
   CHECK(lost.json_["winner"] == 2);
   REQUIRE(lost.json_["changes"].size() == 1);
   CHECK(lost.json_["changes"][0]["edits"][0]["json"]["account"] == "museum");
@@ -342,9 +342,9 @@
   const auto keys = ListKeysCommand(*bench.client_, "guild-office").json_["keys"];
   REQUIRE(keys.size() == 1);
   const auto digest = keys[0]["digest"].get<std::string>();
-  CHECK(WithdrawCommand(*bench.client_, digest, Options(bench)).exit_ == 0);
+  CHECK(WithdrawKeyCommand(*bench.client_, digest, Options(bench)).exitCode_ == 0);
   const auto barred = ApplyCommand(*bench.client_, foundry, Options(bench));
-  CHECK(barred.exit_ == ExitCode(ErrorCode::kContradiction));
+  CHECK(barred.exitCode_ == ExitCode(ErrorCode::kContradiction));
   CHECK(barred.json_["error"]["line"].get<int>() > 0);
 }
 
@@ -352,13 +352,13 @@
 TEST_CASE("the platform never sees a granted key", "[platform]")
 {
   Bench bench;
-  REQUIRE(ApplyCommand(*bench.client_, ExampleDirectory("landesamt"), Options(bench, 0)).exit_ ==
-          0);
+  REQUIRE(
+    ApplyCommand(*bench.client_, ExampleDirectory("landesamt"), Options(bench, 0)).exitCode_ == 0);
   auto forged = Options(bench);
   forged.operator_ = "a\nversion 9 by b";
-  CHECK(GrantCommand(*bench.client_, "growers", "", forged).exit_ ==
+  CHECK(GrantKeyCommand(*bench.client_, "growers", "", forged).exitCode_ ==
         ExitCode(ErrorCode::kOutOfRange));
-  const auto granted = GrantCommand(*bench.client_, "growers", "", Options(bench));
+  const auto granted = GrantKeyCommand(*bench.client_, "growers", "", Options(bench));
   const auto key = granted.json_["key"].get<std::string>();
   for (const auto& row : Value(bench.client_->ReadRange("", "", 1000))) {
     CHECK(row.value_.find(key) == std::string::npos);
--- a/tests/process/ControlActorTest.cpp
+++ b/tests/process/ControlActorTest.cpp
@@ -43,8 +43,8 @@
     const auto platform = system_.spawn([this](caf::event_based_actor* aSelf) -> caf::behavior {
       return { [this, aSelf](const PlatformJob& aJob) {
         auto answer = RunPlatformCall(platform_, aJob.call_);
-        answer.started_ = aSelf->clock().now();
-        answer.finished_ = aSelf->clock().now();
+        answer.startedAt_ = aSelf->clock().now();
+        answer.finishedAt_ = aSelf->clock().now();
         return answer;
       } };
     });
--- a/tests/process/ControlPlaneTest.cpp
+++ b/tests/process/ControlPlaneTest.cpp
@@ -79,10 +79,10 @@
     settings.peers_ = { "127.0.0.1", static_cast<std::uint16_t>(aNode + 1) };
     settings.seeds_ = { { "127.0.0.1", 1 } };
     settings.platform_ = { aPlatform };
-    settings.seed_ = 5;
+    settings.randomSeed_ = 5;
     const Hello hello{ kPeerProtocolVersion, settings.host_, 1000 + aNode, settings.dataCentre_ };
     auto* side = sides_[aNode].get();
-    SocketPort port;
+    DataPlaneCallbacks port;
     const auto deliver = [this](const Address& aTo,
                                 const std::function<void(ControlPlane&)>& aUse) {
       const std::lock_guard<std::mutex> lock(mutex_);
--- a/tests/process/MetricsTest.cpp
+++ b/tests/process/MetricsTest.cpp
@@ -21,8 +21,8 @@
 {
   Metrics metrics;
   for (const int ms : { 0, 3, 4, 700, 60000 }) {
-    metrics.Note(Timing::kCaller, milliseconds(ms));
-    metrics.NoteRoute("press", milliseconds(ms));
+    metrics.RecordTime(Stage::kCaller, milliseconds(ms));
+    metrics.RecordRouteTime("press", milliseconds(ms));
   }
   const std::string text = metrics.Text({});
   for (const std::string label : { "quay_stage_seconds_bucket{stage=\"caller\"",
@@ -42,7 +42,7 @@
 {
   Metrics metrics;
   metrics.Add(Counter::kRetries, 3);
-  metrics.NoteRoute("a \"quoted\"\nname\\", milliseconds(1));
+  metrics.RecordRouteTime("a \"quoted\"\nname\\", milliseconds(1));
   std::istringstream lines(metrics.Text({ { "limit", 4 } }));
   std::string line;
   std::size_t values = 0;
@@ -69,7 +69,7 @@
 {
   Metrics metrics;
   for (std::size_t i = 0; i < 4 * kMaxRoutes; ++i) {
-    metrics.NoteRoute("r" + std::to_string(i), milliseconds(1));
+    metrics.RecordRouteTime("r" + std::to_string(i), milliseconds(1));
   }
   const std::string text = metrics.Text({});
   CHECK(Has(text, "quay_route_seconds_count{route=\"other\"} " + std::to_string(3 * kMaxRoutes)));
--- a/tests/process/PlatformJsonTest.cpp
+++ b/tests/process/PlatformJsonTest.cpp
@@ -18,12 +18,14 @@
   CHECK(Value(DecodePlatformRow(EncodePlatformRow(row))) == row);
   CHECK(Value(DecodePlatformRows(EncodePlatformRows({ row, row }))).size() == 2);
   CHECK(Value(DecodePlatformTransaction(EncodePlatformTransaction(transaction))) == transaction);
-  CHECK(Value(DecodePlatformResult(EncodePlatformResult({ "k", 5 }))) == PlatformResult{ "k", 5 });
+  CHECK(Value(DecodePlatformTransactionResult(EncodePlatformTransactionResult({ "k", 5 }))) ==
+        PlatformTransactionResult{ "k", 5 });
   std::mt19937_64 random(4);
   for (int i = 0; i < 5000; ++i) {
     static_cast<void>(DecodePlatformRows(Mutate(EncodePlatformRows({ row }), random)));
     static_cast<void>(
       DecodePlatformTransaction(Mutate(EncodePlatformTransaction(transaction), random)));
-    static_cast<void>(DecodePlatformResult(Mutate(EncodePlatformResult({ "k", 5 }), random)));
+    static_cast<void>(
+      DecodePlatformTransactionResult(Mutate(EncodePlatformTransactionResult({ "k", 5 }), random)));
   }
 }
--- a/tests/process/SettingsTest.cpp
+++ b/tests/process/SettingsTest.cpp
@@ -70,13 +70,13 @@
   expected.platform_ = { { "127.0.0.1", 9100 }, { "::1", 9100 } };
   expected.portFile_ = "/tmp/ports";
   expected.logDirectory_ = "/tmp";
-  expected.targetConnections_ = 200;
+  expected.maxTargetConnections_ = 200;
   expected.callerConnections_ = 100;
   expected.maxBodyBytes_ = 1000;
   expected.maxHeaderBytes_ = 2000;
   expected.readTimeout_ = milliseconds(1500);
   expected.drainTimeout_ = milliseconds(2500);
-  expected.seed_ = 7;
+  expected.randomSeed_ = 7;
   expected.naive_ = true;
   CHECK(settings == expected);
   CHECK(Failure(ParseNodeSettings("/nonexistent/x.toml")).code_ == ErrorCode::kFileUnreadable);
--- a/tests/process/ShareLeaseTest.cpp
+++ b/tests/process/ShareLeaseTest.cpp
@@ -197,7 +197,7 @@
       static_cast<double>(NextRandom(random_) >> 11U) / 9007199254740992.0 < loseAnswers_;
     Travelling call{ now_ + Random(mostDelay_),  aFrom, false, lost, lives_[aFrom],
                      std::move(*aEffects.call_), {} };
-    call.answer_.started_ = Local(aFrom);
+    call.answer_.startedAt_ = Local(aFrom);
     if (lost) {
       // The caller gives up after 2 s; the write may take effect long after that.
       Travelling failure = call;
@@ -222,13 +222,13 @@
       if (call.due_ > now_ || (call.arrived_ && candidates_[call.from_].pausedUntil_ > now_)) {
         travelling_.push_back(std::move(call));
       } else if (!call.arrived_) {
-        const auto started = call.answer_.started_;
+        const auto started = call.answer_.startedAt_;
         if (candidates_[call.from_].cut_) {
           call.answer_.error_ = Error{ ErrorCode::kPlatformUnavailable, {}, {}, {} };
         } else {
           call.answer_ = RunPlatformCall(platform_, call.call_);
         }
-        call.answer_.started_ = started;
+        call.answer_.startedAt_ = started;
         call.arrived_ = true;
         call.due_ = now_ + Random(mostDelay_);
         if (!call.lost_) {
@@ -236,7 +236,7 @@
         }
       } else {
         auto& candidate = candidates_[call.from_];
-        call.answer_.finished_ = Local(call.from_);
+        call.answer_.finishedAt_ = Local(call.from_);
         ShareLeaseEffects effects;
         HandleShareAnswer(
           candidate.lease_, candidate.ledger_, call.answer_, Local(call.from_), effects);
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -281,7 +281,7 @@
       } else {
         answer = RunPlatformCall(platform_, aCall);
       }
-      answer.started_ = started;
+      answer.startedAt_ = started;
       At(now_ + back, [=, this] { Answer(aNode, life, answer); });
     });
   }
@@ -296,7 +296,7 @@
       At(node.pausedUntil_, [=, this] { Answer(aNode, aLife, aAnswer); });
       return;
     }
-    aAnswer.finished_ = Local(aNode);
+    aAnswer.finishedAt_ = Local(aNode);
     DisseminationEffects effects;
     HandleVersionAnswer(node.versions_, aAnswer, Local(aNode), effects);
     CarryOut(aNode, effects);
