--- a/peridotquay/process/BlockingHttp.cpp
+++ b/peridotquay/process/BlockingHttp.cpp
@@ -1,5 +1,5 @@
-// Blocking HTTP client. Asynchronous operations of Beast run on a private context, because Beast's
-// timeouts don't apply to its blocking operations.
+// Blocking HTTP client. It runs Beast's asynchronous operations on a private context, because
+// Beast's timeouts don't apply to its blocking operations.
 #include "peridotquay/process/BlockingHttp.h"
 
 #include <boost/asio/io_context.hpp>
@@ -19,19 +19,19 @@
 namespace http = beast::http;
 using Request = http::request<http::string_body>;
 
-/// A kept connection that was idle for longer is replaced, so that the server's own idle timeout
-/// doesn't close it during a request.
-constexpr Duration kIdleLimit = seconds(5);
+/// A connection that was idle for longer is replaced, because the server's own idle timeout could
+/// close it during a request.
+constexpr Duration kMaxIdleTime = seconds(5);
 
-/// Runs one asynchronous operation to its end on the private context.
+/// Starts one asynchronous operation and runs the private context until it completes.
 template<typename Start>
-beast::error_code RunStep(asio::io_context& aContext, Start aStart)
+beast::error_code RunOperation(asio::io_context& aContext, Start aStart)
 {
-  beast::error_code result = asio::error::would_block;
+  beast::error_code outcome = asio::error::would_block;
   aContext.restart();
-  aStart([&result](beast::error_code aCode, auto&&...) { result = aCode; });
+  aStart([&outcome](beast::error_code aCode, auto&&...) { outcome = aCode; });
   aContext.run();
-  return result;
+  return outcome;
 }
 
 } // namespace
@@ -45,7 +45,7 @@
   }
 
   bool Connect(const Address& aAddress, TimePoint aDeadline);
-  bool KeptConnectionUsable(TimePoint aNow);
+  bool IsConnectionUsable(TimePoint aNow);
 
   Duration connectTimeout_;
   std::size_t maxBodyBytes_;
@@ -55,11 +55,11 @@
   TimePoint lastUsed_{};
 };
 
-/// Whether the kept connection is open: an idle connection with readable data was closed by the
-/// server or is out of step.
-bool BlockingHttp::State::KeptConnectionUsable(TimePoint aNow)
+/// Whether the open connection can be reused. An idle connection is readable only if the server
+/// closed it or sent data that no request asked for.
+bool BlockingHttp::State::IsConnectionUsable(TimePoint aNow)
 {
-  if (!stream_ || aNow - lastUsed_ > kIdleLimit) {
+  if (!stream_ || aNow - lastUsed_ > kMaxIdleTime) {
     return false;
   }
   beast::error_code code;
@@ -73,7 +73,7 @@
 bool BlockingHttp::State::Connect(const Address& aAddress, TimePoint aDeadline)
 {
   const auto now = Clock::now();
-  if (connectedTo_ == aAddress && KeptConnectionUsable(now)) {
+  if (connectedTo_ == aAddress && IsConnectionUsable(now)) {
     return true;
   }
   stream_.reset();
@@ -84,7 +84,7 @@
   }
   stream_.emplace(context_);
   stream_->expires_at(std::min(aDeadline, now + connectTimeout_));
-  code = RunStep(context_, [&](auto aHandler) {
+  code = RunOperation(context_, [&](auto aHandler) {
     stream_->async_connect(asio::ip::tcp::endpoint(ip, aAddress.port_), aHandler);
   });
   if (code) {
@@ -103,11 +103,13 @@
 
 BlockingHttp::~BlockingHttp() = default;
 
-HttpExchange BlockingHttp::Send(const Address& aAddress, const HttpCall& aCall, TimePoint aDeadline)
+BlockingHttpResult BlockingHttp::Send(const Address& aAddress,
+                                      const BlockingHttpRequest& aCall,
+                                      TimePoint aDeadline)
 {
-  HttpExchange exchange;
+  BlockingHttpResult result;
   if (!state_->Connect(aAddress, aDeadline)) {
-    return exchange;
+    return result;
   }
   Request request;
   request.version(11);
@@ -117,42 +119,42 @@
   request.set(http::field::content_type, "application/json");
   request.body() = aCall.body_;
   request.prepare_payload();
-  exchange.progress_ = HttpProgress::kMaybeSent;
+  result.progress_ = HttpProgress::kMaybeSent;
   auto& stream = *state_->stream_;
   auto& context = state_->context_;
   stream.expires_at(aDeadline);
   auto code =
-    RunStep(context, [&](auto aHandler) { http::async_write(stream, request, aHandler); });
+    RunOperation(context, [&](auto aHandler) { http::async_write(stream, request, aHandler); });
   beast::flat_buffer buffer;
   http::response_parser<http::string_body> parser;
   parser.body_limit(state_->maxBodyBytes_);
   if (!code) {
-    code =
-      RunStep(context, [&](auto aHandler) { http::async_read(stream, buffer, parser, aHandler); });
+    code = RunOperation(context,
+                        [&](auto aHandler) { http::async_read(stream, buffer, parser, aHandler); });
   }
   if (code) {
     state_->stream_.reset();
-    return exchange;
+    return result;
   }
   auto response = parser.release();
-  exchange.progress_ = HttpProgress::kAnswered;
-  exchange.status_ = response.result_int();
-  exchange.body_ = std::move(response.body());
+  result.progress_ = HttpProgress::kAnswered;
+  result.status_ = response.result_int();
+  result.body_ = std::move(response.body());
   state_->lastUsed_ = Clock::now();
   if (!response.keep_alive()) {
     state_->stream_.reset();
   }
-  return exchange;
+  return result;
 }
 
 std::string EscapeUrl(std::string_view aText)
 {
-  constexpr std::string_view kPlain =
+  constexpr std::string_view kUnescaped =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~/";
   constexpr std::string_view kHex = "0123456789ABCDEF";
   std::string escaped;
   for (const char byte : aText) {
-    if (kPlain.find(byte) != std::string_view::npos) {
+    if (kUnescaped.find(byte) != std::string_view::npos) {
       escaped.push_back(byte);
     } else {
       const auto number = static_cast<unsigned char>(byte);
--- a/peridotquay/process/BlockingHttp.h
+++ b/peridotquay/process/BlockingHttp.h
@@ -1,4 +1,4 @@
-// Blocking HTTP client for one server at a time, with timeouts and a kept connection.
+// Blocking HTTP client with timeouts. It keeps one connection open for the next request.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -11,8 +11,8 @@
 
 namespace peridotquay {
 
-/// One request.
-struct HttpCall
+/// An HTTP request.
+struct BlockingHttpRequest
 {
   std::string method_;
   std::string target_;
@@ -22,20 +22,20 @@
 /// How far a request got.
 enum class HttpProgress : std::uint8_t
 {
-  kNothingSent, ///< The server surely did nothing.
-  kMaybeSent,
+  kNothingSent, ///< No connection was made, so the request had no effect.
+  kMaybeSent,   ///< No answer came; the server may have acted on the request.
   kAnswered
 };
 
-/// Result of one request.
-struct HttpExchange
+/// Result of one request. Status and body are set only if it was answered.
+struct BlockingHttpResult
 {
   HttpProgress progress_ = HttpProgress::kNothingSent;
   unsigned status_ = 0;
   std::string body_;
 };
 
-/// Sends requests one after the other. Not thread-safe.
+/// Sends one request at a time. Not thread-safe.
 class BlockingHttp
 {
 public:
@@ -44,15 +44,18 @@
   BlockingHttp& operator=(const BlockingHttp&) = delete;
   ~BlockingHttp();
 
-  /// Sends a request once and waits for the whole answer until the deadline.
-  HttpExchange Send(const Address& aAddress, const HttpCall& aCall, TimePoint aDeadline);
+  /// Sends a request once, connecting first if needed, and waits for the whole answer until the
+  /// deadline.
+  BlockingHttpResult Send(const Address& aAddress,
+                          const BlockingHttpRequest& aCall,
+                          TimePoint aDeadline);
 
 private:
   struct State;
   std::unique_ptr<State> state_;
 };
 
-/// Escapes text for use in a request target; '/' is kept.
+/// Percent-encodes text for use in a request target. '/' isn't encoded.
 std::string EscapeUrl(std::string_view aText);
 
 } // namespace peridotquay
--- a/peridotquay/process/ControlPlane.h
+++ b/peridotquay/process/ControlPlane.h
@@ -1,5 +1,5 @@
-// Interface between the socket thread of a node and its control side (membership, versions,
-// shares).
+// Interface between the data plane of a node (the calls, on the socket thread) and its control
+// plane (membership, configuration versions, token shares).
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -16,43 +16,44 @@
 class EventLoop;
 struct LocalTarget;
 
-/// What the control side calls on the socket side. Each function may be called from any thread and
-/// doesn't block.
+/// Functions of the data plane that the control plane calls. Each is thread-safe and doesn't block.
 struct DataPlaneCallbacks
 {
-  /// Sends a frame to a host's peer address, connecting if needed. Lost if the host can't be
-  /// reached.
+  /// Sends a frame over TCP to a host's peer address and connects first if needed. The frame is
+  /// lost if the host can't be reached.
   std::function<void(const Address&, PeerMessage)> sendPeer_;
-  /// Sends a datagram.
+  /// Sends a UDP datagram to a host's peer address.
   std::function<void(const Address&, PeerMessage)> sendDatagram_;
-  /// Puts a configuration in force on the data path. Versions only grow.
+  /// Puts a configuration in force; one with a version lower than the current one is ignored.
   std::function<void(std::shared_ptr<const Config>)> publishConfig_;
-  /// Replaces the view of targets on the data path.
+  /// Replaces the view of the targets that may be called.
   std::function<void(std::shared_ptr<const TargetView>)> publishTargets_;
-  /// States up to which time the configuration is known to have been the latest.
+  /// Sets the latest time at which the configuration in force is known to have been the newest.
   std::function<void(TimePoint)> publishFreshness_;
-  /// Hands over tokens. The time is when the request for them was made, by this node's clock.
+  /// Delivers granted tokens. The time is when they were requested, by this node's clock.
   std::function<void(ShareGrant, TimePoint)> deliverGrant_;
-  /// States what the local target announced, where it announces itself to the control side.
+  /// Sets what is known of the local target, on platforms where the target reports its state to the
+  /// control plane. Unlike the others, it must be called on the socket thread.
   std::function<void(const LocalTarget&)> setTarget_;
-  /// Loop of the socket thread, for a control side that runs on it.
+  /// Event loop of the socket thread, for a control plane that runs on it.
   EventLoop* loop_ = nullptr;
 };
 
-/// Status of the control side, for the admin endpoint.
+/// Status of the control plane, for the admin endpoint.
 struct ControlStatus
 {
   Version version_ = 0;
-  std::uint64_t freshnessAgeMs_ = 0;
+  std::uint64_t freshnessAgeMs_ = 0; ///< Time since the configuration was known to be the newest.
   std::uint32_t membersAlive_ = 0;
   std::uint32_t membersSuspect_ = 0;
-  bool delegate_ = false;
-  bool shareLeader_ = false;
+  bool delegate_ = false;    ///< This node is a delegate of its data centre.
+  bool shareLeader_ = false; ///< This node holds the lease to grant tokens.
   bool platformReachable_ = false;
-  Version minDataCentreVersion_ = 0; ///< Delegates only: least version in force in the data centre.
+  /// Lowest version in force at the hosts of the data centre; set on delegates only.
+  Version minDataCentreVersion_ = 0;
 };
 
-/// The control side of a node. Each function may be called from any thread and doesn't block.
+/// The control plane of a node. Each function is thread-safe and doesn't block.
 class ControlPlane
 {
 public:
@@ -61,21 +62,23 @@
   ControlPlane& operator=(const ControlPlane&) = delete;
   virtual ~ControlPlane() = default;
 
-  /// A control frame arrived from a peer.
+  /// Handles a control frame from a peer.
   virtual void OnPeerMessage(const Hello& aFrom, const Address& aPeer, PeerMessage aMessage) = 0;
-  /// A datagram arrived.
+  /// Handles a datagram.
   virtual void OnDatagram(const Address& aFrom, PeerMessage aMessage) = 0;
-  /// Asks for tokens; the answer comes through DataPlaneCallbacks::deliverGrant_.
+  /// Requests tokens; they are delivered through DataPlaneCallbacks::deliverGrant_.
   virtual void RequestTokens(ShareRequest aRequest) = 0;
-  /// Announces the local target's state.
+  /// Announces the local target's state, its number of slots and the fraction of them in use.
   virtual void AnnounceTarget(TargetState aState, std::uint32_t aSlots, double aLoad) = 0;
-  /// This node will leave: callers should go elsewhere. The local target still takes calls.
+  /// Announces that this node will leave, so that callers use other nodes. The local target still
+  /// accepts calls.
   virtual void AnnounceLeaving() {}
   /// Announces that this node left, naming the successor of its request records.
   virtual void AnnounceLeft(const HostId& aSuccessor) = 0;
-  /// Replaces what the settings of the host say of the policy, where they say any of it.
+  /// Replaces the policy that comes from the node's settings. Does nothing where the settings hold
+  /// no policy.
   virtual void SetPolicy(const Policy& /*aPolicy*/) {}
-  /// Status by value, as of the last step of each actor.
+  /// Returns a copy of the status as each part of the control plane last published it.
   virtual ControlStatus Status() const = 0;
 };
 
--- a/peridotquay/process/MakeControlPlane.cpp
+++ b/peridotquay/process/MakeControlPlane.cpp
@@ -1,4 +1,4 @@
-// Actor system of the control side and the ControlPlane in front of it.
+// Control plane on an actor system: actors for membership, configuration versions and token shares.
 #include "peridotquay/process/MakeControlPlane.h"
 
 #include "peridotquay/process/ControlActor.h"
@@ -13,31 +13,32 @@
 
 namespace {
 
-// Two threads suffice: the actors run for microseconds at a time, and only the platform actors,
-// which have their own threads, block.
-constexpr std::size_t kControlThreads = 2;
+// Two threads suffice: the actors run for microseconds at a time. Only the platform actors block,
+// and each of them has its own thread.
+constexpr std::size_t kSchedulerThreads = 2;
 
-// Policy "sharing": idle workers wait on a condition variable, while those of "stealing" poll.
+// Uses the scheduler policy "sharing", whose idle threads wait on a condition variable, instead of
+// "stealing", whose idle threads poll.
 struct ControlSystemConfig : caf::actor_system_config
 {
   ControlSystemConfig()
   {
     set("scheduler.policy", caf::atom("sharing"));
-    set("scheduler.max-threads", kControlThreads);
+    set("scheduler.max-threads", kSchedulerThreads);
   }
 };
 
-std::uint64_t FirstRandom(const NodeSettings& aSettings)
+std::uint64_t InitialRandomState(const NodeSettings& aSettings)
 {
   if (aSettings.randomSeed_ != 0) {
-    // Mixed with the host, so that nodes with the same seed choose differently.
+    // The seed is mixed with the host, so that nodes with the same seed make different choices.
     return aSettings.randomSeed_ ^ RankWeight("seed", aSettings.dataCentre_, aSettings.host_);
   }
   std::random_device device;
   return (std::uint64_t{ device() } << 32U) ^ device();
 }
 
-MemberEntry SelfEntry(const NodeSettings& aSettings, Incarnation aIncarnation)
+MemberEntry OwnMemberEntry(const NodeSettings& aSettings, Incarnation aIncarnation)
 {
   MemberEntry entry;
   entry.host_ = aSettings.host_;
@@ -53,7 +54,7 @@
 std::shared_ptr<Platform> MakeClient(const NodeSettings& aSettings)
 {
   PlatformClientSettings settings;
-  settings.addresses_ = aSettings.platform_;
+  settings.addresses_ = aSettings.platformAddresses_;
   return MakePlatformClient(std::move(settings));
 }
 
@@ -62,14 +63,14 @@
 public:
   ActorControlPlane(const NodeSettings& aSettings,
                     Incarnation aIncarnation,
-                    DataPlaneCallbacks aPort)
+                    DataPlaneCallbacks aCallbacks)
     : system_(config_)
   {
-    auto random = FirstRandom(aSettings);
+    auto random = InitialRandomState(aSettings);
     const auto now = system_.clock().now();
-    const ControlContext context{ std::move(aPort), status_ };
-    // Versions and shares have a platform client each, so that a slow read of changes doesn't delay
-    // the renewal of the lease.
+    const ControlContext context{ std::move(aCallbacks), status_ };
+    // Versions and shares use separate platform clients, so that a slow read of configuration
+    // changes doesn't delay the renewal of the share lease.
     versionPlatform_ = SpawnPlatformActor(system_, MakeClient(aSettings));
     sharePlatform_ = SpawnPlatformActor(system_, MakeClient(aSettings));
     shares_ = SpawnShareActor(
@@ -88,13 +89,13 @@
       system_,
       context,
       MakeMembership(
-        {}, SelfEntry(aSettings, aIncarnation), aSettings.seeds_, NextRandom(random), now),
+        {}, OwnMemberEntry(aSettings, aIncarnation), aSettings.seedPeers_, NextRandom(random), now),
       versions_,
       shares_);
     caf::anon_send(versions_, membership_);
   }
 
-  // The actors end first; the actor system's destructor waits for them.
+  // Stops the actors and waits for them before the members that they use are destroyed.
   ~ActorControlPlane() override
   {
     for (const auto& actor :
@@ -171,9 +172,9 @@
 
 std::unique_ptr<ControlPlane> MakeControlPlane(const NodeSettings& aSettings,
                                                Incarnation aIncarnation,
-                                               DataPlaneCallbacks aPort)
+                                               DataPlaneCallbacks aCallbacks)
 {
-  return std::make_unique<ActorControlPlane>(aSettings, aIncarnation, std::move(aPort));
+  return std::make_unique<ActorControlPlane>(aSettings, aIncarnation, std::move(aCallbacks));
 }
 
 } // namespace peridotquay
--- a/peridotquay/process/MakeControlPlane.h
+++ b/peridotquay/process/MakeControlPlane.h
@@ -1,4 +1,4 @@
-// Factory of the control side of a node.
+// Factory of the control plane of a node.
 #pragma once
 
 #include "peridotquay/process/ControlPlane.h"
@@ -9,11 +9,11 @@
 
 namespace peridotquay {
 
-/// Starts the control side. The settings hold the addresses that are bound, not port 0. The port's
-/// functions are called from control threads until the returned object is destroyed, which waits
-/// for a platform call under way (at most its request timeout).
+/// Starts the control plane. The settings must hold the bound port numbers instead of port 0. The
+/// callbacks are called from the control plane's threads until the returned object is destroyed.
+/// Its destructor waits for a platform call in progress, for at most the platform request timeout.
 std::unique_ptr<ControlPlane> MakeControlPlane(const NodeSettings& aSettings,
                                                Incarnation aIncarnation,
-                                               DataPlaneCallbacks aPort);
+                                               DataPlaneCallbacks aCallbacks);
 
 } // namespace peridotquay
--- a/peridotquay/process/Metrics.cpp
+++ b/peridotquay/process/Metrics.cpp
@@ -1,4 +1,4 @@
-// Metrics on Boost.Accumulators and Boost.Histogram.
+// Implements the metrics with Boost.Accumulators and Boost.Histogram.
 #include "peridotquay/process/Metrics.h"
 
 #include <boost/accumulators/accumulators.hpp>
@@ -24,7 +24,7 @@
 namespace ba = boost::accumulators;
 namespace bh = boost::histogram;
 
-constexpr std::array<std::string_view, kCounters> kCounterNames = {
+constexpr std::array<std::string_view, kCounterCount> kCounterNames = {
   "caller_requests",   "outbound_requests", "owner_calls",        "answers_ran",
   "answers_not_run",   "answers_unknown",   "refused_key",        "refused_rate",
   "refused_not_fresh", "refused_upstream",  "refused_draining",   "attempts",
@@ -33,33 +33,33 @@
   "dropped_answers",   "fates_asked",       "request_ids_issued", "repeats_answered"
 };
 
-constexpr std::array<std::string_view, kTimings> kTimingNames = { "caller", "target", "queue" };
+constexpr std::array<std::string_view, kStageCount> kStageNames = { "caller", "target", "queue" };
 
 constexpr std::array<double, 3> kQuantiles = { 0.5, 0.9, 0.99 };
 
-using Statistics = ba::accumulator_set<
+using DurationStatistics = ba::accumulator_set<
   double,
   ba::stats<ba::tag::count, ba::tag::mean, ba::tag::max, ba::tag::extended_p_square>>;
 
-/// Upper bounds of the buckets in seconds: from less than the time that two hosts add up to the
-/// longest deadlines of today's routes.
-const std::vector<double> kBounds = { 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05,
-                                      0.1,    0.25,  0.5,    1,     2.5,  5,     10 };
+/// Upper bounds of the histogram buckets in seconds. They range from less than the latency that two
+/// hosts add to a call up to the longest deadlines of routes.
+const std::vector<double> kBucketBounds = { 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05,
+                                            0.1,    0.25,  0.5,    1,     2.5,  5,     10 };
 
-/// Times of one stage or route.
-struct TimeHistogram
+/// Histogram and sum of the durations of one stage or route.
+struct DurationHistogram
 {
   using Axis = bh::axis::variable<double, bh::use_default, bh::axis::option::overflow_t>;
-  using Counts = decltype(bh::make_histogram(Axis(std::vector<double>{ 0, 1 })));
+  using BucketCounts = decltype(bh::make_histogram(Axis(std::vector<double>{ 0, 1 })));
 
-  static Axis Edges()
+  static Axis BucketEdges()
   {
     std::vector<double> edges = { 0 };
-    edges.insert(edges.end(), kBounds.begin(), kBounds.end());
+    edges.insert(edges.end(), kBucketBounds.begin(), kBucketBounds.end());
     return Axis(edges);
   }
 
-  Counts counts_ = bh::make_histogram(Edges());
+  BucketCounts counts_ = bh::make_histogram(BucketEdges());
   double sum_ = 0; ///< Seconds.
 
   void Add(double aSeconds)
@@ -69,7 +69,7 @@
   }
 };
 
-std::string Escaped(std::string_view aText)
+std::string EscapeLabelValue(std::string_view aText)
 {
   std::string text;
   for (const char character : aText) {
@@ -85,27 +85,27 @@
   return text;
 }
 
-void AppendHead(std::string& aText,
-                std::string_view aName,
-                std::string_view aType,
-                std::string_view aHelp)
+void AppendHelpAndType(std::string& aText,
+                       std::string_view aName,
+                       std::string_view aType,
+                       std::string_view aHelp)
 {
   aText.append("# HELP ").append(aName).append(" ").append(aHelp).append("\n");
   aText.append("# TYPE ").append(aName).append(" ").append(aType).append("\n");
 }
 
-/// One histogram; aLabel is the name and the quoted value of its label.
+/// Appends the buckets, sum and count of a histogram. aLabel is the label's name and quoted value.
 void AppendHistogram(std::string& aText,
                      const std::string& aName,
                      const std::string& aLabel,
-                     const TimeHistogram& aHistogram)
+                     const DurationHistogram& aHistogram)
 {
   std::uint64_t total = 0;
   std::array<char, 32> bound{};
-  for (std::size_t i = 0; i <= kBounds.size(); ++i) {
+  for (std::size_t i = 0; i <= kBucketBounds.size(); ++i) {
     total += static_cast<std::uint64_t>(aHistogram.counts_.at(static_cast<int>(i)));
-    const bool last = i == kBounds.size();
-    std::snprintf(bound.data(), bound.size(), "%g", last ? 0 : kBounds[i]);
+    const bool last = i == kBucketBounds.size();
+    std::snprintf(bound.data(), bound.size(), "%g", last ? 0 : kBucketBounds[i]);
     aText.append(aName).append("_bucket{").append(aLabel).append(",le=\"");
     aText.append(last ? "+Inf" : bound.data()).append("\"} ");
     aText.append(std::to_string(total)).append("\n");
@@ -116,7 +116,7 @@
   aText.append(std::to_string(total)).append("\n");
 }
 
-void AppendLine(std::string& aText, const std::string& aName, double aValue)
+void AppendSample(std::string& aText, const std::string& aName, double aValue)
 {
   std::array<char, 64> number{};
   std::snprintf(number.data(), number.size(), "%.6g", aValue);
@@ -127,14 +127,15 @@
 
 struct Metrics::State
 {
-  std::array<std::uint64_t, kCounters> counters_{};
-  std::array<Statistics, kTimings> timings_ = {
-    Statistics(ba::extended_p_square_probabilities = kQuantiles),
-    Statistics(ba::extended_p_square_probabilities = kQuantiles),
-    Statistics(ba::extended_p_square_probabilities = kQuantiles)
+  std::array<std::uint64_t, kCounterCount> counters_{};
+  std::array<DurationStatistics, kStageCount> stageStatistics_ = {
+    DurationStatistics(ba::extended_p_square_probabilities = kQuantiles),
+    DurationStatistics(ba::extended_p_square_probabilities = kQuantiles),
+    DurationStatistics(ba::extended_p_square_probabilities = kQuantiles)
   };
-  std::array<TimeHistogram, kTimings> stages_;
-  std::map<std::string, TimeHistogram, std::less<>> routes_; ///< At most kMaxRoutes and "other".
+  std::array<DurationHistogram, kStageCount> stageHistograms_;
+  std::map<std::string, DurationHistogram, std::less<>>
+    routeHistograms_; ///< At most kMaxRouteHistograms and "other".
 };
 
 Metrics::Metrics()
@@ -149,24 +150,25 @@
   state_->counters_.at(static_cast<std::size_t>(aCounter)) += aCount;
 }
 
-std::uint64_t Metrics::Get(Counter aCounter) const
+std::uint64_t Metrics::Count(Counter aCounter) const
 {
   return state_->counters_.at(static_cast<std::size_t>(aCounter));
 }
 
-void Metrics::RecordTime(Stage aTiming, Duration aDuration)
+void Metrics::RecordTime(Stage aStage, Duration aDuration)
 {
-  const auto stage = static_cast<std::size_t>(aTiming);
-  state_->timings_.at(stage)(ToSeconds(aDuration) * 1000);
-  state_->stages_.at(stage).Add(std::max(0.0, ToSeconds(aDuration)));
+  const auto stage = static_cast<std::size_t>(aStage);
+  state_->stageStatistics_.at(stage)(ToSeconds(aDuration) * 1000);
+  state_->stageHistograms_.at(stage).Add(std::max(0.0, ToSeconds(aDuration)));
 }
 
 void Metrics::RecordRouteTime(std::string_view aRoute, Duration aDuration)
 {
-  auto& routes = state_->routes_;
+  auto& routes = state_->routeHistograms_;
   auto entry = routes.find(aRoute);
   if (entry == routes.end()) {
-    entry = routes.try_emplace(routes.size() < kMaxRoutes ? std::string(aRoute) : "other").first;
+    entry =
+      routes.try_emplace(routes.size() < kMaxRouteHistograms ? std::string(aRoute) : "other").first;
   }
   entry->second.Add(std::max(0.0, ToSeconds(aDuration)));
 }
@@ -174,40 +176,42 @@
 std::string Metrics::Text(const std::vector<std::pair<std::string_view, double>>& aGauges) const
 {
   std::string text;
-  for (std::size_t i = 0; i < kCounters; ++i) {
+  for (std::size_t i = 0; i < kCounterCount; ++i) {
     const std::string name = "quay_" + std::string(kCounterNames.at(i)) + "_total";
-    AppendHead(text, name, "counter", "Since the start of the process.");
+    AppendHelpAndType(text, name, "counter", "Since the start of the process.");
     text += name + " " + std::to_string(state_->counters_.at(i)) + "\n";
   }
-  AppendHead(text, "quay_stage_seconds", "histogram", "Time of requests in each stage.");
-  for (std::size_t i = 0; i < kTimings; ++i) {
+  AppendHelpAndType(text, "quay_stage_seconds", "histogram", "Time of requests in each stage.");
+  for (std::size_t i = 0; i < kStageCount; ++i) {
     AppendHistogram(text,
                     "quay_stage_seconds",
-                    "stage=\"" + std::string(kTimingNames.at(i)) + "\"",
-                    state_->stages_.at(i));
+                    "stage=\"" + std::string(kStageNames.at(i)) + "\"",
+                    state_->stageHistograms_.at(i));
   }
-  AppendHead(text, "quay_route_seconds", "histogram", "Time of callers' requests by route.");
-  for (const auto& [route, histogram] : state_->routes_) {
-    AppendHistogram(text, "quay_route_seconds", "route=\"" + Escaped(route) + "\"", histogram);
+  AppendHelpAndType(text, "quay_route_seconds", "histogram", "Time of callers' requests by route.");
+  for (const auto& [route, histogram] : state_->routeHistograms_) {
+    AppendHistogram(
+      text, "quay_route_seconds", "route=\"" + EscapeLabelValue(route) + "\"", histogram);
   }
-  for (std::size_t i = 0; i < kTimings; ++i) {
-    const Statistics& statistics = state_->timings_.at(i);
-    const std::string name = std::string(kTimingNames.at(i)) + "_ms";
+  for (std::size_t i = 0; i < kStageCount; ++i) {
+    const DurationStatistics& statistics = state_->stageStatistics_.at(i);
+    const std::string name = std::string(kStageNames.at(i)) + "_ms";
     const std::size_t count = ba::count(statistics);
     text += "quay_" + name + "_count " + std::to_string(count) + "\n";
-    AppendLine(text, name + "_mean", count == 0 ? 0 : ba::mean(statistics));
-    AppendLine(text, name + "_max", count == 0 ? 0 : ba::max(statistics));
-    // The estimator starts from its first five markers.
+    AppendSample(text, name + "_mean", count == 0 ? 0 : ba::mean(statistics));
+    AppendSample(text, name + "_max", count == 0 ? 0 : ba::max(statistics));
+    // The P-square estimator needs 2 * quantiles + 3 samples before its estimates are valid.
     const bool estimated = count >= 2 * kQuantiles.size() + 3;
     for (std::size_t q = 0; q < kQuantiles.size(); ++q) {
       const auto percent = std::lround(kQuantiles.at(q) * 100);
-      AppendLine(text,
-                 name + "_p" + std::to_string(percent),
-                 estimated ? ba::extended_p_square(statistics)[static_cast<std::ptrdiff_t>(q)] : 0);
+      AppendSample(text,
+                   name + "_p" + std::to_string(percent),
+                   estimated ? ba::extended_p_square(statistics)[static_cast<std::ptrdiff_t>(q)]
+                             : 0);
     }
   }
   for (const auto& [name, value] : aGauges) {
-    AppendLine(text, std::string(name), value);
+    AppendSample(text, std::string(name), value);
   }
   return text;
 }
--- a/peridotquay/process/Metrics.h
+++ b/peridotquay/process/Metrics.h
@@ -1,5 +1,5 @@
-// Counters and latency histograms of one node, written in the text exposition format for the admin
-// front.
+// Counters and latency histograms of one node, and their text in the Prometheus exposition format
+// for the admin endpoint.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -13,51 +13,51 @@
 
 namespace peridotquay {
 
-/// What is counted since the start of the process.
+/// Events counted since the start of the process. The order is that of the names in Metrics.cpp.
 enum class Counter : std::uint8_t
 {
-  kCallerRequests,
-  kOutboundRequests,
-  kOwnerCalls,
-  kAnswersRan,
-  kAnswersNotRun,
-  kAnswersUnknown,
-  kRefusedKey,
-  kRefusedRate,
-  kRefusedStaleConfig,
-  kRefusedUpstream, ///< Refused near the caller because of a guard's admission level.
-  kRefusedDraining,
-  kAttempts,
-  kRetries,
-  kRetriesDenied, ///< Wanted, but the budget or the route's ratio was spent.
-  kGuardCalls,
-  kGuardRefused,
-  kTargetCalls,
-  kTargetRefusals,
-  kTargetAnswersTruncated,
-  kTargetAnswersLost,
-  kDroppedAnswers,
-  kFateQueries,
-  kRequestIdsIssued,
-  kDuplicatesAnswered
+  kCallerRequests,         ///< Requests received from callers of the data centre.
+  kOutboundRequests,       ///< Requests received from the local target.
+  kOwnerCalls,             ///< Calls received because this host owns their request id.
+  kAnswersRan,             ///< Requests answered with the outcome "ran".
+  kAnswersNotRun,          ///< Requests answered with the outcome "not run".
+  kAnswersUnknown,         ///< Requests answered with an unknown outcome.
+  kRefusedKey,             ///< Refused by the check of the key.
+  kRefusedRate,            ///< Refused because the client account is over its rate.
+  kRefusedStaleConfig,     ///< Refused because the configuration isn't known to be fresh.
+  kRefusedUpstream,        ///< Refused before sending, because of a guard's admission level.
+  kRefusedDraining,        ///< Refused because this node drains.
+  kAttempts,               ///< Attempts sent to guards, retries included.
+  kRetries,                ///< Attempts after the first of a call.
+  kRetriesDenied,          ///< Retries not made, because a retry budget or ratio was used up.
+  kGuardCalls,             ///< Calls that reached the local guard.
+  kGuardRefused,           ///< Calls that the local guard refused.
+  kTargetCalls,            ///< Calls sent to the local target.
+  kTargetRefusals,         ///< Calls that the local target refused by itself.
+  kTargetAnswersTruncated, ///< The local target's connection ended within an answer.
+  kTargetAnswersLost,      ///< Calls sent to the local target without an answer.
+  kDroppedAnswers,         ///< Answers of peers that no call waits for on their connection.
+  kFateQueries,            ///< Queries to peers whether a call ran.
+  kRequestIdsIssued,       ///< Request ids given to callers.
+  kDuplicatesAnswered      ///< Repeated requests that got the answer of the first one.
 };
 
-inline constexpr std::size_t kCounters = 24;
+inline constexpr std::size_t kCounterCount = 24;
 
-/// What is timed.
+/// Stages of a request whose durations are recorded.
 enum class Stage : std::uint8_t
 {
-  kCaller, ///< A caller's request from its last byte to its answer.
+  kCaller, ///< From the last byte of a caller's request to its answer.
   kTarget, ///< A request at the local target.
-  kQueue   ///< Waiting for admission.
+  kQueue   ///< The wait for admission by the guard.
 };
 
-inline constexpr std::size_t kTimings = 3;
+inline constexpr std::size_t kStageCount = 3;
 
-/// Routes with a histogram of their own; bounds the text that each scrape transfers.
-inline constexpr std::size_t kMaxRoutes = 48;
+/// Number of routes that have their own histogram. It limits the size of a scrape.
+inline constexpr std::size_t kMaxRouteHistograms = 48;
 
-/// Used on the socket thread only.
+/// The metrics of one node. Not thread-safe; used on the socket thread only.
 class Metrics
 {
 public:
@@ -67,12 +67,13 @@
   ~Metrics();
 
   void Add(Counter aCounter, std::uint64_t aCount = 1);
-  std::uint64_t Get(Counter aCounter) const;
-  void RecordTime(Stage aTiming, Duration aDuration);
-  /// Notes a caller's request by its route. Beyond kMaxRoutes, routes are counted as "other".
+  std::uint64_t Count(Counter aCounter) const;
+  void RecordTime(Stage aStage, Duration aDuration);
+  /// Records the duration of a caller's request by its route. Routes beyond kMaxRouteHistograms are
+  /// recorded as "other".
   void RecordRouteTime(std::string_view aRoute, Duration aDuration);
-  /// Counters, histograms by stage and by route (seconds), quantiles by stage (milliseconds) and
-  /// gauges.
+  /// Returns all metrics in the text exposition format: counters, histograms by stage and by route
+  /// in seconds, quantiles by stage in milliseconds, and the given gauges.
   std::string Text(const std::vector<std::pair<std::string_view, double>>& aGauges) const;
 
 private:
--- a/peridotquay/process/Node.cpp
+++ b/peridotquay/process/Node.cpp
@@ -1,4 +1,4 @@
-// Assembles a node and routes peer messages.
+// Assembles a node, routes peer messages, answers admin requests and drains.
 #include "peridotquay/process/Node.h"
 
 #include "peridotquay/connection/Datagram.h"
@@ -26,28 +26,33 @@
 
 namespace {
 
-constexpr Duration kPollInterval = seconds(1);
+constexpr Duration kTargetPollInterval = seconds(1);
 constexpr Duration kHousekeepingInterval = milliseconds(100);
-constexpr Duration kDrainCheck = milliseconds(10);
+constexpr Duration kDrainCheckInterval = milliseconds(10);
 
-// After announcing 'left' the process stays this long, so that the announcement and the handed-over
-// records get out.
+// The process keeps running for this long after it announced that it left, so that the announcement
+// and the handed-over request records are sent.
 constexpr Duration kLeaveDelay = milliseconds(300);
 
-// Ports tried when TCP and UDP don't get the same kernel-chosen one.
-constexpr int kPortAttempts = 50;
+// With port 0 the kernel chooses a TCP port; another one is tried if its number is taken for UDP.
+constexpr int kMaxPortAttempts = 50;
 
-constexpr std::array<std::string_view, 4> kTargetStates = { "cold", "ready", "draining", "left" };
+// Names of TargetState in the status, by value.
+constexpr std::array<std::string_view, 4> kTargetStateNames = { "cold",
+                                                                "ready",
+                                                                "draining",
+                                                                "left" };
 
-Incarnation WallMilliseconds()
+Incarnation WallClockMs()
 {
   return static_cast<Incarnation>(
     std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch())
       .count());
 }
 
-// Rank of a host as successor of another; the same at every node.
-std::uint64_t Rank(const HostId& aLeaving, const HostId& aCandidate)
+// Rendezvous weight of a candidate as successor of a leaving host, by an FNV-1a style hash. It
+// depends on the two names only, so all nodes compute the same value.
+std::uint64_t SuccessorRank(const HostId& aLeaving, const HostId& aCandidate)
 {
   std::uint64_t hash = 1469598103934665603ULL;
   for (const char character : aLeaving.value_ + "/" + aCandidate.value_) {
@@ -60,12 +65,12 @@
 
 struct Node::State
 {
-  // Where the answer of a peer's call goes.
+  // A peer's call that the guard runs, and the link on which its answer is sent.
   struct PeerCall
   {
     std::uint64_t link_ = 0;
     std::uint64_t guardCall_ = 0;
-    std::optional<FateKey> fate_; ///< Set if the call must run at most once.
+    std::optional<FateKey> fate_; ///< Key in fates_, set if the call must run at most once.
   };
 
   NodeSettings settings_;
@@ -81,27 +86,28 @@
   std::unique_ptr<HttpFront> outbound_;
   std::unique_ptr<HttpFront> admin_;
   std::unique_ptr<ControlPlane> control_;
-  FateTable fates_;
-  std::map<std::uint64_t, PeerCall> peerCalls_; ///< By an own number.
-  /// Numbers in peerCalls_, by link and call id.
-  std::map<std::pair<std::uint64_t, std::uint64_t>, std::uint64_t> byLink_;
+  FateTable fates_; ///< What became of peers' calls that must run at most once.
+  std::map<std::uint64_t, PeerCall> peerCalls_; ///< By a number from nextPeerCall_.
+  /// Keys of peerCalls_ by link and the sender's call id.
+  std::map<std::pair<std::uint64_t, std::uint64_t>, std::uint64_t> peerCallNumbers_;
   std::uint64_t nextPeerCall_ = 1;
-  TimePoint started_{};
-  TimePoint drainStarted_{};
+  TimePoint startedAt_{};
+  TimePoint drainStartedAt_{};
   bool draining_ = false;
-  bool accepting_ = true; ///< New requests of callers are taken.
-  bool leaving_ = false;
+  bool acceptingRequests_ = true; ///< False once new requests are refused because of a drain.
+  bool leaving_ = false;          ///< The departure was announced and the records handed over.
 
   State(const NodeSettings& aSettings, const HttpDialect& aDialect)
     : settings_(aSettings)
     , dialect_(aDialect)
-    , incarnation_(WallMilliseconds())
-    , started_(Clock::now())
+    , incarnation_(WallClockMs())
+    , startedAt_(Clock::now())
   {
   }
 
   // --- Start ---
 
+  // Opens all listeners and creates the guard and the dispatcher.
   Result<void> Open()
   {
     PeerLinkSettings links;
@@ -122,7 +128,7 @@
     HttpFrontSettings http;
     http.maxBodyBytes_ = settings_.maxBodyBytes_;
     http.maxHeaderBytes_ = settings_.maxHeaderBytes_;
-    http.maxConnections_ = settings_.callerConnections_;
+    http.maxConnections_ = settings_.maxCallerConnections_;
     http.readTimeout_ = settings_.readTimeout_;
     const auto open = [&](std::unique_ptr<HttpFront>& aFront,
                           Address& aAddress,
@@ -152,9 +158,10 @@
     return opened;
   }
 
+  // Opens the TCP and UDP sockets for peers on the same port number.
   Result<void> OpenPeers(const PeerLinkSettings& aLinks, const PeerHubEvents& aEvents)
   {
-    const int attempts = settings_.peers_.port_ == 0 ? kPortAttempts : 1;
+    const int attempts = settings_.peers_.port_ == 0 ? kMaxPortAttempts : 1;
     Result<std::uint16_t> port = Fail(ErrorCode::kAddressInUse);
     for (int i = 0; i < attempts; ++i) {
       hub_ = std::make_unique<PeerHub>(loop_, aLinks, aEvents);
@@ -178,45 +185,47 @@
     return port.as_failure();
   }
 
-  DataPlaneCallbacks MakePort()
+  // The functions that the control plane calls; most post to the socket thread.
+  DataPlaneCallbacks MakeCallbacks()
   {
-    DataPlaneCallbacks port;
-    port.sendPeer_ = [this](const Address& aPeer, PeerMessage aMessage) {
+    DataPlaneCallbacks callbacks;
+    callbacks.sendPeer_ = [this](const Address& aPeer, PeerMessage aMessage) {
       loop_.Post([this, aPeer, message = std::move(aMessage)] { hub_->Send(aPeer, message); });
     };
-    port.sendDatagram_ = [this](const Address& aPeer, PeerMessage aMessage) {
+    callbacks.sendDatagram_ = [this](const Address& aPeer, PeerMessage aMessage) {
       loop_.Post([this, aPeer, message = std::move(aMessage)] { datagram_->Send(aPeer, message); });
     };
-    port.publishConfig_ = [this](std::shared_ptr<const Config> aConfig) {
+    callbacks.publishConfig_ = [this](std::shared_ptr<const Config> aConfig) {
       loop_.Post([this, config = std::move(aConfig)] {
         dispatcher_->SetConfig(config);
-        // Versions only grow; one that arrives late is in force nowhere.
+        // The dispatcher ignores a configuration older than its own; the guard must do the same.
         if (dispatcher_->ConfigVersion() == config->version_) {
           guard_->SetConfig(config);
         }
       });
     };
-    port.publishTargets_ = [this](std::shared_ptr<const TargetView> aTargets) {
+    callbacks.publishTargets_ = [this](std::shared_ptr<const TargetView> aTargets) {
       loop_.Post([this, targets = std::move(aTargets)] { dispatcher_->SetTargets(targets); });
     };
-    port.publishFreshness_ = [this](TimePoint aFreshness) {
+    callbacks.publishFreshness_ = [this](TimePoint aFreshness) {
       loop_.Post([this, aFreshness] { dispatcher_->SetFreshness(aFreshness); });
     };
-    port.deliverGrant_ = [this](ShareGrant aGrant, TimePoint aAsked) {
-      loop_.Post(
-        [this, grant = std::move(aGrant), aAsked] { dispatcher_->OnGrant(grant, aAsked); });
+    callbacks.deliverGrant_ = [this](ShareGrant aGrant, TimePoint aRequestedAt) {
+      loop_.Post([this, grant = std::move(aGrant), aRequestedAt] {
+        dispatcher_->OnGrant(grant, aRequestedAt);
+      });
     };
-    port.setTarget_ = [this](const LocalTarget& aTarget) { guard_->SetTarget(aTarget); };
-    port.loop_ = &loop_;
-    return port;
+    callbacks.setTarget_ = [this](const LocalTarget& aTarget) { guard_->SetTarget(aTarget); };
+    callbacks.loop_ = &loop_;
+    return callbacks;
   }
 
   void StartTimers()
   {
     if (dialect_.pollsTarget_) {
-      Poll();
+      PollTarget();
     }
-    KeepHouse();
+    DoHousekeeping();
   }
 
   Result<void> WritePortFile() const
@@ -228,7 +237,7 @@
                                   { "outbound", settings_.outbound_.port_ },
                                   { "peers", settings_.peers_.port_ },
                                   { "admin", settings_.admin_.port_ } };
-    // A reader must never see half a file.
+    // The file is renamed into place, so that a reader never sees a partly written one.
     const std::string temporary = settings_.portFile_ + ".tmp";
     {
       std::ofstream file(temporary);
@@ -245,7 +254,8 @@
 
   // --- Periodic work ---
 
-  void Poll()
+  // Queries the local target's health and announces it, then repeats after the interval.
+  void PollTarget()
   {
     guard_->Poll([this](const TargetHealth& aHealth) {
       if (!leaving_) {
@@ -253,17 +263,17 @@
           draining_ ? TargetState::kDraining : aHealth.state_, aHealth.slots_, aHealth.load_);
       }
     });
-    loop_.After(kPollInterval, [this] { Poll(); });
+    loop_.After(kTargetPollInterval, [this] { PollTarget(); });
   }
 
-  void KeepHouse()
+  void DoHousekeeping()
   {
     dispatcher_->ReturnTokens();
     ExpireFates(fates_, loop_.Now());
     if (LogOutput* output = CurrentLogOutput()) {
       output->Flush();
     }
-    loop_.After(kHousekeepingInterval, [this] { KeepHouse(); });
+    loop_.After(kHousekeepingInterval, [this] { DoHousekeeping(); });
   }
 
   // --- Peer messages ---
@@ -277,9 +287,9 @@
     } else if (const auto* cancel = std::get_if<Cancel>(&aMessage)) {
       OnCancel(aSource.link_, cancel->callId_);
     } else if (const auto* fate = std::get_if<CallFate>(&aMessage)) {
-      OnFate(aSource, *fate);
-    } else if (const auto* known = std::get_if<CallFateReply>(&aMessage)) {
-      dispatcher_->OnFateReply(*known, aSource.link_);
+      OnFateQuery(aSource, *fate);
+    } else if (const auto* fateReply = std::get_if<CallFateReply>(&aMessage)) {
+      dispatcher_->OnFateReply(*fateReply, aSource.link_);
     } else if (auto* owner = std::get_if<OwnerCall>(&aMessage)) {
       const std::uint64_t callId = owner->call_.callId_;
       dispatcher_->OnOwnerCall(std::move(*owner),
@@ -319,7 +329,7 @@
     }
     const std::uint64_t number = nextPeerCall_++;
     peerCalls_[number] = entry;
-    byLink_[{ aSource.link_, aCall.callId_ }] = number;
+    peerCallNumbers_[{ aSource.link_, aCall.callId_ }] = number;
     guard_->Run(
       aCall,
       [this, number](std::uint64_t aGuardCall) { peerCalls_[number].guardCall_ = aGuardCall; },
@@ -334,21 +344,22 @@
     }
     const PeerCall call = entry->second;
     peerCalls_.erase(entry);
-    byLink_.erase({ call.link_, aAnswer.callId_ });
+    peerCallNumbers_.erase({ call.link_, aAnswer.callId_ });
     if (call.fate_) {
       NoteEnd(fates_, *call.fate_, aAnswer, loop_.Now());
     }
     hub_->Reply(call.link_, aAnswer);
   }
 
+  // Cancels a call. One that must run at most once is recorded as ended with an unknown outcome.
   void OnCancel(std::uint64_t aLink, std::uint64_t aCallId)
   {
-    const auto key = byLink_.find({ aLink, aCallId });
-    if (key == byLink_.end()) {
+    const auto key = peerCallNumbers_.find({ aLink, aCallId });
+    if (key == peerCallNumbers_.end()) {
       return;
     }
     const std::uint64_t number = key->second;
-    byLink_.erase(key);
+    peerCallNumbers_.erase(key);
     const PeerCall call = peerCalls_.at(number);
     peerCalls_.erase(number);
     if (call.fate_) {
@@ -360,21 +371,22 @@
     guard_->Cancel(call.guardCall_);
   }
 
-  void OnFate(const PeerSource& aSource, const CallFate& aFate)
+  // Answers whether a call ran, with its answer if it is kept. A running call answers on this link.
+  void OnFateQuery(const PeerSource& aSource, const CallFate& aFate)
   {
     const FateKey key{ aSource.hello_.host_, aFate.incarnation_, aFate.callId_ };
     FateStep step = AskFate(fates_, key, loop_.Now());
     hub_->Reply(aSource.link_, CallFateReply{ aFate.callId_, step.fate_ });
     if (step.fate_ == Fate::kRunning) {
-      MoveCall(key, aSource.link_);
+      RedirectAnswer(key, aSource.link_);
     } else if (step.answer_) {
       step.answer_->callId_ = aFate.callId_;
       hub_->Reply(aSource.link_, *step.answer_);
     }
   }
 
-  // Sends the answer of a running call by another link of the same sender.
-  void MoveCall(const FateKey& aKey, std::uint64_t aLink)
+  // Redirects the answer of a running call to another link of the same sender.
+  void RedirectAnswer(const FateKey& aKey, std::uint64_t aLink)
   {
     const auto entry = std::find_if(peerCalls_.begin(), peerCalls_.end(), [&](const auto& aEntry) {
       const auto& fate = aEntry.second.fate_;
@@ -384,24 +396,24 @@
     if (entry == peerCalls_.end()) {
       return;
     }
-    byLink_.erase({ entry->second.link_, aKey.callId_ });
+    peerCallNumbers_.erase({ entry->second.link_, aKey.callId_ });
     entry->second.link_ = aLink;
-    byLink_[{ aLink, aKey.callId_ }] = entry->first;
+    peerCallNumbers_[{ aLink, aKey.callId_ }] = entry->first;
   }
 
-  // The sender is gone or will come back on another link. Calls that must run at most once run on,
-  // because the sender asks for their fate; others are given up.
+  // The sender has stopped or will reconnect. Calls that must run at most once continue, because
+  // the sender queries their fate after reconnecting; all others are cancelled.
   void OnLinkEnded(std::uint64_t aLink)
   {
-    std::vector<std::uint64_t> given;
-    for (auto entry = byLink_.lower_bound({ aLink, 0 });
-         entry != byLink_.end() && entry->first.first == aLink;
+    std::vector<std::uint64_t> abandoned;
+    for (auto entry = peerCallNumbers_.lower_bound({ aLink, 0 });
+         entry != peerCallNumbers_.end() && entry->first.first == aLink;
          ++entry) {
       if (!peerCalls_.at(entry->second).fate_) {
-        given.push_back(entry->first.second);
+        abandoned.push_back(entry->first.second);
       }
     }
-    for (const std::uint64_t callId : given) {
+    for (const std::uint64_t callId : abandoned) {
       OnCancel(aLink, callId);
     }
   }
@@ -414,7 +426,7 @@
     const std::size_t query = std::min(request.path_.find('?'), request.path_.size());
     const std::string_view path = std::string_view(request.path_).substr(0, query);
     if (request.method_ == "GET" && path == "/status") {
-      aExchange->Respond(JsonResponse(200, StatusText()));
+      aExchange->Respond(JsonResponse(200, StatusJson()));
     } else if (request.method_ == "GET" && path == "/metrics") {
       HttpResponse response{ 200, { { "Content-Type", "text/plain" } }, {}, std::nullopt };
       response.body_ = metrics_.Text(Gauges());
@@ -432,7 +444,7 @@
     }
   }
 
-  // Value of a query parameter with %XX decoded; empty if absent.
+  // Returns the percent-decoded value of a query parameter; empty if it is absent.
   static std::string QueryValue(std::string_view aQuery, std::string_view aName)
   {
     while (!aQuery.empty()) {
@@ -459,7 +471,7 @@
     return {};
   }
 
-  std::string StatusText() const
+  std::string StatusJson() const
   {
     const ControlStatus control = control_->Status();
     const TargetHealth& health = guard_->Health();
@@ -472,7 +484,7 @@
       { "service", settings_.service_.value_ },
       { "state", draining_ ? "draining" : "serving" },
       { "naive", settings_.naive_ },
-      { "uptime_ms", std::chrono::duration_cast<milliseconds>(Clock::now() - started_).count() },
+      { "uptime_ms", std::chrono::duration_cast<milliseconds>(Clock::now() - startedAt_).count() },
       { "version", dispatcher_->ConfigVersion() },
       { "ports",
         { { "callers", settings_.callers_.port_ },
@@ -480,7 +492,7 @@
           { "peers", settings_.peers_.port_ },
           { "admin", settings_.admin_.port_ } } },
       { "target",
-        { { "state", kTargetStates.at(static_cast<std::size_t>(health.state_)) },
+        { { "state", kTargetStateNames.at(static_cast<std::size_t>(health.state_)) },
           { "slots", health.slots_ },
           { "load", health.load_ },
           { "connections", guard_->TargetConnections() } } },
@@ -527,7 +539,7 @@
              { "draining", draining_ ? 1.0 : 0.0 } };
   }
 
-  // --- Leaving ---
+  // --- Drain ---
 
   void Drain()
   {
@@ -535,23 +547,23 @@
       return;
     }
     draining_ = true;
-    drainStarted_ = loop_.Now();
+    drainStartedAt_ = loop_.Now();
     LogEvent(Event::kNodeDraining, { { "host", settings_.host_.value_ } });
     callers_->CloseAfterAnswers();
     control_->AnnounceLeaving();
-    if (settings_.acceptWhileDraining_ > Duration::zero()) {
-      loop_.After(settings_.acceptWhileDraining_ / 2, [this] { AnnounceDraining(); });
-      loop_.After(settings_.acceptWhileDraining_, [this] { StopAccepting(); });
+    if (settings_.drainAcceptPeriod_ > Duration::zero()) {
+      loop_.After(settings_.drainAcceptPeriod_ / 2, [this] { AnnounceDraining(); });
+      loop_.After(settings_.drainAcceptPeriod_, [this] { StopAcceptingRequests(); });
     } else {
       AnnounceDraining();
-      StopAccepting();
+      StopAcceptingRequests();
     }
     CheckDrained();
   }
 
-  void StopAccepting()
+  void StopAcceptingRequests()
   {
-    accepting_ = false;
+    acceptingRequests_ = false;
     dispatcher_->SetDraining();
     guard_->SetDraining();
   }
@@ -562,18 +574,20 @@
     control_->AnnounceTarget(TargetState::kDraining, health.slots_, health.load_);
   }
 
-  bool IsIdle() const
+  // Whether no call is in flight and every answer has been sent.
+  bool IsDrained() const
   {
-    return !accepting_ && dispatcher_->Calls() == 0 && guard_->Calls() == 0 &&
+    return !acceptingRequests_ && dispatcher_->Calls() == 0 && guard_->Calls() == 0 &&
            callers_->PendingAnswers() == 0 && outbound_->PendingAnswers() == 0 &&
            admin_->PendingAnswers() == 0;
   }
 
+  // Leaves once the drain is complete or timed out; otherwise checks again after an interval.
   void CheckDrained()
   {
-    const bool late = loop_.Now() - drainStarted_ >= settings_.drainTimeout_;
-    if (!IsIdle() && !late) {
-      loop_.After(kDrainCheck, [this] { CheckDrained(); });
+    const bool timedOut = loop_.Now() - drainStartedAt_ >= settings_.drainTimeout_;
+    if (!IsDrained() && !timedOut) {
+      loop_.After(kDrainCheckInterval, [this] { CheckDrained(); });
       return;
     }
     if (!leaving_) {
@@ -588,18 +602,20 @@
     });
   }
 
-  // The living host that takes over the request records: of the own data centre if possible.
-  // Targets are asked for, because the view's host table also leads from hosts that left to their
-  // successors.
+  // Returns the host that takes over the request records, or null if there is none: a host that
+  // isn't leaving before one that is, then a host of the own data centre, then the largest
+  // SuccessorRank. Only hosts of targets are considered, because the view's host table also maps
+  // hosts that left to their successors.
   const Target* ChooseSuccessor() const
   {
     const TargetView* view = dispatcher_->View();
     const Target* best = nullptr;
     const auto rank = [this](const Target& aTarget) {
-      const bool near = aTarget.dataCentre_ == settings_.dataCentre_;
-      const bool stays =
+      const bool inOwnDataCentre = aTarget.dataCentre_ == settings_.dataCentre_;
+      const bool remains =
         aTarget.state_ == TargetState::kReady || aTarget.state_ == TargetState::kCold;
-      return std::make_tuple(stays, near, Rank(settings_.host_, aTarget.host_));
+      return std::make_tuple(
+        remains, inOwnDataCentre, SuccessorRank(settings_.host_, aTarget.host_));
     };
     if (view != nullptr) {
       for (const auto& [service, targets] : view->targets_) {
@@ -614,7 +630,7 @@
     return best;
   }
 
-  // Sends the request records to the successor and returns it; empty if there is no other host.
+  // Sends the request records to the successor and returns its id; empty if there is no other host.
   HostId HandOver()
   {
     const Target* successor = ChooseSuccessor();
@@ -630,7 +646,7 @@
 };
 
 Result<std::unique_ptr<Node>> Node::Start(const NodeSettings& aSettings,
-                                          const ControlFactory& aControl,
+                                          const ControlFactory& aMakeControl,
                                           const HttpDialect& aDialect)
 {
   auto state = std::make_unique<State>(aSettings, aDialect);
@@ -642,7 +658,7 @@
   if (written.has_error()) {
     return written.as_failure();
   }
-  auto control = aControl(state->settings_, state->incarnation_, state->MakePort());
+  auto control = aMakeControl(state->settings_, state->incarnation_, state->MakeCallbacks());
   if (control.has_error()) {
     return control.as_failure();
   }
@@ -664,7 +680,7 @@
 {
 }
 
-// The control side goes first: it may call the port until it is gone.
+// The control plane is destroyed first, because it may call the data plane until then.
 Node::~Node()
 {
   state_->dispatcher_->requestTokens_ = nullptr;
--- a/peridotquay/process/Node.h
+++ b/peridotquay/process/Node.h
@@ -1,5 +1,5 @@
-// One quayd process: fronts, peer connections, guard and dispatcher on the socket thread, and the
-// control side.
+// One quayd process: the HTTP listeners, peer connections, guard and dispatcher, which run on the
+// socket thread, and the control plane.
 #pragma once
 
 #include "peridotquay/process/ControlPlane.h"
@@ -13,42 +13,45 @@
 
 namespace peridotquay {
 
-/// Ports that a node has bound.
+/// Ports on which a node listens.
 struct NodePorts
 {
   std::uint16_t callers_ = 0;
   std::uint16_t outbound_ = 0;
-  std::uint16_t peers_ = 0; ///< TCP and UDP.
+  std::uint16_t peers_ = 0; ///< The same number for TCP and UDP.
   std::uint16_t admin_ = 0;
   bool operator==(const NodePorts&) const = default;
 };
 
+/// A running node. Start binds its listeners; Run serves requests on the calling thread.
 class Node
 {
 public:
-  /// Makes the control side. The settings hold the bound ports instead of 0.
+  /// Creates the control plane. In the settings passed, bound port numbers replace port 0.
   using ControlFactory = std::function<
     Result<std::unique_ptr<ControlPlane>>(const NodeSettings&, Incarnation, DataPlaneCallbacks)>;
 
-  /// Opens all listeners, then writes the port file. Errors: kAddressInUse, kOutOfRange,
-  /// kFileUnreadable (the port file can't be written), and those of the control side.
+  /// Opens all listeners, writes the port file, then creates the control plane. Errors:
+  /// kAddressInUse, kOutOfRange, kFileUnreadable (the port file can't be written), and those of
+  /// aMakeControl.
   static Result<std::unique_ptr<Node>> Start(const NodeSettings& aSettings,
-                                             const ControlFactory& aControl,
+                                             const ControlFactory& aMakeControl,
                                              const HttpDialect& aDialect = QuayDialect());
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
   ~Node();
 
   NodePorts Ports() const;
+  /// Incarnation of this process: the wall clock time of its start in milliseconds.
   Incarnation OwnIncarnation() const;
-  /// Serves until a drain is complete, or until Stop.
+  /// Serves until a drain is complete or Stop is called.
   void Run();
-  /// Begins to leave: refuses new work, finishes the calls in flight, hands over request records.
-  /// May be called from any thread.
+  /// Starts a drain: the node refuses new requests (after the drain accept period), finishes the
+  /// calls in flight and hands its request records over to another host. Thread-safe.
   void Drain();
-  /// Replaces the policy of the control side. May be called from any thread.
+  /// Replaces the policy of the control plane. Thread-safe.
   void SetPolicy(const Policy& aPolicy);
-  /// Ends Run at once; calls in flight are lost. May be called from any thread.
+  /// Makes Run return at once; calls in flight are lost. Thread-safe.
   void Stop();
 
   struct State;
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -1,4 +1,4 @@
-// Commands of quayctl.
+// Implements the commands of quayctl.
 #include "peridotquay/process/OperatorCommands.h"
 
 #include "peridotquay/process/BlockingHttp.h"
@@ -21,10 +21,10 @@
 
 using Json = nlohmann::json;
 
-/// Changes that a report of a conflict lists at most.
+/// Maximum number of changes that the report of a conflict lists.
 constexpr std::uint32_t kMaxConflictChanges = 256;
 
-std::uint64_t WallMs()
+std::uint64_t WallClockMs()
 {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(now).count());
@@ -75,15 +75,16 @@
          ")\n" + EditsText(aChange.edits_);
 }
 
-/// Report for an operator whose change was written for a version that isn't the latest any more:
-/// the winner's version and what it changed.
-OperatorReport ReportConflict(Platform& aPlatform, const Error& aError, Version aAgainst)
+/// Reports that a change was written for a version that is no longer the latest, and lists the
+/// changes since.
+OperatorReport ReportConflict(Platform& aPlatform, const Error& aError, Version aExpectedVersion)
 {
   auto report = ReportError(aError);
-  report.json_["against"] = aAgainst;
-  const auto changes = LoadHistory(aPlatform, aAgainst, kMaxConflictChanges);
+  report.json_["against"] = aExpectedVersion;
+  const auto changes = LoadHistory(aPlatform, aExpectedVersion, kMaxConflictChanges);
   if (changes.has_error()) {
-    report.text_ += "the changes since can't be read: " + Describe(changes.assume_error()) + "\n";
+    report.text_ +=
+      "the changes since that version can't be read: " + Describe(changes.assume_error()) + "\n";
     return report;
   }
   auto list = Json::array();
@@ -112,7 +113,7 @@
   return json;
 }
 
-std::string ListText(const std::vector<std::string>& aNames)
+std::string JoinNames(const std::vector<std::string>& aNames)
 {
   std::string text;
   for (const auto& name : aNames) {
@@ -128,15 +129,15 @@
     text += "  " + site.dataCentre_.value_ + ": ";
     text += site.reported_ ? "version " + std::to_string(site.version_) : "no report";
     text += site.inForce_ ? ", in force" : ", not in force";
-    text += site.lagging_.empty() ? "" : ", lagging:" + ListText(site.lagging_);
-    text += site.unreachable_.empty() ? "" : ", unreachable:" + ListText(site.unreachable_);
+    text += site.lagging_.empty() ? "" : ", lagging:" + JoinNames(site.lagging_);
+    text += site.unreachable_.empty() ? "" : ", unreachable:" + JoinNames(site.unreachable_);
     text += "\n";
   }
   return text;
 }
 
-/// Waits until a written change is in force and adds the result to the report.
-void AddWait(Platform& aPlatform, const WaitSettings& aSettings, OperatorReport& aReport)
+/// Waits until a written change is in force everywhere and adds the result to the report.
+void WaitAndReport(Platform& aPlatform, const WaitSettings& aSettings, OperatorReport& aReport)
 {
   const auto waited = WaitInForce(aPlatform, aSettings);
   if (waited.has_error()) {
@@ -160,16 +161,18 @@
   aReport.text_ += SitesText(result.view_);
 }
 
-/// A change that is ready to be written.
+/// A change to be written.
 struct PreparedChange
 {
   std::vector<EntityEdit> edits_;
-  bool withdrawal_ = false;
+  /// The change takes a key out of force, so that a wait for it must also cover hosts that can't be
+  /// reached: it lasts until they have passed the freshness bound.
+  bool revokesKey_ = false;
 };
 
-/// Checks the parts of the audit trail that operators choose. Control characters could forge lines
-/// of a printed history.
-Result<void> CheckAudit(const WriteOptions& aOptions)
+/// Checks the operator's name and summary. Control characters are refused, because they could forge
+/// lines of a printed history.
+Result<void> CheckAuditFields(const WriteOptions& aOptions)
 {
   const auto printable = [](char aChar) { return aChar >= 0x20 && aChar < 0x7f; };
   const auto& name = aOptions.operator_;
@@ -184,24 +187,24 @@
   return Success();
 }
 
-/// Writes a change and, if asked to, waits until it is in force.
+/// Writes a change and, if the options say so, waits until it is in force.
 OperatorReport WriteAndWait(Platform& aPlatform,
                             const StoredConfig& aStored,
                             const PreparedChange& aPrepared,
                             const WriteOptions& aOptions)
 {
-  if (const auto audit = CheckAudit(aOptions); audit.has_error()) {
+  if (const auto audit = CheckAuditFields(aOptions); audit.has_error()) {
     return ReportError(audit.assume_error());
   }
   Change change;
   change.operatorName_ = aOptions.operator_;
   change.summary_ = aOptions.summary_;
   change.operationId_ = NewOperationId();
-  change.wallMs_ = WallMs();
+  change.wallMs_ = WallClockMs();
   change.edits_ = aPrepared.edits_;
-  std::optional<Duration> bound;
-  if (aPrepared.withdrawal_) {
-    bound = LargestFreshnessBound(aStored.entities_, WallMs());
+  std::optional<Duration> freshnessBound;
+  if (aPrepared.revokesKey_) {
+    freshnessBound = LargestFreshnessBound(aStored.entities_, WallClockMs());
   }
   const auto version = CommitChange(aPlatform, aStored, change, aOptions.commit_);
   if (version.has_error()) {
@@ -217,7 +220,8 @@
   report.text_ = "version " + std::to_string(version.assume_value()) + " written (operation " +
                  change.operationId_ + ")\n" + EditsText(change.edits_);
   if (SnapshotDue(aStored, version.assume_value())) {
-    // After a failure the next change writes it; until then loading reads more changes.
+    // A failure isn't an error of the command: the next change writes the snapshot, and until then
+    // loading the configuration reads more changes.
     if (const auto snapshot = WriteDueSnapshot(aPlatform); snapshot.has_error()) {
       report.json_["snapshot_error"] = Describe(snapshot.assume_error());
     }
@@ -225,18 +229,18 @@
   if (aOptions.waitUntilInForce_) {
     auto entities = aStored.entities_;
     static_cast<void>(ApplyChange(entities, change));
-    AddWait(aPlatform,
-            { .version_ = version.assume_value(),
-              .sites_ = SitesOf(entities),
-              .timeout_ = aOptions.timeout_,
-              .freshnessBound_ = bound },
-            report);
+    WaitAndReport(aPlatform,
+                  { .version_ = version.assume_value(),
+                    .sites_ = SitesOf(entities),
+                    .timeout_ = aOptions.timeout_,
+                    .freshnessBound_ = freshnessBound },
+                  report);
   }
   return report;
 }
 
-/// Loads the latest version and checks that it is the one that a change was written for.
-Result<StoredConfig> LoadAgainst(Platform& aPlatform, const WriteOptions& aOptions)
+/// Loads the latest version. Fails with kVersionConflict if another one was expected.
+Result<StoredConfig> LoadExpectedVersion(Platform& aPlatform, const WriteOptions& aOptions)
 {
   BOOST_OUTCOME_TRY(stored, LoadConfig(aPlatform));
   if (aOptions.expectedVersion_ && *aOptions.expectedVersion_ != stored.version_) {
@@ -247,7 +251,7 @@
   return stored;
 }
 
-/// The report for a failure of LoadAgainst.
+/// Reports a failure of LoadExpectedVersion.
 OperatorReport ReportLoadError(Platform& aPlatform,
                                const Error& aError,
                                const WriteOptions& aOptions)
@@ -257,7 +261,7 @@
            : ReportError(aError);
 }
 
-/// The edits that applying a directory makes.
+/// Returns the edits that change the stored configuration to that of a directory.
 Result<std::vector<EntityEdit>> DirectoryEdits(const StoredConfig& aStored,
                                                const std::string& aDirectory)
 {
@@ -270,14 +274,14 @@
     return BOOST_OUTCOME_V2_NAMESPACE::failure(std::move(error));
   }
   auto& merged = merging.assume_value();
-  KeepReplacedBound(aStored.entities_, merged, WallMs());
-  // Keys granted by command can refer to accounts that the files no longer have.
+  KeepReplacedBound(aStored.entities_, merged, WallClockMs());
+  // Keys granted by command may refer to client accounts that are no longer in the files.
   BOOST_OUTCOME_TRYV(CheckEntities(merged));
   return DiffEntities(aStored.entities_, merged);
 }
 
-/// Whether edits take a key out of force, so that waiting covers hosts that can't be reached.
-bool TakesKeyAway(const std::vector<EntityEdit>& aEdits)
+/// Whether edits remove or withdraw a key.
+bool RevokesKey(const std::vector<EntityEdit>& aEdits)
 {
   return std::any_of(aEdits.begin(), aEdits.end(), [](const EntityEdit& aEdit) {
     const bool key = aEdit.name_.compare(0, 4, "key/") == 0;
@@ -290,16 +294,16 @@
 Result<Entities> ReadConfigDirectory(const std::string& aDirectory, EntityPlaces* aPlaces)
 {
   namespace fs = std::filesystem;
-  std::error_code failed;
+  std::error_code error;
   std::vector<std::string> names;
-  for (fs::directory_iterator entry(aDirectory, failed), end; !failed && entry != end;
-       entry.increment(failed)) {
+  for (fs::directory_iterator entry(aDirectory, error), end; !error && entry != end;
+       entry.increment(error)) {
     if (entry->path().extension() == ".toml" && entry->path().filename() != "base.toml") {
       names.push_back(entry->path().string());
     }
   }
-  if (failed) {
-    return Fail(ErrorCode::kFileUnreadable, aDirectory, failed.message());
+  if (error) {
+    return Fail(ErrorCode::kFileUnreadable, aDirectory, error.message());
   }
   std::sort(names.begin(), names.end());
   ConfigFile base{ (fs::path(aDirectory) / "base.toml").string(), {} };
@@ -332,16 +336,17 @@
   }
   Change change;
   change.edits_ = DiffEntities({}, found);
-  const bool oneChange = EncodeChange(change).size() <= kMaxChangeBytes;
+  const bool fitsOneChange = EncodeChange(change).size() <= kMaxChangeBytes;
   OperatorReport report;
   report.json_ = { { "entities", found.size() },
                    { "sites", SitesOf(found).size() },
                    { "bytes", bytes },
-                   { "fits_one_change", oneChange } };
+                   { "fits_one_change", fitsOneChange } };
   report.text_ = "ok: " + std::to_string(found.size()) + " entities, " +
                  std::to_string(SitesOf(found).size()) + " sites\n";
-  if (!oneChange) {
-    report.text_ += "too large for one change; an empty stream needs several applies\n";
+  if (!fitsOneChange) {
+    report.text_ +=
+      "too large for one change: apply it in several steps if nothing is stored yet\n";
   }
   return report;
 }
@@ -369,7 +374,7 @@
                             const std::string& aDirectory,
                             const WriteOptions& aOptions)
 {
-  const auto stored = LoadAgainst(aPlatform, aOptions);
+  const auto stored = LoadExpectedVersion(aPlatform, aOptions);
   if (stored.has_error()) {
     return ReportLoadError(aPlatform, stored.assume_error(), aOptions);
   }
@@ -386,7 +391,7 @@
   }
   return WriteAndWait(aPlatform,
                       stored.assume_value(),
-                      { edits.assume_value(), TakesKeyAway(edits.assume_value()) },
+                      { edits.assume_value(), RevokesKey(edits.assume_value()) },
                       aOptions);
 }
 
@@ -430,7 +435,7 @@
                                const std::string& aLabel,
                                const WriteOptions& aOptions)
 {
-  const auto stored = LoadAgainst(aPlatform, aOptions);
+  const auto stored = LoadExpectedVersion(aPlatform, aOptions);
   if (stored.has_error()) {
     return ReportLoadError(aPlatform, stored.assume_error(), aOptions);
   }
@@ -445,7 +450,7 @@
   const bool written = report.exitCode_ == 0 || report.exitCode_ == kExitNotInForce;
   const bool unknown = report.exitCode_ == ExitCode(ErrorCode::kPlatformUnknown);
   if (written || unknown) {
-    // With an unknown outcome the key may be in force, so its owner must be able to use or to
+    // If the outcome is unknown, the key may be in force, so the operator must be able to use or
     // withdraw it.
     report.json_["key"] = key;
     report.json_["digest"] = digest;
@@ -458,7 +463,7 @@
                                   const std::string& aDigest,
                                   const WriteOptions& aOptions)
 {
-  const auto stored = LoadAgainst(aPlatform, aOptions);
+  const auto stored = LoadExpectedVersion(aPlatform, aOptions);
   if (stored.has_error()) {
     return ReportLoadError(aPlatform, stored.assume_error(), aOptions);
   }
@@ -521,9 +526,9 @@
                            const std::string& aTarget,
                            Duration aTimeout)
 {
-  constexpr std::size_t kMaxBody = std::size_t{ 16 } << 20U;
+  constexpr std::size_t kMaxBodyBytes = std::size_t{ 16 } << 20U;
   const auto node = aNode.ip_ + ":" + std::to_string(aNode.port_);
-  BlockingHttp http(aTimeout, kMaxBody);
+  BlockingHttp http(aTimeout, kMaxBodyBytes);
   const auto exchange = http.Send(aNode, { aMethod, aTarget, {} }, Clock::now() + aTimeout);
   if (exchange.progress_ == HttpProgress::kNothingSent) {
     return ReportError(
--- a/peridotquay/process/OperatorCommands.h
+++ b/peridotquay/process/OperatorCommands.h
@@ -1,4 +1,4 @@
-// Commands of quayctl, apart from the command line itself.
+// Commands of quayctl. Parsing of the command line is in programs/quayctl.cpp.
 #pragma once
 
 #include "peridotquay/process/ConfigStore.h"
@@ -12,59 +12,60 @@
 
 namespace peridotquay {
 
-/// What all commands that write have in common.
+/// Options of all commands that write a change.
 struct WriteOptions
 {
-  std::string operator_; ///< Name in the audit trail.
-  std::string summary_;
-  /// Version that the change was written for; empty takes the latest.
+  std::string operator_; ///< Operator's name in the history of changes.
+  std::string summary_;  ///< Description of the change in the history.
+  /// The command fails with kVersionConflict if this isn't the latest version. Empty accepts any.
   std::optional<Version> expectedVersion_;
-  bool waitUntilInForce_ = false; ///< Wait until the change is in force everywhere.
-  Duration timeout_ = seconds(15);
+  bool waitUntilInForce_ = false;  ///< Wait until the change is in force everywhere.
+  Duration timeout_ = seconds(15); ///< Limit of that wait.
   CommitSettings commit_;
 };
 
-/// Reads base.toml and all other *.toml files of a directory, as overlays, and checks them. Places
-/// are returned if aPlaces isn't null.
+/// Reads and checks the configuration in a directory: base.toml, and all other *.toml files as
+/// overlays. If aPlaces isn't null, it receives the source location of each entity.
 Result<Entities> ReadConfigDirectory(const std::string& aDirectory,
                                      EntityPlaces* aPlaces = nullptr);
 
-/// check: checks the files of a directory without a platform.
+/// "check": checks the files of a directory without the platform.
 OperatorReport CheckCommand(const std::string& aDirectory);
 
-/// diff: compares the files of a directory with the latest version.
+/// "diff": compares the files of a directory with the latest version.
 OperatorReport DiffCommand(Platform& aPlatform, const std::string& aDirectory);
 
-/// apply: writes the files of a directory as the next version.
+/// "apply": writes the files of a directory as the next version.
 OperatorReport ApplyCommand(Platform& aPlatform,
                             const std::string& aDirectory,
                             const WriteOptions& aOptions);
 
-/// history: the latest changes up to aLimit, oldest first, or the one with an operation id.
+/// "history": reports the latest changes, at most aLimit, oldest first. If aOperationId isn't
+/// empty, only the change with that id among them.
 OperatorReport HistoryCommand(Platform& aPlatform,
                               std::uint32_t aLimit,
                               const std::string& aOperationId);
 
-/// keys grant: makes a key, writes its digest and reports the key, this once only.
+/// "keys grant": creates a key, writes its digest and reports the key, which isn't stored.
 OperatorReport GrantKeyCommand(Platform& aPlatform,
                                const std::string& aAccount,
                                const std::string& aLabel,
                                const WriteOptions& aOptions);
 
-/// keys withdraw: withdraws a key by its digest or the beginning of it.
+/// "keys withdraw": withdraws a key, given by its digest or the beginning of it.
 OperatorReport WithdrawKeyCommand(Platform& aPlatform,
                                   const std::string& aDigest,
                                   const WriteOptions& aOptions);
 
-/// keys list: all keys, or those of one client account.
+/// "keys list": lists all keys, or those of aAccount if it isn't empty.
 OperatorReport ListKeysCommand(Platform& aPlatform, const std::string& aAccount);
 
-/// status without a node: the latest version and where it is in force.
+/// "status" without a node: reports the latest version and where it is in force.
 OperatorReport FleetStatusCommand(Platform& aPlatform);
 
-/// status, explain and drain of one node: sends a request to its admin address and reports its
-/// answer. Errors: kTargetUnreachable (nothing was sent), kOutcomeUnknown (no answer),
-/// kTargetRefused (another status than 200 or 202).
+/// "status", "explain" and "drain" of one node: sends a request to its admin address and reports
+/// the answer. Errors: kTargetUnreachable (nothing was sent), kOutcomeUnknown (no answer),
+/// kTargetRefused (a status other than 200 or 202).
 OperatorReport NodeCommand(const Address& aNode,
                            const std::string& aMethod,
                            const std::string& aTarget,
--- a/peridotquay/process/OperatorReport.cpp
+++ b/peridotquay/process/OperatorReport.cpp
@@ -1,4 +1,4 @@
-// Reports and exit codes of quayctl.
+// Error reports and exit codes of quayctl.
 #include "peridotquay/process/OperatorReport.h"
 
 namespace peridotquay {
--- a/peridotquay/process/Platform.cpp
+++ b/peridotquay/process/Platform.cpp
@@ -1,4 +1,4 @@
-// Platform client over HTTP.
+// HTTP client of the platform.
 #include "peridotquay/process/Platform.h"
 
 #include "peridotquay/process/BlockingHttp.h"
@@ -32,34 +32,34 @@
   Result<std::optional<std::string>> GetObject(std::string_view aName) override;
 
 private:
-  /// Sends a request to the addresses in turn. A request that may have been received is sent again
-  /// only if it is a read.
-  Result<HttpExchange> Send(const HttpCall& aCall);
+  /// Sends a request to each address in turn until one answers. A write that the server may have
+  /// received isn't repeated, because it could take effect twice.
+  Result<BlockingHttpResult> Send(const BlockingHttpRequest& aCall);
 
   PlatformClientSettings settings_;
   BlockingHttp http_;
   std::size_t preferred_ = 0; ///< Index of the address that answered last.
 };
 
-Result<HttpExchange> PlatformClient::Send(const HttpCall& aCall)
+Result<BlockingHttpResult> PlatformClient::Send(const BlockingHttpRequest& aCall)
 {
   const auto deadline = Clock::now() + settings_.requestTimeout_;
   for (std::size_t i = 0; i < settings_.addresses_.size(); ++i) {
     const auto index = (preferred_ + i) % settings_.addresses_.size();
-    auto exchange = http_.Send(settings_.addresses_[index], aCall, deadline);
-    if (exchange.progress_ == HttpProgress::kAnswered) {
+    auto result = http_.Send(settings_.addresses_[index], aCall, deadline);
+    if (result.progress_ == HttpProgress::kAnswered) {
       preferred_ = index;
-      return exchange;
+      return result;
     }
-    if (exchange.progress_ == HttpProgress::kMaybeSent && aCall.method_ != "GET") {
+    if (result.progress_ == HttpProgress::kMaybeSent && aCall.method_ != "GET") {
       return Fail(ErrorCode::kPlatformUnknown, aCall.target_, "no answer");
     }
   }
-  return Fail(ErrorCode::kPlatformUnavailable, aCall.target_, "no address answers");
+  return Fail(ErrorCode::kPlatformUnavailable, aCall.target_, "no platform address answered");
 }
 
-/// The error for an answer with an unexpected status.
-auto UnexpectedStatus(const HttpExchange& aResponse, std::string_view aSubject)
+/// Returns the error for an unexpected HTTP status. 503 and 429 mean that the server did nothing.
+auto UnexpectedStatus(const BlockingHttpResult& aResponse, std::string_view aSubject)
 {
   const auto status = aResponse.status_;
   const bool refused = status == 503 || status == 429;
@@ -100,7 +100,7 @@
                     Send({ "POST", "/v1/transactions", EncodePlatformTransaction(aTransaction) }));
   const auto status = response.status_;
   if (status != 200 && status != 409) {
-    // Any other server error leaves open whether the transaction took effect.
+    // After any server error except 503, the transaction may have taken effect.
     if (status >= 500 && status != 503) {
       return Fail(ErrorCode::kPlatformUnknown, "transaction", "status " + std::to_string(status));
     }
--- a/peridotquay/process/Platform.h
+++ b/peridotquay/process/Platform.h
@@ -1,4 +1,5 @@
-// Blocking client of the platform: transactional table and object store over HTTP.
+// Blocking client of the platform, which offers a transactional table and an object store over
+// HTTP.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -18,12 +19,13 @@
 struct PlatformRow
 {
   std::string key_;
-  std::uint64_t revision_ = 0; ///< Grows with each write of the table; never 0 for a stored row.
+  std::uint64_t revision_ =
+    0; ///< Of the row's last write; each write to the table has a larger one.
   std::string value_;
   bool operator==(const PlatformRow&) const = default;
 };
 
-/// A row must have this revision for a transaction to take effect; 0 means that it must not exist.
+/// Precondition of a transaction: the row has this revision, or doesn't exist if it is 0.
 struct PlatformCondition
 {
   std::string key_;
@@ -31,7 +33,7 @@
   bool operator==(const PlatformCondition&) const = default;
 };
 
-/// Puts a row, or removes it if there is no value.
+/// Write of a transaction: stores a row, or removes it if there is no value.
 struct PlatformWrite
 {
   std::string key_;
@@ -39,27 +41,28 @@
   bool operator==(const PlatformWrite&) const = default;
 };
 
-/// Takes effect as a whole or not at all.
+/// Atomic transaction: all writes take effect if all conditions hold, otherwise none does.
 struct PlatformTransaction
 {
-  std::string operationId_; ///< Unique for each transaction; a repeat within 10 min does nothing.
+  /// Idempotency key, unique for each transaction: a repeat within 10 min has no further effect.
+  std::string operationId_;
   std::vector<PlatformCondition> conditions_;
   std::vector<PlatformWrite> writes_;
   bool operator==(const PlatformTransaction&) const = default;
 };
 
-/// Settings of the client.
+/// Settings of a platform client.
 struct PlatformClientSettings
 {
-  std::vector<Address> addresses_; ///< Tried in turn; the one that answered last is tried first.
-  Duration connectTimeout_ = milliseconds(500); ///< For each address.
-  Duration requestTimeout_ = seconds(2);        ///< For a whole request over all addresses.
+  std::vector<Address> addresses_; ///< Tried in turn, starting with the one that answered last.
+  Duration connectTimeout_ = milliseconds(500); ///< For each connection attempt.
+  Duration requestTimeout_ = seconds(2);        ///< For a request, over all addresses.
   std::size_t maxBodyBytes_ = std::size_t{ 32 } << 20U;
   bool operator==(const PlatformClientSettings&) const = default;
 };
 
-/// The platform's interface. Every call blocks for at most the request timeout. Errors of all
-/// calls: kPlatformUnavailable (surely nothing was done), kPlatformMalformed.
+/// Interface to the platform. Each call blocks, for at most the request timeout. Errors of all
+/// calls: kPlatformUnavailable (the call had no effect), kPlatformMalformed (invalid response).
 class Platform
 {
 public:
@@ -71,27 +74,28 @@
   /// Reads a row; empty if it doesn't exist.
   virtual Result<std::optional<PlatformRow>> ReadRow(std::string_view aKey) = 0;
 
-  /// Reads rows whose keys begin with the prefix and are greater than aAfter, in the order of keys.
+  /// Reads at most aLimit rows whose keys begin with aPrefix and are greater than aAfter, by key.
   virtual Result<std::vector<PlatformRow>> ReadRange(std::string_view aPrefix,
                                                      std::string_view aAfter,
                                                      std::uint32_t aLimit) = 0;
 
-  /// Runs a transaction and returns its revision, which is the new revision of each row it wrote.
-  /// Errors: kPlatformConflict (subject_ is the row, allowed_ its revision), kPlatformUnknown (no
-  /// answer came; it may have taken effect).
+  /// Runs a transaction and returns its revision, which is the new revision of each row written.
+  /// Errors: kPlatformConflict (a condition failed: subject_ is the row's key, allowed_ its current
+  /// revision), kPlatformUnknown (no answer came, so it may have taken effect).
   virtual Result<std::uint64_t> Transact(const PlatformTransaction& aTransaction) = 0;
 
-  /// Stores an object, replacing an earlier one. Errors: kPlatformUnknown.
+  /// Stores an object and replaces any earlier one of that name. Errors: kPlatformUnknown.
   virtual Result<void> PutObject(std::string_view aName, std::string_view aBody) = 0;
 
   /// Reads an object; empty if it doesn't exist.
   virtual Result<std::optional<std::string>> GetObject(std::string_view aName) = 0;
 };
 
-/// A client over HTTP. It connects at the first call. Not thread-safe; each thread has its own.
+/// Creates an HTTP client, which connects at the first call. Not thread-safe; each thread needs its
+/// own client.
 std::unique_ptr<Platform> MakePlatformClient(PlatformClientSettings aSettings);
 
-/// A random operation id: 32 hex digits.
+/// Returns a random operation id of 32 hex digits.
 std::string NewOperationId();
 
 } // namespace peridotquay
--- a/peridotquay/process/PlatformCall.cpp
+++ b/peridotquay/process/PlatformCall.cpp
@@ -1,12 +1,13 @@
-// Runs platform calls that are held as data.
+// Runs a PlatformCall on a Platform.
 #include "peridotquay/process/PlatformCall.h"
 
 namespace peridotquay {
 
 namespace {
 
+/// Copies the error of a result, if it has one, to the answer. Returns whether it has one.
 template<typename T>
-bool TakeError(const Result<T>& aResult, PlatformAnswer& aAnswer)
+bool CopyError(const Result<T>& aResult, PlatformAnswer& aAnswer)
 {
   if (aResult.has_error()) {
     aAnswer.error_ = aResult.assume_error();
@@ -18,7 +19,7 @@
 void Run(Platform& aPlatform, const ReadRowCall& aCall, PlatformAnswer& aAnswer)
 {
   auto row = aPlatform.ReadRow(aCall.key_);
-  if (!TakeError(row, aAnswer) && row.assume_value()) {
+  if (!CopyError(row, aAnswer) && row.assume_value()) {
     aAnswer.rows_.push_back(std::move(*row.assume_value()));
   }
 }
@@ -26,7 +27,7 @@
 void Run(Platform& aPlatform, const ReadRangeCall& aCall, PlatformAnswer& aAnswer)
 {
   auto rows = aPlatform.ReadRange(aCall.prefix_, aCall.after_, aCall.limit_);
-  if (!TakeError(rows, aAnswer)) {
+  if (!CopyError(rows, aAnswer)) {
     aAnswer.rows_ = std::move(rows.assume_value());
   }
 }
@@ -34,20 +35,20 @@
 void Run(Platform& aPlatform, const TransactCall& aCall, PlatformAnswer& aAnswer)
 {
   const auto revision = aPlatform.Transact(aCall.transaction_);
-  if (!TakeError(revision, aAnswer)) {
+  if (!CopyError(revision, aAnswer)) {
     aAnswer.revision_ = revision.assume_value();
   }
 }
 
 void Run(Platform& aPlatform, const PutObjectCall& aCall, PlatformAnswer& aAnswer)
 {
-  TakeError(aPlatform.PutObject(aCall.name_, aCall.body_), aAnswer);
+  CopyError(aPlatform.PutObject(aCall.name_, aCall.body_), aAnswer);
 }
 
 void Run(Platform& aPlatform, const GetObjectCall& aCall, PlatformAnswer& aAnswer)
 {
   auto object = aPlatform.GetObject(aCall.name_);
-  if (!TakeError(object, aAnswer)) {
+  if (!CopyError(object, aAnswer)) {
     aAnswer.object_ = std::move(object.assume_value());
   }
 }
--- a/peridotquay/process/PlatformCall.h
+++ b/peridotquay/process/PlatformCall.h
@@ -1,4 +1,5 @@
-// Calls of the platform as data, so that decision code can ask for one without blocking.
+// Platform calls as data. Decision code returns them, and an actor with its own thread runs them,
+// so that decision code never blocks.
 #pragma once
 
 #include "peridotquay/process/Platform.h"
@@ -48,19 +49,19 @@
 using PlatformCall =
   std::variant<ReadRowCall, ReadRangeCall, TransactCall, PutObjectCall, GetObjectCall>;
 
-/// Answer to a PlatformCall.
+/// Result of a PlatformCall. Only the members for the kind of call are set.
 struct PlatformAnswer
 {
   std::optional<Error> error_;        ///< Empty on success.
-  std::vector<PlatformRow> rows_;     ///< Of reads; a row that doesn't exist isn't there.
-  std::uint64_t revision_ = 0;        ///< Of a transaction.
-  std::optional<std::string> object_; ///< Of GetObject.
+  std::vector<PlatformRow> rows_;     ///< Rows read; empty if the row of a ReadRowCall is absent.
+  std::uint64_t revision_ = 0;        ///< Revision of the transaction.
+  std::optional<std::string> object_; ///< Object read; empty if it doesn't exist.
   TimePoint startedAt_{};             ///< Just before the call was sent.
   TimePoint finishedAt_{};            ///< Just after the answer arrived.
   bool operator==(const PlatformAnswer&) const = default;
 };
 
-/// Runs a call on a platform. Blocks as the platform does. Times are left to the caller.
+/// Runs a call and blocks until it ends. The caller sets startedAt_ and finishedAt_.
 PlatformAnswer RunPlatformCall(Platform& aPlatform, const PlatformCall& aCall);
 
 } // namespace peridotquay
--- a/peridotquay/process/PlatformJson.cpp
+++ b/peridotquay/process/PlatformJson.cpp
@@ -1,4 +1,4 @@
-// JSON bodies of the platform's HTTP interface.
+// Encodes and decodes the JSON bodies of the platform's HTTP interface.
 #include "peridotquay/process/PlatformJson.h"
 
 #include <boost/outcome/try.hpp>
@@ -24,8 +24,8 @@
   return json;
 }
 
-/// The member of an object; null if it is absent.
-const Json& At(const Json& aObject, const char* aName)
+/// Returns a member of an object, or a JSON null if it is absent.
+const Json& MemberOrNull(const Json& aObject, const char* aName)
 {
   static const Json kNull;
   const auto found = aObject.find(aName);
@@ -37,39 +37,41 @@
   return { { "key", aRow.key_ }, { "revision", aRow.revision_ }, { "value", aRow.value_ } };
 }
 
-Result<PlatformRow> ReadRowJson(const Json& aJson)
+Result<PlatformRow> DecodeRow(const Json& aJson)
 {
-  const bool valid = aJson.is_object() && At(aJson, "key").is_string() &&
-                     At(aJson, "revision").is_number_unsigned() && At(aJson, "value").is_string();
+  const bool valid = aJson.is_object() && MemberOrNull(aJson, "key").is_string() &&
+                     MemberOrNull(aJson, "revision").is_number_unsigned() &&
+                     MemberOrNull(aJson, "value").is_string();
   if (!valid) {
     return Fail(ErrorCode::kPlatformMalformed, "row");
   }
-  return PlatformRow{ At(aJson, "key").get<std::string>(),
-                      At(aJson, "revision").get<std::uint64_t>(),
-                      At(aJson, "value").get<std::string>() };
+  return PlatformRow{ MemberOrNull(aJson, "key").get<std::string>(),
+                      MemberOrNull(aJson, "revision").get<std::uint64_t>(),
+                      MemberOrNull(aJson, "value").get<std::string>() };
 }
 
-Result<PlatformCondition> ReadCondition(const Json& aJson)
+Result<PlatformCondition> DecodeCondition(const Json& aJson)
 {
-  const bool valid =
-    aJson.is_object() && At(aJson, "key").is_string() && At(aJson, "revision").is_number_unsigned();
+  const bool valid = aJson.is_object() && MemberOrNull(aJson, "key").is_string() &&
+                     MemberOrNull(aJson, "revision").is_number_unsigned();
   if (!valid) {
     return Fail(ErrorCode::kPlatformMalformed, "conditions");
   }
-  return PlatformCondition{ At(aJson, "key").get<std::string>(),
-                            At(aJson, "revision").get<std::uint64_t>() };
+  return PlatformCondition{ MemberOrNull(aJson, "key").get<std::string>(),
+                            MemberOrNull(aJson, "revision").get<std::uint64_t>() };
 }
 
-Result<PlatformWrite> ReadWrite(const Json& aJson)
+Result<PlatformWrite> DecodeWrite(const Json& aJson)
 {
-  const bool valid = aJson.is_object() && At(aJson, "key").is_string() && aJson.contains("value") &&
-                     (At(aJson, "value").is_null() || At(aJson, "value").is_string());
+  const bool valid =
+    aJson.is_object() && MemberOrNull(aJson, "key").is_string() && aJson.contains("value") &&
+    (MemberOrNull(aJson, "value").is_null() || MemberOrNull(aJson, "value").is_string());
   if (!valid) {
     return Fail(ErrorCode::kPlatformMalformed, "writes");
   }
-  PlatformWrite write{ At(aJson, "key").get<std::string>(), std::nullopt };
-  if (At(aJson, "value").is_string()) {
-    write.value_ = At(aJson, "value").get<std::string>();
+  PlatformWrite write{ MemberOrNull(aJson, "key").get<std::string>(), std::nullopt };
+  if (MemberOrNull(aJson, "value").is_string()) {
+    write.value_ = MemberOrNull(aJson, "value").get<std::string>();
   }
   return write;
 }
@@ -119,18 +121,18 @@
 Result<PlatformRow> DecodePlatformRow(std::string_view aText)
 {
   BOOST_OUTCOME_TRY(json, Parse(aText));
-  return ReadRowJson(json);
+  return DecodeRow(json);
 }
 
 Result<std::vector<PlatformRow>> DecodePlatformRows(std::string_view aText)
 {
   BOOST_OUTCOME_TRY(json, Parse(aText));
-  if (!At(json, "rows").is_array()) {
+  if (!MemberOrNull(json, "rows").is_array()) {
     return Fail(ErrorCode::kPlatformMalformed, "rows");
   }
   std::vector<PlatformRow> rows;
-  for (const auto& element : At(json, "rows")) {
-    BOOST_OUTCOME_TRY(row, ReadRowJson(element));
+  for (const auto& element : MemberOrNull(json, "rows")) {
+    BOOST_OUTCOME_TRY(row, DecodeRow(element));
     rows.push_back(std::move(row));
   }
   return rows;
@@ -139,20 +141,21 @@
 Result<PlatformTransaction> DecodePlatformTransaction(std::string_view aText)
 {
   BOOST_OUTCOME_TRY(json, Parse(aText));
-  const bool valid = At(json, "operation_id").is_string() && At(json, "conditions").is_array() &&
-                     At(json, "writes").is_array();
+  const bool valid = MemberOrNull(json, "operation_id").is_string() &&
+                     MemberOrNull(json, "conditions").is_array() &&
+                     MemberOrNull(json, "writes").is_array();
   if (!valid) {
     return Fail(
       ErrorCode::kPlatformMalformed, "transaction", "operation_id, conditions and writes");
   }
   PlatformTransaction transaction;
-  transaction.operationId_ = At(json, "operation_id").get<std::string>();
-  for (const auto& element : At(json, "conditions")) {
-    BOOST_OUTCOME_TRY(condition, ReadCondition(element));
+  transaction.operationId_ = MemberOrNull(json, "operation_id").get<std::string>();
+  for (const auto& element : MemberOrNull(json, "conditions")) {
+    BOOST_OUTCOME_TRY(condition, DecodeCondition(element));
     transaction.conditions_.push_back(std::move(condition));
   }
-  for (const auto& element : At(json, "writes")) {
-    BOOST_OUTCOME_TRY(write, ReadWrite(element));
+  for (const auto& element : MemberOrNull(json, "writes")) {
+    BOOST_OUTCOME_TRY(write, DecodeWrite(element));
     transaction.writes_.push_back(std::move(write));
   }
   return transaction;
@@ -161,13 +164,13 @@
 Result<PlatformTransactionResult> DecodePlatformTransactionResult(std::string_view aText)
 {
   BOOST_OUTCOME_TRY(json, Parse(aText));
-  if (!At(json, "revision").is_number_unsigned()) {
+  if (!MemberOrNull(json, "revision").is_number_unsigned()) {
     return Fail(ErrorCode::kPlatformMalformed, "revision");
   }
   PlatformTransactionResult result;
-  result.revision_ = At(json, "revision").get<std::uint64_t>();
-  if (At(json, "key").is_string()) {
-    result.key_ = At(json, "key").get<std::string>();
+  result.revision_ = MemberOrNull(json, "revision").get<std::uint64_t>();
+  if (MemberOrNull(json, "key").is_string()) {
+    result.key_ = MemberOrNull(json, "key").get<std::string>();
   }
   return result;
 }
--- a/peridotquay/process/PlatformJson.h
+++ b/peridotquay/process/PlatformJson.h
@@ -1,4 +1,4 @@
-// JSON bodies of the platform's HTTP interface, used by the client and the stand-in.
+// JSON bodies of the platform's HTTP interface, used by the client and by the test platform.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -10,10 +10,11 @@
 
 namespace peridotquay {
 
-/// Body of an answer to a transaction: the new revision, or the condition that failed.
+/// Body of the response to a transaction: the revision of the transaction, or the row whose
+/// condition failed and its current revision.
 struct PlatformTransactionResult
 {
-  std::string key_; ///< Empty on success.
+  std::string key_; ///< Key of the row whose condition failed; empty on success.
   std::uint64_t revision_ = 0;
   bool operator==(const PlatformTransactionResult&) const = default;
 };
@@ -23,7 +24,7 @@
 std::string EncodePlatformTransaction(const PlatformTransaction& aTransaction);
 std::string EncodePlatformTransactionResult(const PlatformTransactionResult& aResult);
 
-// Errors of all decoders: kPlatformMalformed.
+// Every decoder returns kPlatformMalformed for an invalid body.
 Result<PlatformRow> DecodePlatformRow(std::string_view aText);
 Result<std::vector<PlatformRow>> DecodePlatformRows(std::string_view aText);
 Result<PlatformTransaction> DecodePlatformTransaction(std::string_view aText);
--- a/peridotquay/process/Settings.cpp
+++ b/peridotquay/process/Settings.cpp
@@ -16,32 +16,32 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 24> kKeys = { "host",
-                                                     "data_centre",
-                                                     "region",
-                                                     "service",
-                                                     "callers",
-                                                     "outbound",
-                                                     "peers",
-                                                     "admin",
-                                                     "target",
-                                                     "seeds",
-                                                     "platform",
-                                                     "port_file",
-                                                     "log_directory",
-                                                     "target_connections",
-                                                     "caller_connections",
-                                                     "max_body_bytes",
-                                                     "max_header_bytes",
-                                                     "read_timeout_ms",
-                                                     "drain_timeout_ms",
-                                                     "seed",
-                                                     "naive",
-                                                     "accept_while_draining_ms",
-                                                     "target_idle_timeout_ms",
-                                                     "adapter" };
+constexpr std::array<std::string_view, 24> kKnownKeys = { "host",
+                                                          "data_centre",
+                                                          "region",
+                                                          "service",
+                                                          "callers",
+                                                          "outbound",
+                                                          "peers",
+                                                          "admin",
+                                                          "target",
+                                                          "seeds",
+                                                          "platform",
+                                                          "port_file",
+                                                          "log_directory",
+                                                          "target_connections",
+                                                          "caller_connections",
+                                                          "max_body_bytes",
+                                                          "max_header_bytes",
+                                                          "read_timeout_ms",
+                                                          "drain_timeout_ms",
+                                                          "seed",
+                                                          "naive",
+                                                          "accept_while_draining_ms",
+                                                          "target_idle_timeout_ms",
+                                                          "adapter" };
 
-/// The parsed file with its name for errors.
+/// A parsed settings file and its name, which errors state.
 struct Document
 {
   const toml::table* table_;
@@ -64,7 +64,7 @@
 Result<void> CheckKnownKeys(const Document& aDocument)
 {
   for (const auto& [key, value] : *aDocument.table_) {
-    if (std::find(kKeys.begin(), kKeys.end(), key.str()) == kKeys.end()) {
+    if (std::find(kKnownKeys.begin(), kKnownKeys.end(), key.str()) == kKnownKeys.end()) {
       return BOOST_OUTCOME_V2_NAMESPACE::failure(
         Error{ ErrorCode::kUnknownSetting,
                std::string(key.str()),
@@ -75,7 +75,7 @@
   return Success();
 }
 
-Result<void> ReadText(const Document& aDocument, std::string_view aKey, std::string& aOut)
+Result<void> ReadString(const Document& aDocument, std::string_view aKey, std::string& aOut)
 {
   const auto* node = aDocument.table_->get(aKey);
   if (node == nullptr) {
@@ -89,7 +89,7 @@
   return Success();
 }
 
-/// Reads a required id that follows the rule of ids in the configuration.
+/// Reads a required id, which must follow the same rule as ids in the configuration.
 Result<void> ReadId(const Document& aDocument, std::string_view aKey, std::string& aOut)
 {
   const auto* node = aDocument.table_->get(aKey);
@@ -97,14 +97,14 @@
     return BOOST_OUTCOME_V2_NAMESPACE::failure(Error{
       ErrorCode::kMissingSetting, std::string(aKey), "required", { *aDocument.file_, 0, 0 } });
   }
-  BOOST_OUTCOME_TRYV(ReadText(aDocument, aKey, aOut));
+  BOOST_OUTCOME_TRYV(ReadString(aDocument, aKey, aOut));
   if (!IsConfigId(aOut)) {
     return FailAt(aDocument, *node, ErrorCode::kOutOfRange, aKey, std::string(kConfigIdRule));
   }
   return Success();
 }
 
-/// Reads the host's name. It is a part of request ids, whose parts are separated by dots.
+/// Reads the host id. It can't hold a dot, because dots separate the parts of request ids.
 Result<void> ReadHost(const Document& aDocument, std::string& aOut)
 {
   BOOST_OUTCOME_TRYV(ReadId(aDocument, "host", aOut));
@@ -119,8 +119,8 @@
 template<typename T>
 Result<void> ReadInteger(const Document& aDocument,
                          std::string_view aKey,
-                         std::int64_t aLeast,
-                         std::int64_t aMost,
+                         std::int64_t aMin,
+                         std::int64_t aMax,
                          T& aOut)
 {
   const auto* node = aDocument.table_->get(aKey);
@@ -131,12 +131,12 @@
   if (!number) {
     return FailAt(aDocument, *node, ErrorCode::kWrongType, aKey, "an integer");
   }
-  if (*number < aLeast || *number > aMost) {
+  if (*number < aMin || *number > aMax) {
     return FailAt(aDocument,
                   *node,
                   ErrorCode::kOutOfRange,
                   aKey,
-                  std::to_string(aLeast) + " to " + std::to_string(aMost));
+                  std::to_string(aMin) + " to " + std::to_string(aMax));
   }
   aOut = static_cast<T>(*number);
   return Success();
@@ -144,27 +144,27 @@
 
 Result<void> ReadMilliseconds(const Document& aDocument,
                               std::string_view aKey,
-                              std::int64_t aLeast,
-                              std::int64_t aMost,
+                              std::int64_t aMin,
+                              std::int64_t aMax,
                               Duration& aOut)
 {
   auto number = std::chrono::duration_cast<milliseconds>(aOut).count();
-  BOOST_OUTCOME_TRYV(ReadInteger(aDocument, aKey, aLeast, aMost, number));
+  BOOST_OUTCOME_TRYV(ReadInteger(aDocument, aKey, aMin, aMax, number));
   aOut = milliseconds(number);
   return Success();
 }
 
-Result<void> ReadFlag(const Document& aDocument, std::string_view aKey, bool& aOut)
+Result<void> ReadBool(const Document& aDocument, std::string_view aKey, bool& aOut)
 {
   const auto* node = aDocument.table_->get(aKey);
   if (node == nullptr) {
     return Success();
   }
-  const auto flag = node->value_exact<bool>();
-  if (!flag) {
+  const auto boolean = node->value_exact<bool>();
+  if (!boolean) {
     return FailAt(aDocument, *node, ErrorCode::kWrongType, aKey, "true or false");
   }
-  aOut = *flag;
+  aOut = *boolean;
   return Success();
 }
 
@@ -196,7 +196,7 @@
   return Success();
 }
 
-/// Reads addresses of other processes, which can't have port 0.
+/// Reads a list of addresses to connect to, for which port 0 is invalid.
 Result<void> ReadAddresses(const Document& aDocument,
                            std::string_view aKey,
                            std::vector<Address>& aOut)
@@ -260,15 +260,16 @@
   BOOST_OUTCOME_TRYV(ReadAddress(aDocument, "peers", settings.peers_));
   BOOST_OUTCOME_TRYV(ReadAddress(aDocument, "admin", settings.admin_));
   BOOST_OUTCOME_TRYV(ReadAddress(aDocument, "target", settings.target_));
-  BOOST_OUTCOME_TRYV(ReadAddresses(aDocument, "seeds", settings.seeds_));
-  BOOST_OUTCOME_TRYV(ReadAddresses(aDocument, "platform", settings.platform_));
-  BOOST_OUTCOME_TRYV(ReadText(aDocument, "port_file", settings.portFile_));
-  BOOST_OUTCOME_TRYV(ReadText(aDocument, "log_directory", settings.logDirectory_));
+  BOOST_OUTCOME_TRYV(ReadAddresses(aDocument, "seeds", settings.seedPeers_));
+  BOOST_OUTCOME_TRYV(ReadAddresses(aDocument, "platform", settings.platformAddresses_));
+  BOOST_OUTCOME_TRYV(ReadString(aDocument, "port_file", settings.portFile_));
+  BOOST_OUTCOME_TRYV(ReadString(aDocument, "log_directory", settings.logDirectory_));
   BOOST_OUTCOME_TRYV(
     ReadInteger(aDocument, "target_connections", 1, 65535, settings.maxTargetConnections_));
   BOOST_OUTCOME_TRYV(
-    ReadInteger(aDocument, "caller_connections", 1, 65535, settings.callerConnections_));
-  // A body travels in one frame of at most 1 MiB with its headers, so both together stay below it.
+    ReadInteger(aDocument, "caller_connections", 1, 65535, settings.maxCallerConnections_));
+  // A body and its headers travel in one frame of at most 1 MiB, so the sum of both limits stays
+  // below that.
   BOOST_OUTCOME_TRYV(ReadInteger(
     aDocument, "max_body_bytes", 0, std::int64_t{ 960 } * 1024, settings.maxBodyBytes_));
   BOOST_OUTCOME_TRYV(ReadInteger(
@@ -279,9 +280,9 @@
     ReadMilliseconds(aDocument, "drain_timeout_ms", 0, 3600000, settings.drainTimeout_));
   BOOST_OUTCOME_TRYV(ReadInteger(
     aDocument, "seed", 0, std::numeric_limits<std::int64_t>::max(), settings.randomSeed_));
-  BOOST_OUTCOME_TRYV(ReadFlag(aDocument, "naive", settings.naive_));
+  BOOST_OUTCOME_TRYV(ReadBool(aDocument, "naive", settings.naive_));
   BOOST_OUTCOME_TRYV(ReadMilliseconds(
-    aDocument, "accept_while_draining_ms", 0, 600000, settings.acceptWhileDraining_));
+    aDocument, "accept_while_draining_ms", 0, 600000, settings.drainAcceptPeriod_));
   BOOST_OUTCOME_TRYV(ReadMilliseconds(
     aDocument, "target_idle_timeout_ms", 100, 600000, settings.targetIdleTimeout_));
   BOOST_OUTCOME_TRYV(CheckListenersDiffer(aDocument, settings));
--- a/peridotquay/process/Settings.h
+++ b/peridotquay/process/Settings.h
@@ -11,43 +11,44 @@
 
 namespace peridotquay {
 
-/// Settings of one quayd process. Compared and checked as a whole; nothing is read from the
-/// environment.
+/// Settings of one quayd process. All come from the file; nothing is read from the environment.
 struct NodeSettings
 {
   HostId host_;
   DataCentreId dataCentre_;
   RegionId region_;
   ServiceId service_;
-  Address callers_{ "127.0.0.1", 0 };  ///< HTTP for callers of the data centre.
-  Address outbound_{ "127.0.0.1", 0 }; ///< HTTP for the local target's deeper calls.
-  Address peers_{ "127.0.0.1", 0 };    ///< TCP for frames and UDP for probes.
-  Address admin_{ "127.0.0.1", 0 };    ///< HTTP for status, metrics and drain.
-  Address target_{ "127.0.0.1", 0 };   ///< The local target's HTTP address.
-  std::vector<Address> seeds_;         ///< Peer addresses of other hosts, tried at start.
-  std::vector<Address> platform_;      ///< Platform HTTP addresses.
+  Address callers_{ "127.0.0.1", 0 };      ///< HTTP for callers of the data centre.
+  Address outbound_{ "127.0.0.1", 0 };     ///< HTTP for calls that the local target makes.
+  Address peers_{ "127.0.0.1", 0 };        ///< TCP for frames and UDP for probes, both with peers.
+  Address admin_{ "127.0.0.1", 0 };        ///< HTTP for status, metrics and drain.
+  Address target_{ "127.0.0.1", 0 };       ///< The local target's HTTP address.
+  std::vector<Address> seedPeers_;         ///< Peer addresses of hosts to contact at start.
+  std::vector<Address> platformAddresses_; ///< HTTP addresses of the platform.
   std::string portFile_; ///< If set, the bound ports are written there as JSON once all are open.
-  std::string logDirectory_;                 ///< Empty logs to standard error.
-  std::uint32_t maxTargetConnections_ = 400; ///< Most connections to the local target.
-  std::uint32_t callerConnections_ = 4096;   ///< Most open connections of callers.
-  std::size_t maxBodyBytes_ =
-    std::size_t{ 768 } * 1024; ///< Largest request or answer body; a frame holds at most 1 MiB.
+  std::string logDirectory_;                  ///< If empty, logs go to standard error.
+  std::uint32_t maxTargetConnections_ = 400;  ///< Connections to the local target.
+  std::uint32_t maxCallerConnections_ = 4096; ///< Open connections of callers.
+  /// Size of a request or answer body. A body travels in one frame of at most 1 MiB.
+  std::size_t maxBodyBytes_ = std::size_t{ 768 } * 1024;
   std::size_t maxHeaderBytes_ = std::size_t{ 16 } * 1024;
-  Duration readTimeout_ = seconds(5); ///< A request must arrive whole within this.
-  Duration drainTimeout_ = seconds(30);
-  /// After SIGTERM new requests are still taken so long, for callers that haven't noticed yet.
-  Duration acceptWhileDraining_{};
-  Duration targetIdleTimeout_ = seconds(30); ///< Unused connections to the target are closed then.
+  Duration readTimeout_ = seconds(5);   ///< Time within which a whole request must arrive.
+  Duration drainTimeout_ = seconds(30); ///< After it, a drain abandons the calls in flight.
+  /// Time from the start of a drain during which new requests are still accepted, for callers that
+  /// don't know of it yet. The drain is announced to other nodes after half of it.
+  Duration drainAcceptPeriod_{};
+  Duration targetIdleTimeout_ = seconds(30); ///< Closes connections to the target unused this long.
   std::uint64_t randomSeed_ = 0; ///< Seed of all random choices; 0 takes one from the system.
-  bool naive_ = false; ///< Baseline: round robin, three retries at every hop, a token bucket for
-                       ///< each process, no shedding.
+  /// Runs the baseline that the product is compared with: round robin, three retries at every hop,
+  /// a token bucket for each process, no load shedding.
+  bool naive_ = false;
   bool operator==(const NodeSettings&) const = default;
 };
 
-/// Parses and checks a settings file. Errors carry file, line, column, key and the allowed range.
+/// Reads, parses and checks a settings file. Errors hold file, line, column, key and allowed range.
 Result<NodeSettings> ParseNodeSettings(const std::string& aFile);
 
-/// Parses settings from text; aFile is used in errors only.
+/// Parses and checks settings text. aFile only names the file in errors.
 Result<NodeSettings> ParseNodeSettingsText(std::string_view aText, const std::string& aFile);
 
 } // namespace peridotquay
--- a/peridotquay/process/Time.h
+++ b/peridotquay/process/Time.h
@@ -1,5 +1,4 @@
-// Time types. Decision code takes the current time as an argument; processes read it from the actor
-// system's clock.
+// Time types. Decision code receives the current time as an argument; other code reads the clock.
 #pragma once
 
 #include <chrono>
@@ -7,7 +6,7 @@
 
 namespace peridotquay {
 
-/// Monotonic clock of the runtime (the clock type of CAF's actor clock).
+/// Monotonic clock; also the clock type of CAF's actor clock.
 using Clock = std::chrono::steady_clock;
 
 /// A point on the monotonic clock of this process. Never sent to another process.
@@ -20,7 +19,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Time that this host has been suspended since it booted; the monotonic clock doesn't count it.
+/// Total time that this host was suspended since it booted, which the monotonic clock leaves out.
 inline Duration SuspendedTime()
 {
   const auto read = [](clockid_t aClock) {
--- a/peridotquay/process/TomlFile.cpp
+++ b/peridotquay/process/TomlFile.cpp
@@ -1,4 +1,4 @@
-// Reads TOML files and parses addresses.
+// Reads and parses TOML files and network addresses.
 #include "peridotquay/process/TomlFile.h"
 
 #include <boost/asio/ip/address.hpp>
@@ -26,7 +26,7 @@
         ErrorCode::kChangeTooLarge, aFile, "at most " + std::to_string(kMaxTomlBytes) + " bytes");
     }
   }
-  // A directory opens but can't be read; a missing file doesn't open.
+  // The end isn't reached if the file can't be opened, or if it is a directory.
   if (!stream.eof()) {
     return Fail(ErrorCode::kFileUnreadable, aFile);
   }
@@ -65,9 +65,9 @@
   std::uint16_t port = 0;
   const auto parsed = std::from_chars(digits.data(), digits.data() + digits.size(), port);
   const bool whole = parsed.ec == std::errc() && parsed.ptr == digits.data() + digits.size();
-  boost::system::error_code failed;
-  boost::asio::ip::make_address(std::string(ip), failed);
-  if (!whole || digits.empty() || failed) {
+  boost::system::error_code error;
+  boost::asio::ip::make_address(std::string(ip), error);
+  if (!whole || digits.empty() || error) {
     return std::nullopt;
   }
   return Address{ std::string(ip), port };
--- a/tests/process/ControlPlaneTest.cpp
+++ b/tests/process/ControlPlaneTest.cpp
@@ -1,5 +1,5 @@
-// Tests of whole control planes: real actors and clock, the platform stand-in over HTTP, and
-// messages between nodes passed within the process.
+// Tests of whole control planes with real actors, the real clock and the test platform over HTTP.
+// Messages between nodes are passed within the process.
 #include "peridotquay/process/MakeControlPlane.h"
 #include "peridotquay/process/Platform.h"
 #include "peridotquay/version/ConfigDelta.h"
@@ -18,34 +18,35 @@
 
 namespace {
 
-// What the socket side of one node was told.
-struct SocketSide
+// Stores what the control plane of one node published.
+struct FakeDataPlane
 {
   std::mutex mutex_;
   std::condition_variable changed_;
   std::shared_ptr<const Config> config_;
   std::shared_ptr<const TargetView> targets_;
-  std::optional<TimePoint> fresh_;
+  std::optional<TimePoint> freshness_;
   std::deque<std::pair<ShareGrant, TimePoint>> grants_;
 
-  // Waits until the condition holds, at most the given time.
-  bool Await(Duration aLongest, const std::function<bool()>& aCondition)
+  // Waits until the condition holds or the timeout ends. Returns whether it holds.
+  bool Await(Duration aTimeout, const std::function<bool()>& aCondition)
   {
     std::unique_lock<std::mutex> lock(mutex_);
-    return changed_.wait_for(lock, aLongest, aCondition);
+    return changed_.wait_for(lock, aTimeout, aCondition);
   }
 };
 
-// Nodes in one process. Addresses are "127.0.0.1" and the node's number; nothing is opened.
+// Control planes of several nodes in one process. The address of node i is 127.0.0.1 with port
+// i + 1, but no socket is opened; the fleet passes messages by this port number.
 class Fleet
 {
 public:
   Fleet(std::size_t aNodes, const Address& aPlatform)
-    : sides_(aNodes)
-    , planes_(aNodes)
+    : dataPlanes_(aNodes)
+    , controlPlanes_(aNodes)
   {
     for (std::size_t i = 0; i < aNodes; ++i) {
-      sides_[i] = std::make_unique<SocketSide>();
+      dataPlanes_[i] = std::make_unique<FakeDataPlane>();
     }
     for (std::size_t i = 0; i < aNodes; ++i) {
       Start(i, aPlatform);
@@ -58,7 +59,7 @@
       const std::lock_guard<std::mutex> lock(mutex_);
       closed_ = true;
     }
-    for (auto& plane : planes_) {
+    for (auto& plane : controlPlanes_) {
       plane.reset();
     }
   }
@@ -66,8 +67,8 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  std::vector<std::unique_ptr<SocketSide>> sides_;
-  std::vector<std::unique_ptr<ControlPlane>> planes_;
+  std::vector<std::unique_ptr<FakeDataPlane>> dataPlanes_;
+  std::vector<std::unique_ptr<ControlPlane>> controlPlanes_;
 
 private:
   void Start(std::size_t aNode, const Address& aPlatform)
@@ -77,55 +78,57 @@
     settings.dataCentre_.value_ = "a";
     settings.service_.value_ = "s";
     settings.peers_ = { "127.0.0.1", static_cast<std::uint16_t>(aNode + 1) };
-    settings.seeds_ = { { "127.0.0.1", 1 } };
-    settings.platform_ = { aPlatform };
+    settings.seedPeers_ = { { "127.0.0.1", 1 } };
+    settings.platformAddresses_ = { aPlatform };
     settings.randomSeed_ = 5;
     const Hello hello{ kPeerProtocolVersion, settings.host_, 1000 + aNode, settings.dataCentre_ };
-    auto* side = sides_[aNode].get();
-    DataPlaneCallbacks port;
+    auto* dataPlane = dataPlanes_[aNode].get();
+    DataPlaneCallbacks callbacks;
     const auto deliver = [this](const Address& aTo,
-                                const std::function<void(ControlPlane&)>& aUse) {
+                                const std::function<void(ControlPlane&)>& aDeliver) {
       const std::lock_guard<std::mutex> lock(mutex_);
       const std::size_t to = aTo.port_ - 1U;
-      if (!closed_ && to < planes_.size() && planes_[to] != nullptr) {
-        aUse(*planes_[to]);
+      if (!closed_ && to < controlPlanes_.size() && controlPlanes_[to] != nullptr) {
+        aDeliver(*controlPlanes_[to]);
       }
     };
-    port.sendPeer_ = [=](const Address& aTo, PeerMessage aMessage) {
+    callbacks.sendPeer_ = [=](const Address& aTo, PeerMessage aMessage) {
       deliver(aTo, [&](ControlPlane& aPlane) {
         aPlane.OnPeerMessage(hello, { "127.0.0.1", 0 }, std::move(aMessage));
       });
     };
-    port.sendDatagram_ = [=](const Address& aTo, PeerMessage aMessage) {
+    callbacks.sendDatagram_ = [=](const Address& aTo, PeerMessage aMessage) {
       deliver(aTo, [&](ControlPlane& aPlane) {
         aPlane.OnDatagram(settings.peers_, std::move(aMessage));
       });
     };
-    const auto update = [side](const std::function<void()>& aChange) {
-      const std::lock_guard<std::mutex> lock(side->mutex_);
+    const auto update = [dataPlane](const std::function<void()>& aChange) {
+      const std::lock_guard<std::mutex> lock(dataPlane->mutex_);
       aChange();
-      side->changed_.notify_all();
+      dataPlane->changed_.notify_all();
     };
-    port.publishConfig_ = [=](std::shared_ptr<const Config> aConfig) {
-      update([&] { side->config_ = std::move(aConfig); });
+    callbacks.publishConfig_ = [=](std::shared_ptr<const Config> aConfig) {
+      update([&] { dataPlane->config_ = std::move(aConfig); });
     };
-    port.publishTargets_ = [=](std::shared_ptr<const TargetView> aTargets) {
-      update([&] { side->targets_ = std::move(aTargets); });
+    callbacks.publishTargets_ = [=](std::shared_ptr<const TargetView> aTargets) {
+      update([&] { dataPlane->targets_ = std::move(aTargets); });
     };
-    port.publishFreshness_ = [=](TimePoint aTime) { update([&] { side->fresh_ = aTime; }); };
-    port.deliverGrant_ = [=](ShareGrant aGrant, TimePoint aAsked) {
-      update([&] { side->grants_.emplace_back(std::move(aGrant), aAsked); });
+    callbacks.publishFreshness_ = [=](TimePoint aTime) {
+      update([&] { dataPlane->freshness_ = aTime; });
     };
-    auto plane = MakeControlPlane(settings, hello.incarnation_, std::move(port));
+    callbacks.deliverGrant_ = [=](ShareGrant aGrant, TimePoint aRequestedAt) {
+      update([&] { dataPlane->grants_.emplace_back(std::move(aGrant), aRequestedAt); });
+    };
+    auto plane = MakeControlPlane(settings, hello.incarnation_, std::move(callbacks));
     const std::lock_guard<std::mutex> lock(mutex_);
-    planes_[aNode] = std::move(plane);
+    controlPlanes_[aNode] = std::move(plane);
   }
 
   std::mutex mutex_;
   bool closed_ = false;
 };
 
-void Accept(Platform& aPlatform, Version aVersion, std::vector<EntityEdit> aEdits)
+void Commit(Platform& aPlatform, Version aVersion, std::vector<EntityEdit> aEdits)
 {
   Change change;
   change.version_ = aVersion;
@@ -141,47 +144,49 @@
 
 } // namespace
 
-// Guards against a control side that doesn't come up from static seeds: members known, the
-// configuration in force and fresh, tokens granted, and a later change in force within 1 s.
-TEST_CASE("four nodes of one data centre come up and follow changes", "[control]")
+// Guards against nodes that, knowing only a seed address, don't find each other, don't put the
+// configuration or, within 2 s, a later change in force, don't get tokens, or don't agree on one
+// share leader.
+TEST_CASE("four nodes of one data centre start and apply changes", "[control]")
 {
   auto server = PlatformServer::Start({});
   REQUIRE(server.has_value());
   const auto address = server.assume_value()->Bound();
   auto platform = MakePlatformClient({ { address } });
-  Accept(*platform,
+  Commit(*platform,
          1,
          { { "account/mill", R"({"burst":40,"rate":400})" }, { "site/a", R"({"region":"r"})" } });
   Fleet fleet(4, address);
-  for (auto& side : fleet.sides_) {
-    CHECK(side->Await(seconds(10), [&] {
-      return side->config_ != nullptr && side->config_->version_ == 1 && side->fresh_ &&
-             side->targets_ != nullptr && side->targets_->hosts_.size() == 4;
+  for (auto& dataPlane : fleet.dataPlanes_) {
+    CHECK(dataPlane->Await(seconds(10), [&] {
+      return dataPlane->config_ != nullptr && dataPlane->config_->version_ == 1 &&
+             dataPlane->freshness_ && dataPlane->targets_ != nullptr &&
+             dataPlane->targets_->hosts_.size() == 4;
     }));
   }
-  Accept(*platform, 2, { { "account/mill", R"({"burst":40,"rate":500})" } });
-  const auto accepted = Clock::now();
-  for (auto& side : fleet.sides_) {
-    CHECK(side->Await(seconds(5), [&] { return side->config_->version_ == 2; }));
+  Commit(*platform, 2, { { "account/mill", R"({"burst":40,"rate":500})" } });
+  const auto committedAt = Clock::now();
+  for (auto& dataPlane : fleet.dataPlanes_) {
+    CHECK(dataPlane->Await(seconds(5), [&] { return dataPlane->config_->version_ == 2; }));
   }
-  CHECK(Clock::now() - accepted < seconds(2));
+  CHECK(Clock::now() - committedAt < seconds(2));
 
-  // Each node gets tokens, from whichever node holds the lease.
+  // Each node gets tokens from the node that holds the share lease.
   for (std::size_t node = 0; node < 4; ++node) {
-    auto& side = *fleet.sides_[node];
+    auto& dataPlane = *fleet.dataPlanes_[node];
     bool granted = false;
     for (std::uint64_t attempt = 1; attempt <= 100 && !granted; ++attempt) {
-      fleet.planes_[node]->RequestTokens({ attempt, { "mill" }, 0, 0, 1 });
-      side.Await(milliseconds(100), [&] { return !side.grants_.empty(); });
-      const std::lock_guard<std::mutex> lock(side.mutex_);
-      granted = !side.grants_.empty() && side.grants_.front().first.tokens_ >= 1;
-      side.grants_.clear();
+      fleet.controlPlanes_[node]->RequestTokens({ attempt, { "mill" }, 0, 0, 1 });
+      dataPlane.Await(milliseconds(100), [&] { return !dataPlane.grants_.empty(); });
+      const std::lock_guard<std::mutex> lock(dataPlane.mutex_);
+      granted = !dataPlane.grants_.empty() && dataPlane.grants_.front().first.tokens_ >= 1;
+      dataPlane.grants_.clear();
     }
     CHECK(granted);
   }
   std::uint32_t leaders = 0;
   std::uint32_t delegates = 0;
-  for (auto& plane : fleet.planes_) {
+  for (auto& plane : fleet.controlPlanes_) {
     const auto status = plane->Status();
     CHECK(status.membersAlive_ == 4);
     CHECK(status.version_ == 2);
--- a/tests/process/MetricsTest.cpp
+++ b/tests/process/MetricsTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the text of the metrics.
+// Tests of the metrics in the text exposition format.
 #include "peridotquay/process/Metrics.h"
 
 #include <catch2/catch.hpp>
@@ -9,15 +9,16 @@
 
 namespace {
 
-bool Has(const std::string& aText, const std::string& aLine)
+bool HasLine(const std::string& aText, const std::string& aLine)
 {
   return aText.find(aLine + "\n") != std::string::npos;
 }
 
 } // namespace
 
-// Guards against buckets that aren't cumulative or lose times beyond the last bound.
-TEST_CASE("histograms are cumulative and count every time", "[metrics]")
+// Guards against buckets that aren't cumulative, and against durations beyond the last bound that
+// aren't counted.
+TEST_CASE("histogram buckets are cumulative and count every duration", "[metrics]")
 {
   Metrics metrics;
   for (const int ms : { 0, 3, 4, 700, 60000 }) {
@@ -27,18 +28,19 @@
   const std::string text = metrics.Text({});
   for (const std::string label : { "quay_stage_seconds_bucket{stage=\"caller\"",
                                    "quay_route_seconds_bucket{route=\"press\"" }) {
-    CHECK(Has(text, label + ",le=\"0.0005\"} 1"));
-    CHECK(Has(text, label + ",le=\"0.005\"} 3"));
-    CHECK(Has(text, label + ",le=\"1\"} 4"));
-    CHECK(Has(text, label + ",le=\"10\"} 4"));
-    CHECK(Has(text, label + ",le=\"+Inf\"} 5"));
+    CHECK(HasLine(text, label + ",le=\"0.0005\"} 1"));
+    CHECK(HasLine(text, label + ",le=\"0.005\"} 3"));
+    CHECK(HasLine(text, label + ",le=\"1\"} 4"));
+    CHECK(HasLine(text, label + ",le=\"10\"} 4"));
+    CHECK(HasLine(text, label + ",le=\"+Inf\"} 5"));
   }
-  CHECK(Has(text, "quay_route_seconds_sum{route=\"press\"} 60.707"));
-  CHECK(Has(text, "quay_route_seconds_count{route=\"press\"} 5"));
+  CHECK(HasLine(text, "quay_route_seconds_sum{route=\"press\"} 60.707"));
+  CHECK(HasLine(text, "quay_route_seconds_count{route=\"press\"} 5"));
 }
 
-// Guards against text that a parser of the format rejects or takes for another metric.
-TEST_CASE("every line is a comment or a name with one value", "[metrics]")
+// Guards against lines that a parser of the exposition format rejects or misreads, such as those
+// with an unescaped label value.
+TEST_CASE("every line is a comment or a metric name with one value", "[metrics]")
 {
   Metrics metrics;
   metrics.Add(Counter::kRetries, 3);
@@ -51,28 +53,29 @@
       continue;
     }
     ++values;
-    const std::size_t place = line.rfind(' ');
-    REQUIRE(place != std::string::npos);
+    const std::size_t separator = line.rfind(' ');
+    REQUIRE(separator != std::string::npos);
     CHECK(line.starts_with("quay_"));
-    CHECK_FALSE(line.substr(place + 1).empty());
-    CHECK(line.substr(place + 1).find_first_not_of("0123456789.e+-") == std::string::npos);
+    CHECK_FALSE(line.substr(separator + 1).empty());
+    CHECK(line.substr(separator + 1).find_first_not_of("0123456789.e+-") == std::string::npos);
   }
-  CHECK(values > kCounters);
+  CHECK(values > kCounterCount);
   const std::string text = metrics.Text({});
-  CHECK(Has(text, "# TYPE quay_retries_total counter"));
-  CHECK(Has(text, "quay_retries_total 3"));
+  CHECK(HasLine(text, "# TYPE quay_retries_total counter"));
+  CHECK(HasLine(text, "quay_retries_total 3"));
   CHECK(text.find("route=\"a \\\"quoted\\\"\\nname\\\\\"") != std::string::npos);
 }
 
-// Guards against memory and scrapes that grow with the routes of a configuration.
-TEST_CASE("routes beyond the bound are counted together", "[metrics]")
+// Guards against memory use and scrapes that grow without bound with the number of routes.
+TEST_CASE("routes beyond kMaxRouteHistograms are recorded as 'other'", "[metrics]")
 {
   Metrics metrics;
-  for (std::size_t i = 0; i < 4 * kMaxRoutes; ++i) {
+  for (std::size_t i = 0; i < 4 * kMaxRouteHistograms; ++i) {
     metrics.RecordRouteTime("r" + std::to_string(i), milliseconds(1));
   }
   const std::string text = metrics.Text({});
-  CHECK(Has(text, "quay_route_seconds_count{route=\"other\"} " + std::to_string(3 * kMaxRoutes)));
-  CHECK(Has(text, "quay_route_seconds_count{route=\"r0\"} 1"));
-  CHECK(text.find("route=\"r" + std::to_string(kMaxRoutes) + "\"") == std::string::npos);
+  CHECK(HasLine(
+    text, "quay_route_seconds_count{route=\"other\"} " + std::to_string(3 * kMaxRouteHistograms)));
+  CHECK(HasLine(text, "quay_route_seconds_count{route=\"r0\"} 1"));
+  CHECK(text.find("route=\"r" + std::to_string(kMaxRouteHistograms) + "\"") == std::string::npos);
 }
--- a/tests/process/PlatformJsonTest.cpp
+++ b/tests/process/PlatformJsonTest.cpp
@@ -8,8 +8,9 @@
 
 using namespace peridotquay;
 
-// Guards against bodies that lose fields on the way, and against hostile bodies that crash; seed 4.
-TEST_CASE("platform bodies survive the way back and mutations", "[platform]")
+// Guards against fields that are lost by encoding and decoding, and against malformed bodies that
+// crash the decoders (mutations with seed 4).
+TEST_CASE("platform JSON round-trips and mutated bodies don't crash the decoders", "[platform]")
 {
   const PlatformRow row{ "share/north", 7, "{\"a\":\"ü\"}" };
   const PlatformTransaction transaction{ "op",
--- a/tests/process/SettingsTest.cpp
+++ b/tests/process/SettingsTest.cpp
@@ -33,7 +33,7 @@
 naive = true
 )";
 
-/// The error after appending or replacing a line of valid settings.
+/// Returns the error of the valid settings with the first aFrom replaced by aTo.
 Error FailureWith(const std::string& aFrom, const std::string& aTo)
 {
   auto text = kSettings;
@@ -52,8 +52,9 @@
 
 } // namespace
 
-// Guards against a setting that is accepted and not used.
-TEST_CASE("every setting is read", "[settings]")
+// Guards against a setting that is accepted but not stored, and against a missing file that is
+// accepted.
+TEST_CASE("settings of a file are read", "[settings]")
 {
   const auto settings = Value(ParseNodeSettingsText(kSettings, "node.toml"));
   NodeSettings expected;
@@ -66,12 +67,12 @@
   expected.peers_ = { "127.0.0.1", 8002 };
   expected.admin_ = { "127.0.0.1", 8003 };
   expected.target_ = { "127.0.0.1", 8004 };
-  expected.seeds_ = { { "127.0.0.1", 9002 } };
-  expected.platform_ = { { "127.0.0.1", 9100 }, { "::1", 9100 } };
+  expected.seedPeers_ = { { "127.0.0.1", 9002 } };
+  expected.platformAddresses_ = { { "127.0.0.1", 9100 }, { "::1", 9100 } };
   expected.portFile_ = "/tmp/ports";
   expected.logDirectory_ = "/tmp";
   expected.maxTargetConnections_ = 200;
-  expected.callerConnections_ = 100;
+  expected.maxCallerConnections_ = 100;
   expected.maxBodyBytes_ = 1000;
   expected.maxHeaderBytes_ = 2000;
   expected.readTimeout_ = milliseconds(1500);
@@ -82,8 +83,9 @@
   CHECK(Failure(ParseNodeSettings("/nonexistent/x.toml")).code_ == ErrorCode::kFileUnreadable);
 }
 
-// Guards against settings out of range, of the wrong type or unknown that a node starts with.
-TEST_CASE("errors of settings carry place, key and allowed values", "[settings]")
+// Guards against a node that starts with unknown, missing, contradictory or malformed settings, or
+// with values of the wrong type or out of range.
+TEST_CASE("errors of settings hold the location, key and allowed values", "[settings]")
 {
   CheckError(FailureWith("seed = 7", "seeed = 7"), ErrorCode::kUnknownSetting, "seeed", 20);
   CheckError(FailureWith("seed = 7", "seed = \"7\""), ErrorCode::kWrongType, "seed", 20);
@@ -99,8 +101,8 @@
   CHECK(FailureWith("= 1500", "= 9").allowed_ == "10 to 600000");
 }
 
-// Guards against hostile files that crash the parser; seed 3.
-TEST_CASE("mutated settings parse or fail with a place", "[settings]")
+// Guards against malformed files that crash the parser (mutations with seed 3).
+TEST_CASE("mutated settings are parsed or fail with a location", "[settings]")
 {
   std::mt19937_64 random(3);
   int failed = 0;
