--- a/peridotquay/process/BlockingHttp.h
+++ b/peridotquay/process/BlockingHttp.h
@@ -15,7 +15,7 @@
 struct BlockingHttpRequest
 {
   std::string method_;
-  std::string target_;
+  std::string target_; ///< Path and query, percent-encoded.
   std::string body_;
 };
 
--- a/peridotquay/process/Metrics.h
+++ b/peridotquay/process/Metrics.h
@@ -68,6 +68,7 @@
 
   void Add(Counter aCounter, std::uint64_t aCount = 1);
   std::uint64_t Count(Counter aCounter) const;
+  /// Records the duration of one request in a stage.
   void RecordTime(Stage aStage, Duration aDuration);
   /// Records the duration of a caller's request by its route. Routes beyond kMaxRouteHistograms are
   /// recorded as "other".
--- a/peridotquay/process/Node.cpp
+++ b/peridotquay/process/Node.cpp
@@ -574,7 +574,7 @@
     control_->AnnounceTarget(TargetState::kDraining, health.slots_, health.load_);
   }
 
-  // Whether no call is in flight and every answer has been sent.
+  // Whether new requests are refused, no call is in flight and every answer has been sent.
   bool IsDrained() const
   {
     return !acceptingRequests_ && dispatcher_->Calls() == 0 && guard_->Calls() == 0 &&
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -294,16 +294,16 @@
 Result<Entities> ReadConfigDirectory(const std::string& aDirectory, EntityPlaces* aPlaces)
 {
   namespace fs = std::filesystem;
-  std::error_code error;
+  std::error_code errorCode;
   std::vector<std::string> names;
-  for (fs::directory_iterator entry(aDirectory, error), end; !error && entry != end;
-       entry.increment(error)) {
+  for (fs::directory_iterator entry(aDirectory, errorCode), end; !errorCode && entry != end;
+       entry.increment(errorCode)) {
     if (entry->path().extension() == ".toml" && entry->path().filename() != "base.toml") {
       names.push_back(entry->path().string());
     }
   }
-  if (error) {
-    return Fail(ErrorCode::kFileUnreadable, aDirectory, error.message());
+  if (errorCode) {
+    return Fail(ErrorCode::kFileUnreadable, aDirectory, errorCode.message());
   }
   std::sort(names.begin(), names.end());
   ConfigFile base{ (fs::path(aDirectory) / "base.toml").string(), {} };
--- a/peridotquay/process/Platform.h
+++ b/peridotquay/process/Platform.h
@@ -19,8 +19,8 @@
 struct PlatformRow
 {
   std::string key_;
-  std::uint64_t revision_ =
-    0; ///< Of the row's last write; each write to the table has a larger one.
+  /// Revision of the row's last write. It grows with each write of the table and is never 0.
+  std::uint64_t revision_ = 0;
   std::string value_;
   bool operator==(const PlatformRow&) const = default;
 };
--- a/peridotquay/process/Settings.h
+++ b/peridotquay/process/Settings.h
@@ -27,8 +27,8 @@
   std::vector<Address> platformAddresses_; ///< HTTP addresses of the platform.
   std::string portFile_; ///< If set, the bound ports are written there as JSON once all are open.
   std::string logDirectory_;                  ///< If empty, logs go to standard error.
-  std::uint32_t maxTargetConnections_ = 400;  ///< Connections to the local target.
-  std::uint32_t maxCallerConnections_ = 4096; ///< Open connections of callers.
+  std::uint32_t maxTargetConnections_ = 400;  ///< Simultaneous connections to the local target.
+  std::uint32_t maxCallerConnections_ = 4096; ///< Simultaneous connections of callers.
   /// Size of a request or answer body. A body travels in one frame of at most 1 MiB.
   std::size_t maxBodyBytes_ = std::size_t{ 768 } * 1024;
   std::size_t maxHeaderBytes_ = std::size_t{ 16 } * 1024;
--- a/tests/process/ControlPlaneTest.cpp
+++ b/tests/process/ControlPlaneTest.cpp
@@ -146,7 +146,7 @@
 
 // Guards against nodes that, knowing only a seed address, don't find each other, don't put the
 // configuration or, within 2 s, a later change in force, don't get tokens, or don't agree on one
-// share leader.
+// share leader and two delegates.
 TEST_CASE("four nodes of one data centre start and apply changes", "[control]")
 {
   auto server = PlatformServer::Start({});
