--- a/peridotquay/process/Platform.cpp
+++ b/peridotquay/process/Platform.cpp
@@ -46,12 +46,12 @@
   const auto deadline = Clock::now() + settings_.requestTimeout_;
   for (std::size_t i = 0; i < settings_.addresses_.size(); ++i) {
     const auto index = (preferred_ + i) % settings_.addresses_.size();
-    auto response = http_.Send(settings_.addresses_[index], aCall, deadline);
-    if (response.progress_ == HttpProgress::kAnswered) {
+    auto httpResult = http_.Send(settings_.addresses_[index], aCall, deadline);
+    if (httpResult.progress_ == HttpProgress::kAnswered) {
       preferred_ = index;
-      return response;
+      return httpResult;
     }
-    if (response.progress_ == HttpProgress::kMaybeSent && aCall.method_ != "GET") {
+    if (httpResult.progress_ == HttpProgress::kMaybeSent && aCall.method_ != "GET") {
       return Fail(ErrorCode::kPlatformUnknown, aCall.target_, "no answer");
     }
   }
