--- a/peridotquay/process/Time.h
+++ b/peridotquay/process/Time.h
@@ -1,4 +1,5 @@
-// Time types. Decision code receives the current time as an argument; other code reads the clock.
+// Time types. Decision code receives the current time as an argument; the code that calls it reads
+// the clock of the actor system or of the event loop.
 #pragma once
 
 #include <chrono>
