--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -265,12 +265,12 @@
 Result<std::vector<EntityEdit>> DirectoryEdits(const StoredConfig& aStored,
                                                const std::string& aDirectory)
 {
-  EntityPlaces places;
+  EntityLocations places;
   BOOST_OUTCOME_TRY(files, ReadConfigDirectory(aDirectory, &places));
-  auto merging = MergeFiles(aStored.entities_, files);
+  auto merging = MergeConfigFiles(aStored.entities_, files);
   if (merging.has_error()) {
     auto error = merging.assume_error();
-    error.place_ = places[error.subject_];
+    error.location_ = places[error.subject_];
     return BOOST_OUTCOME_V2_NAMESPACE::failure(std::move(error));
   }
   auto& merged = merging.assume_value();
@@ -291,7 +291,7 @@
 
 } // namespace
 
-Result<Entities> ReadConfigDirectory(const std::string& aDirectory, EntityPlaces* aPlaces)
+Result<Entities> ReadConfigDirectory(const std::string& aDirectory, EntityLocations* aPlaces)
 {
   namespace fs = std::filesystem;
   std::error_code errorCode;
@@ -439,7 +439,7 @@
   if (stored.has_error()) {
     return ReportLoadError(aPlatform, stored.assume_error(), aOptions);
   }
-  const auto key = NewKey();
+  const auto key = GenerateKey();
   const auto digest = KeyDigest(key);
   const auto edit = GrantKey(stored.assume_value().entities_, { aAccount }, digest, aLabel);
   if (edit.has_error()) {
--- a/peridotquay/process/OperatorCommands.h
+++ b/peridotquay/process/OperatorCommands.h
@@ -27,7 +27,7 @@
 /// Reads and checks the configuration in a directory: base.toml, and all other *.toml files as
 /// overlays. If aPlaces isn't null, it receives the source location of each entity.
 Result<Entities> ReadConfigDirectory(const std::string& aDirectory,
-                                     EntityPlaces* aPlaces = nullptr);
+                                     EntityLocations* aPlaces = nullptr);
 
 /// "check": checks the files of a directory without the platform.
 OperatorReport CheckCommand(const std::string& aDirectory);
--- a/peridotquay/process/TomlFile.h
+++ b/peridotquay/process/TomlFile.h
@@ -24,7 +24,7 @@
 inline constexpr std::size_t kMaxTomlBytes = std::size_t{ 8 } << 20U;
 
 /// Returns the start of a toml++ source region as a location in aFile.
-SourcePlace SourceLocationOf(const toml::source_region& aRegion, const std::string& aFile);
+SourceLocation SourceLocationOf(const toml::source_region& aRegion, const std::string& aFile);
 
 /// Reads a file of at most kMaxTomlBytes. Errors: kFileUnreadable, kChangeTooLarge.
 Result<std::string> ReadWholeFile(const std::string& aFile);
