--- a/peridotquay/process/Node.cpp
+++ b/peridotquay/process/Node.cpp
@@ -70,7 +70,8 @@
   {
     std::uint64_t link_ = 0;
     std::uint64_t guardCall_ = 0;
-    std::optional<CallKey> fate_; ///< Key in fates_, set if the call must run at most once.
+    /// Key in deduplication_; set if the call must run at most once.
+    std::optional<CallKey> callKey_;
   };
 
   NodeSettings settings_;
@@ -86,7 +87,7 @@
   std::unique_ptr<HttpFront> outbound_;
   std::unique_ptr<HttpFront> admin_;
   std::unique_ptr<ControlPlane> control_;
-  DeduplicationTable fates_; ///< What became of peers' calls that must run at most once.
+  DeduplicationTable deduplication_; ///< What became of peers' calls that must run at most once.
   std::map<std::uint64_t, PeerCall> peerCalls_; ///< By a number from nextPeerCall_.
   /// Keys of peerCalls_ by link and the sender's call id.
   std::map<std::pair<std::uint64_t, std::uint64_t>, std::uint64_t> peerCallNumbers_;
@@ -269,7 +270,7 @@
   void DoHousekeeping()
   {
     dispatcher_->ReturnTokens();
-    ExpireCalls(fates_, loop_.Now());
+    ExpireCalls(deduplication_, loop_.Now());
     if (LogOutput* output = CurrentLogOutput()) {
       output->Flush();
     }
@@ -286,10 +287,10 @@
       dispatcher_->OnAnswer(std::move(*answer), aSource.link_);
     } else if (const auto* cancel = std::get_if<Cancel>(&aMessage)) {
       OnCancel(aSource.link_, cancel->callId_);
-    } else if (const auto* fate = std::get_if<CallFate>(&aMessage)) {
-      OnFateQuery(aSource, *fate);
-    } else if (const auto* fateReply = std::get_if<CallFateReply>(&aMessage)) {
-      dispatcher_->OnCallStatusReply(*fateReply, aSource.link_);
+    } else if (const auto* statusQuery = std::get_if<CallFate>(&aMessage)) {
+      OnCallStatusQuery(aSource, *statusQuery);
+    } else if (const auto* statusReply = std::get_if<CallFateReply>(&aMessage)) {
+      dispatcher_->OnCallStatusReply(*statusReply, aSource.link_);
     } else if (auto* owner = std::get_if<OwnerCall>(&aMessage)) {
       const std::uint64_t callId = owner->call_.callId_;
       dispatcher_->OnOwnerCall(std::move(*owner),
@@ -310,8 +311,8 @@
     PeerCall entry;
     entry.link_ = aSource.link_;
     if (!aCall.repeatable_) {
-      entry.fate_ = { aSource.hello_.host_, aSource.hello_.incarnation_, aCall.callId_ };
-      switch (RecordArrival(fates_, *entry.fate_, loop_.Now())) {
+      entry.callKey_ = { aSource.hello_.host_, aSource.hello_.incarnation_, aCall.callId_ };
+      switch (RecordArrival(deduplication_, *entry.callKey_, loop_.Now())) {
         case ArrivalDecision::kRun:
           break;
         case ArrivalDecision::kDrop:
@@ -345,8 +346,8 @@
     const PeerCall call = entry->second;
     peerCalls_.erase(entry);
     peerCallNumbers_.erase({ call.link_, aAnswer.callId_ });
-    if (call.fate_) {
-      RecordAnswer(fates_, *call.fate_, aAnswer, loop_.Now());
+    if (call.callKey_) {
+      RecordAnswer(deduplication_, *call.callKey_, aAnswer, loop_.Now());
     }
     hub_->Reply(call.link_, aAnswer);
   }
@@ -362,26 +363,26 @@
     peerCallNumbers_.erase(key);
     const PeerCall call = peerCalls_.at(number);
     peerCalls_.erase(number);
-    if (call.fate_) {
+    if (call.callKey_) {
       Answer unknown;
       unknown.callId_ = aCallId;
       unknown.error_ = static_cast<std::uint16_t>(ErrorCode::kCancelled);
-      RecordAnswer(fates_, *call.fate_, unknown, loop_.Now());
+      RecordAnswer(deduplication_, *call.callKey_, unknown, loop_.Now());
     }
     guard_->Cancel(call.guardCall_);
   }
 
   // Answers whether a call ran, with its answer if it is kept. A running call answers on this link.
-  void OnFateQuery(const PeerSource& aSource, const CallFate& aFate)
+  void OnCallStatusQuery(const PeerSource& aSource, const CallFate& aQuery)
   {
-    const CallKey key{ aSource.hello_.host_, aFate.incarnation_, aFate.callId_ };
-    CallStatusResult step = QueryCallStatus(fates_, key, loop_.Now());
-    hub_->Reply(aSource.link_, CallFateReply{ aFate.callId_, step.fate_ });
-    if (step.fate_ == Fate::kRunning) {
+    const CallKey key{ aSource.hello_.host_, aQuery.incarnation_, aQuery.callId_ };
+    CallStatusResult status = QueryCallStatus(deduplication_, key, loop_.Now());
+    hub_->Reply(aSource.link_, CallFateReply{ aQuery.callId_, status.fate_ });
+    if (status.fate_ == Fate::kRunning) {
       RedirectAnswer(key, aSource.link_);
-    } else if (step.answer_) {
-      step.answer_->callId_ = aFate.callId_;
-      hub_->Reply(aSource.link_, *step.answer_);
+    } else if (status.answer_) {
+      status.answer_->callId_ = aQuery.callId_;
+      hub_->Reply(aSource.link_, *status.answer_);
     }
   }
 
@@ -389,9 +390,9 @@
   void RedirectAnswer(const CallKey& aKey, std::uint64_t aLink)
   {
     const auto entry = std::find_if(peerCalls_.begin(), peerCalls_.end(), [&](const auto& aEntry) {
-      const auto& fate = aEntry.second.fate_;
-      return fate && fate->callId_ == aKey.callId_ && fate->incarnation_ == aKey.incarnation_ &&
-             fate->host_ == aKey.host_;
+      const auto& callKey = aEntry.second.callKey_;
+      return callKey && callKey->callId_ == aKey.callId_ &&
+             callKey->incarnation_ == aKey.incarnation_ && callKey->host_ == aKey.host_;
     });
     if (entry == peerCalls_.end()) {
       return;
@@ -402,14 +403,14 @@
   }
 
   // The sender has stopped or will reconnect. Calls that must run at most once continue, because
-  // the sender queries their fate after reconnecting; all others are cancelled.
+  // the sender queries their status after reconnecting; all others are cancelled.
   void OnLinkEnded(std::uint64_t aLink)
   {
     std::vector<std::uint64_t> abandoned;
     for (auto entry = peerCallNumbers_.lower_bound({ aLink, 0 });
          entry != peerCallNumbers_.end() && entry->first.first == aLink;
          ++entry) {
-      if (!peerCalls_.at(entry->second).fate_) {
+      if (!peerCalls_.at(entry->second).callKey_) {
         abandoned.push_back(entry->first.second);
       }
     }
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -265,12 +265,12 @@
 Result<std::vector<EntityEdit>> DirectoryEdits(const StoredConfig& aStored,
                                                const std::string& aDirectory)
 {
-  EntityLocations places;
-  BOOST_OUTCOME_TRY(files, ReadConfigDirectory(aDirectory, &places));
+  EntityLocations locations;
+  BOOST_OUTCOME_TRY(files, ReadConfigDirectory(aDirectory, &locations));
   auto merging = MergeConfigFiles(aStored.entities_, files);
   if (merging.has_error()) {
     auto error = merging.assume_error();
-    error.location_ = places[error.subject_];
+    error.location_ = locations[error.subject_];
     return BOOST_OUTCOME_V2_NAMESPACE::failure(std::move(error));
   }
   auto& merged = merging.assume_value();
@@ -291,7 +291,7 @@
 
 } // namespace
 
-Result<Entities> ReadConfigDirectory(const std::string& aDirectory, EntityLocations* aPlaces)
+Result<Entities> ReadConfigDirectory(const std::string& aDirectory, EntityLocations* aLocations)
 {
   namespace fs = std::filesystem;
   std::error_code errorCode;
@@ -314,7 +314,7 @@
     BOOST_OUTCOME_TRY(text, ReadWholeFile(name));
     overlays.push_back({ name, std::move(text) });
   }
-  return ParseConfigFiles(base, overlays, aPlaces);
+  return ParseConfigFiles(base, overlays, aLocations);
 }
 
 OperatorReport CheckCommand(const std::string& aDirectory)
--- a/peridotquay/process/OperatorCommands.h
+++ b/peridotquay/process/OperatorCommands.h
@@ -25,9 +25,9 @@
 };
 
 /// Reads and checks the configuration in a directory: base.toml, and all other *.toml files as
-/// overlays. If aPlaces isn't null, it receives the source location of each entity.
+/// overlays. If aLocations isn't null, it receives the source location of each entity.
 Result<Entities> ReadConfigDirectory(const std::string& aDirectory,
-                                     EntityLocations* aPlaces = nullptr);
+                                     EntityLocations* aLocations = nullptr);
 
 /// "check": checks the files of a directory without the platform.
 OperatorReport CheckCommand(const std::string& aDirectory);
