--- a/peridotquay/process/ConfigStore.cpp
+++ b/peridotquay/process/ConfigStore.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// Changes read in one request: at most 64 of 64 KiB.
-constexpr std::uint32_t kPage = 64;
+constexpr std::uint32_t kMaxChangesPerRead = 64;
 
 /// Reads the change of a version; empty if its row doesn't exist.
 Result<std::optional<Change>> ReadChange(Platform& aPlatform, Version aVersion)
@@ -40,9 +40,9 @@
 }
 
 /// Reads the latest snapshot at or before a version; an empty one of version 0 if there is none.
-Result<Snapshot> ReadLatestSnapshot(Platform& aPlatform, Version aMost)
+Result<Snapshot> ReadLatestSnapshot(Platform& aPlatform, Version aMaxVersion)
 {
-  for (auto version = aMost - aMost % kSnapshotInterval; version > 0;
+  for (auto version = aMaxVersion - aMaxVersion % kSnapshotInterval; version > 0;
        version -= kSnapshotInterval) {
     BOOST_OUTCOME_TRY(text, aPlatform.GetObject(SnapshotName(version)));
     if (text) {
@@ -61,7 +61,7 @@
 {
   auto entities = aSnapshot.entities_;
   for (auto version = aSnapshot.version_; version < aVersion;) {
-    const auto wanted = std::min<Version>(kPage, aVersion - version);
+    const auto wanted = std::min<Version>(kMaxChangesPerRead, aVersion - version);
     BOOST_OUTCOME_TRY(changes, LoadHistory(aPlatform, version, static_cast<std::uint32_t>(wanted)));
     for (const auto& change : changes) {
       ++version;
@@ -79,7 +79,7 @@
   return entities;
 }
 
-auto Conflict(Version aWinner)
+auto VersionConflict(Version aWinner)
 {
   return Fail(ErrorCode::kVersionConflict, "version " + std::to_string(aWinner));
 }
@@ -94,13 +94,13 @@
 /// Writes the head again under its old revision. If that succeeds, the head's revision is another
 /// one and the lost transaction can't take effect any more.
 /// The result doesn't matter: the caller reads the head again.
-void BarLostCommit(Platform& aPlatform, const LostCommit& aLost)
+void FenceLostCommit(Platform& aPlatform, const LostCommit& aLost)
 {
-  PlatformTransaction bar;
-  bar.operationId_ = NewOperationId();
-  bar.conditions_ = { { std::string(kHeadRowKey), aLost.base_.headRevision_ } };
-  bar.writes_ = { { std::string(kHeadRowKey), EncodeHead(aLost.base_.version_) } };
-  static_cast<void>(aPlatform.Transact(bar));
+  PlatformTransaction fence;
+  fence.operationId_ = NewOperationId();
+  fence.conditions_ = { { std::string(kHeadRowKey), aLost.base_.headRevision_ } };
+  fence.writes_ = { { std::string(kHeadRowKey), EncodeHead(aLost.base_.version_) } };
+  static_cast<void>(aPlatform.Transact(fence));
 }
 
 /// Finds out by reading whether the lost transaction took effect.
@@ -115,15 +115,16 @@
     const auto head = ReadHead(aPlatform);
     const auto change = ReadChange(aPlatform, aLost.change_.version_);
     if (change.has_value() && change.assume_value()) {
-      const bool own = change.assume_value()->operationId_ == aLost.change_.operationId_;
-      return own ? Result<Version>(aLost.change_.version_) : Conflict(aLost.change_.version_);
+      const bool ownChange = change.assume_value()->operationId_ == aLost.change_.operationId_;
+      return ownChange ? Result<Version>(aLost.change_.version_)
+                       : VersionConflict(aLost.change_.version_);
     }
     const bool absent = head.has_value() && change.has_value();
     if (absent && head.assume_value().headRevision_ != aLost.base_.headRevision_) {
       return Fail(ErrorCode::kPlatformUnavailable, "change", "the answer was lost; not written");
     }
-    if (absent && Clock::now() - start >= aSettings.barAfter_) {
-      BarLostCommit(aPlatform, aLost);
+    if (absent && Clock::now() - start >= aSettings.fenceDelay_) {
+      FenceLostCommit(aPlatform, aLost);
     }
     std::this_thread::sleep_for(aSettings.resolveInterval_);
   }
@@ -132,7 +133,7 @@
 }
 
 /// Most tries when the head's revision moved on without a new version.
-constexpr int kMostTries = 4;
+constexpr int kMaxWriteAttempts = 4;
 
 /// Writes a checked change against the head revision in aBase.
 Result<Version> WriteChange(Platform& aPlatform,
@@ -176,7 +177,7 @@
   std::vector<Change> changes;
   while (changes.size() < aLimit) {
     const auto last = aAfter + changes.size();
-    const auto wanted = std::min<std::size_t>(kPage, aLimit - changes.size());
+    const auto wanted = std::min<std::size_t>(kMaxChangesPerRead, aLimit - changes.size());
     BOOST_OUTCOME_TRY(rows,
                       aPlatform.ReadRange(
                         "config/change/", ChangeRowKey(last), static_cast<std::uint32_t>(wanted)));
@@ -201,14 +202,14 @@
   BOOST_OUTCOME_TRYV(ApplyChange(entities, aChange));
   BOOST_OUTCOME_TRYV(CheckEntities(entities));
   auto base = aBase;
-  for (int i = 0; i < kMostTries; ++i) {
+  for (int i = 0; i < kMaxWriteAttempts; ++i) {
     auto written = WriteChange(aPlatform, base, aChange, aSettings);
     if (written.has_value() || written.assume_error().code_ != ErrorCode::kPlatformConflict) {
       return written;
     }
     BOOST_OUTCOME_TRY(head, ReadHead(aPlatform));
     if (head.version_ != aBase.version_) {
-      return Conflict(head.version_);
+      return VersionConflict(head.version_);
     }
     // Another operator barred a lost transaction; the version is still the one written against.
     base.headRevision_ = head.headRevision_;
--- a/peridotquay/process/ConfigStore.h
+++ b/peridotquay/process/ConfigStore.h
@@ -25,7 +25,7 @@
   Duration resolveTimeout_ = seconds(10); ///< Reading back ends after this.
   Duration resolveInterval_ = milliseconds(200);
   /// After this time without a trace of the change it is barred from taking effect later.
-  Duration barAfter_ = seconds(3);
+  Duration fenceDelay_ = seconds(3);
   bool operator==(const CommitSettings&) const = default;
 };
 
--- a/peridotquay/process/ControlActor.h
+++ b/peridotquay/process/ControlActor.h
@@ -88,13 +88,13 @@
 /// What the actors have in common. Immutable once the actors run.
 struct ControlContext
 {
-  DataPlaneCallbacks port_;
+  DataPlaneCallbacks callbacks_;
   std::shared_ptr<ControlStatusSlots> status_;
 };
 
 /// Interval of the steps of each actor. Bounds how late a timer acts; 100 ms is a third of the
 /// shortest one (indirect probes after 300 ms) and keeps an idle node below 30 wake-ups a second.
-inline constexpr Duration kControlStep = milliseconds(100);
+inline constexpr Duration kControlTickInterval = milliseconds(100);
 
 /// Runs membership. Tells the other two actors of rankings and of summaries to complete.
 caf::actor SpawnMembershipActor(caf::actor_system& aSystem,
--- a/peridotquay/process/ControlActorMembership.cpp
+++ b/peridotquay/process/ControlActorMembership.cpp
@@ -11,7 +11,7 @@
 using TickAtom = caf::atom_constant<caf::atom("tick")>;
 
 // Loads alone don't change routes much; the view is republished for them at most this often.
-constexpr Duration kLoadInterval = seconds(1);
+constexpr Duration kLoadPublishInterval = seconds(1);
 
 struct MembershipActorState
 {
@@ -21,7 +21,7 @@
   caf::actor shares_;
   std::uint64_t publishedRevision_ = 0;
   bool published_ = false;
-  TimePoint loadPublished_{};
+  TimePoint loadPublishedAt_{};
   MemberRanking ranking_;
 };
 
@@ -51,14 +51,14 @@
   }
 }
 
-void CarryOut(MembershipActor* aSelf, MembershipEffects& aEffects)
+void ApplyEffects(MembershipActor* aSelf, MembershipEffects& aEffects)
 {
-  const auto& port = aSelf->state.context_.port_;
+  const auto& callbacks = aSelf->state.context_.callbacks_;
   for (auto& message : aEffects.messages_) {
     if (message.datagram_) {
-      port.sendDatagram_(message.to_, std::move(message.message_));
+      callbacks.sendDatagram_(message.to_, std::move(message.message_));
     } else {
-      port.sendPeer_(message.to_, std::move(message.message_));
+      callbacks.sendPeer_(message.to_, std::move(message.message_));
     }
   }
   if (!aEffects.summaries_.empty()) {
@@ -88,13 +88,14 @@
   auto& state = aSelf->state;
   auto& membership = state.membership_;
   const bool changed = !state.published_ || membership.revision_ != state.publishedRevision_;
-  const bool loads = membership.loadChanged_ && aNow - state.loadPublished_ >= kLoadInterval;
-  if (!changed && !loads) {
+  const bool loadsDue =
+    membership.loadChanged_ && aNow - state.loadPublishedAt_ >= kLoadPublishInterval;
+  if (!changed && !loadsDue) {
     return;
   }
   membership.loadChanged_ = false;
-  state.loadPublished_ = aNow;
-  state.context_.port_.publishTargets_(
+  state.loadPublishedAt_ = aNow;
+  state.context_.callbacks_.publishTargets_(
     std::make_shared<const TargetView>(MakeTargetView(membership)));
   if (!changed) {
     return;
@@ -111,34 +112,35 @@
   }
 }
 
-caf::behavior RunMembership(MembershipActor* aSelf)
+caf::behavior MakeMembershipBehavior(MembershipActor* aSelf)
 {
   const auto now = [aSelf] { return aSelf->clock().now(); };
   aSelf->send(aSelf, TickAtom::value);
   return {
     [=](TickAtom) {
-      aSelf->delayed_send(aSelf, kControlStep, TickAtom::value);
+      aSelf->delayed_send(aSelf, kControlTickInterval, TickAtom::value);
       MembershipEffects effects;
       StepMembership(aSelf->state.membership_, now(), effects);
-      CarryOut(aSelf, effects);
+      ApplyEffects(aSelf, effects);
       Publish(aSelf, now());
     },
-    [=](const ReceivedPeerMessage& aArrival) {
+    [=](const ReceivedPeerMessage& aReceived) {
       MembershipEffects effects;
       HandleMembershipMessage(
-        aSelf->state.membership_, aArrival.peer_, aArrival.message_, now(), effects);
-      CarryOut(aSelf, effects);
+        aSelf->state.membership_, aReceived.peer_, aReceived.message_, now(), effects);
+      ApplyEffects(aSelf, effects);
     },
-    [=](const TargetAnnouncement& aNews) {
-      AnnounceTargetState(aSelf->state.membership_, aNews.state_, aNews.slots_, aNews.load_, now());
+    [=](const TargetAnnouncement& aUpdate) {
+      AnnounceTargetState(
+        aSelf->state.membership_, aUpdate.state_, aUpdate.slots_, aUpdate.load_, now());
     },
-    [=](const DepartureAnnouncement& aNews) {
+    [=](const DepartureAnnouncement& aUpdate) {
       MembershipEffects effects;
-      AnnounceDeparture(aSelf->state.membership_, aNews.successor_, effects);
-      CarryOut(aSelf, effects);
+      AnnounceDeparture(aSelf->state.membership_, aUpdate.successor_, effects);
+      ApplyEffects(aSelf, effects);
       Publish(aSelf, now());
     },
-    [=](const ContactUpdate& aNews) { AddContacts(aSelf->state.membership_, aNews.contacts_); },
+    [=](const ContactUpdate& aUpdate) { AddContacts(aSelf->state.membership_, aUpdate.contacts_); },
   };
 }
 
@@ -155,7 +157,7 @@
     aSelf->state.membership_ = aState;
     aSelf->state.versions_ = aVersions;
     aSelf->state.shares_ = aShares;
-    return RunMembership(aSelf);
+    return MakeMembershipBehavior(aSelf);
   });
 }
 
--- a/peridotquay/process/ControlActorPlatform.cpp
+++ b/peridotquay/process/ControlActorPlatform.cpp
@@ -10,10 +10,10 @@
   return aSystem.spawn<caf::detached>(
     [platform = std::move(aPlatform)](caf::event_based_actor* aSelf) -> caf::behavior {
       return {
-        [=](const PlatformCallRequest& aJob) {
+        [=](const PlatformCallRequest& aRequest) {
           // The start is read before the call: what the answer says held at some time after it.
           const auto started = aSelf->clock().now();
-          auto answer = RunPlatformCall(*platform, aJob.call_);
+          auto answer = RunPlatformCall(*platform, aRequest.call_);
           answer.startedAt_ = started;
           answer.finishedAt_ = aSelf->clock().now();
           return answer;
--- a/peridotquay/process/ControlActorShare.cpp
+++ b/peridotquay/process/ControlActorShare.cpp
@@ -14,10 +14,10 @@
 using TickAtom = caf::atom_constant<caf::atom("tick")>;
 
 // A request without an answer is forgotten after this; its grant would have expired.
-constexpr Duration kAskLifetime = seconds(2);
+constexpr Duration kTokenRequestTimeout = seconds(2);
 
 // A request of the data path that is under way.
-struct PendingAsk
+struct PendingTokenRequest
 {
   std::uint64_t nonce_ = 0; ///< Of the data path.
   TimePoint asked_{};
@@ -29,16 +29,16 @@
   ShareLease lease_;
   ShareLedger ledger_;
   caf::actor platform_;
-  std::uint64_t nextNonce_ = 0;               ///< Of requests to the leader.
-  std::map<std::uint64_t, PendingAsk> asked_; ///< By nonce of the request to the leader.
+  std::uint64_t nextNonce_ = 0;                        ///< Of requests to the leader.
+  std::map<std::uint64_t, PendingTokenRequest> asked_; ///< By nonce of the request to the leader.
 };
 
 using ShareActor = caf::stateful_actor<ShareActorState>;
 
-void CarryOut(ShareActor* aSelf, ShareLeaseEffects& aEffects)
+void ApplyEffects(ShareActor* aSelf, ShareLeaseEffects& aEffects)
 {
   const auto& lease = aSelf->state.lease_;
-  if (aEffects.taken_) {
+  if (aEffects.acquired_) {
     LogEvent(Event::kShareLeaseTaken, { { "epoch", std::to_string(lease.row_.epoch_) } });
   }
   if (aEffects.lost_) {
@@ -54,92 +54,93 @@
       ShareLeaseEffects effects;
       HandleShareAnswer(
         aSelf->state.lease_, aSelf->state.ledger_, aAnswer, aSelf->clock().now(), effects);
-      CarryOut(aSelf, effects);
+      ApplyEffects(aSelf, effects);
     });
 }
 
-void Deliver(ShareActor* aSelf, ShareGrant aGrant)
+void DeliverGrant(ShareActor* aSelf, ShareGrant aGrant)
 {
   const auto found = aSelf->state.asked_.find(aGrant.nonce_);
   if (found == aSelf->state.asked_.end()) {
     return;
   }
-  const auto ask = found->second;
+  const auto pending = found->second;
   aSelf->state.asked_.erase(found);
-  aGrant.nonce_ = ask.nonce_;
-  aSelf->state.context_.port_.deliverGrant_(std::move(aGrant), ask.asked_);
+  aGrant.nonce_ = pending.nonce_;
+  aSelf->state.context_.callbacks_.deliverGrant_(std::move(aGrant), pending.asked_);
 }
 
-void AskLeader(ShareActor* aSelf, const TokenRequest& aAsk)
+void RequestTokens(ShareActor* aSelf, const TokenRequest& aTokenRequest)
 {
   auto& state = aSelf->state;
   // Nonces on the wire begin at a random number. A late grant for an earlier process of this host
   // must not match a request of this one, whose lifetime is counted from later.
-  auto request = aAsk.request_;
+  auto request = aTokenRequest.request_;
   request.nonce_ = state.nextNonce_++;
-  state.asked_[request.nonce_] = { aAsk.request_.nonce_, aAsk.asked_ };
+  state.asked_[request.nonce_] = { aTokenRequest.request_.nonce_, aTokenRequest.asked_ };
   const auto& ranking = state.lease_.ranking_;
   if (ranking == nullptr) {
     return;
   }
   if (ranking->shareLeader_.host_ == state.lease_.self_) {
-    Deliver(aSelf,
-            HandleShareRequest(
-              state.lease_, state.ledger_, state.lease_.self_, request, aSelf->clock().now()));
+    DeliverGrant(aSelf,
+                 HandleShareRequest(
+                   state.lease_, state.ledger_, state.lease_.self_, request, aSelf->clock().now()));
   } else {
-    state.context_.port_.sendPeer_(ranking->shareLeader_.address_, request);
+    state.context_.callbacks_.sendPeer_(ranking->shareLeader_.address_, request);
   }
 }
 
-void AnswerHost(ShareActor* aSelf,
-                const ReceivedPeerMessage& aArrival,
-                const ShareRequest& aRequest)
+void AnswerShareRequest(ShareActor* aSelf,
+                        const ReceivedPeerMessage& aReceived,
+                        const ShareRequest& aRequest)
 {
   auto& state = aSelf->state;
   const auto grant = HandleShareRequest(
-    state.lease_, state.ledger_, aArrival.from_.host_, aRequest, aSelf->clock().now());
-  Address to = aArrival.peer_;
+    state.lease_, state.ledger_, aReceived.from_.host_, aRequest, aSelf->clock().now());
+  Address to = aReceived.peer_;
   if (state.lease_.ranking_ != nullptr) {
-    const auto found = state.lease_.ranking_->addresses_.find(aArrival.from_.host_);
+    const auto found = state.lease_.ranking_->addresses_.find(aReceived.from_.host_);
     if (found != state.lease_.ranking_->addresses_.end()) {
       to = found->second;
     }
   }
-  state.context_.port_.sendPeer_(to, grant);
+  state.context_.callbacks_.sendPeer_(to, grant);
 }
 
-void Step(ShareActor* aSelf)
+void RunTick(ShareActor* aSelf)
 {
   auto& state = aSelf->state;
   const auto now = aSelf->clock().now();
   ShareLeaseEffects effects;
   StepShareLease(state.lease_, state.ledger_, now, effects);
-  CarryOut(aSelf, effects);
-  std::erase_if(state.asked_,
-                [&](const auto& aAsked) { return now - aAsked.second.asked_ > kAskLifetime; });
+  ApplyEffects(aSelf, effects);
+  std::erase_if(state.asked_, [&](const auto& aAsked) {
+    return now - aAsked.second.asked_ > kTokenRequestTimeout;
+  });
   ControlStatus status;
   status.shareLeader_ = state.lease_.held_;
   state.context_.status_->shares_.store(std::make_shared<const ControlStatus>(status));
 }
 
-caf::behavior RunShares(ShareActor* aSelf)
+caf::behavior MakeShareBehavior(ShareActor* aSelf)
 {
   aSelf->send(aSelf, TickAtom::value);
   return {
     [=](TickAtom) {
-      aSelf->delayed_send(aSelf, kControlStep, TickAtom::value);
-      Step(aSelf);
+      aSelf->delayed_send(aSelf, kControlTickInterval, TickAtom::value);
+      RunTick(aSelf);
     },
-    [=](const ReceivedPeerMessage& aArrival) {
-      if (const auto* request = std::get_if<ShareRequest>(&aArrival.message_)) {
-        AnswerHost(aSelf, aArrival, *request);
-      } else if (const auto* grant = std::get_if<ShareGrant>(&aArrival.message_)) {
-        Deliver(aSelf, *grant);
+    [=](const ReceivedPeerMessage& aReceived) {
+      if (const auto* request = std::get_if<ShareRequest>(&aReceived.message_)) {
+        AnswerShareRequest(aSelf, aReceived, *request);
+      } else if (const auto* grant = std::get_if<ShareGrant>(&aReceived.message_)) {
+        DeliverGrant(aSelf, *grant);
       }
     },
-    [=](const TokenRequest& aAsk) { AskLeader(aSelf, aAsk); },
-    [=](const RankingUpdate& aNews) { aSelf->state.lease_.ranking_ = aNews.ranking_; },
-    [=](const ConfigUpdate& aNews) { aSelf->state.lease_.config_ = aNews.config_; },
+    [=](const TokenRequest& aTokenRequest) { RequestTokens(aSelf, aTokenRequest); },
+    [=](const RankingUpdate& aUpdate) { aSelf->state.lease_.ranking_ = aUpdate.ranking_; },
+    [=](const ConfigUpdate& aUpdate) { aSelf->state.lease_.config_ = aUpdate.config_; },
   };
 }
 
@@ -155,7 +156,7 @@
     aSelf->state.lease_ = aState;
     aSelf->state.platform_ = aPlatform;
     aSelf->state.nextNonce_ = NextRandom(aSelf->state.lease_.random_);
-    return RunShares(aSelf);
+    return MakeShareBehavior(aSelf);
   });
 }
 
--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -21,10 +21,10 @@
 
 using VersionActor = caf::stateful_actor<VersionActorState>;
 
-std::uint64_t WallMs()
+std::uint64_t WallClockMs()
 {
-  const auto since = std::chrono::system_clock::now().time_since_epoch();
-  return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(since).count());
+  const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
+  return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(sinceEpoch).count());
 }
 
 void LogDisseminationEvent(const DisseminationEvent& aEvent)
@@ -67,35 +67,35 @@
   aState.context_.status_->versions_.store(std::make_shared<const ControlStatus>(status));
 }
 
-void CarryOut(VersionActor* aSelf, DisseminationEffects& aEffects);
+void ApplyEffects(VersionActor* aSelf, DisseminationEffects& aEffects);
 
-void Ask(VersionActor* aSelf, PlatformCall aCall)
+void StartPlatformCall(VersionActor* aSelf, PlatformCall aCall)
 {
   aSelf->request(aSelf->state.platform_, caf::infinite, PlatformCallRequest{ std::move(aCall) })
     .then([aSelf](const PlatformAnswer& aAnswer) {
       DisseminationEffects effects;
       HandleVersionAnswer(aSelf->state.versions_, aAnswer, aSelf->clock().now(), effects);
-      CarryOut(aSelf, effects);
+      ApplyEffects(aSelf, effects);
     });
 }
 
-void CarryOut(VersionActor* aSelf, DisseminationEffects& aEffects)
+void ApplyEffects(VersionActor* aSelf, DisseminationEffects& aEffects)
 {
   auto& state = aSelf->state;
-  const auto& port = state.context_.port_;
+  const auto& callbacks = state.context_.callbacks_;
   if (aEffects.config_ != nullptr || aEffects.freshness_) {
     PublishStatus(state, aSelf->clock().now());
   }
   // The configuration goes first: freshness must never be published for a version not in force yet.
   if (aEffects.config_ != nullptr) {
-    port.publishConfig_(aEffects.config_);
+    callbacks.publishConfig_(aEffects.config_);
     aSelf->send(state.shares_, ConfigUpdate{ aEffects.config_ });
   }
   if (aEffects.freshness_) {
-    port.publishFreshness_(*aEffects.freshness_);
+    callbacks.publishFreshness_(*aEffects.freshness_);
   }
   for (auto& message : aEffects.messages_) {
-    port.sendPeer_(message.to_, std::move(message.message_));
+    callbacks.sendPeer_(message.to_, std::move(message.message_));
   }
   if (!aEffects.contacts_.empty() && state.membership_) {
     aSelf->send(state.membership_, ContactUpdate{ std::move(aEffects.contacts_) });
@@ -104,51 +104,53 @@
     LogDisseminationEvent(event);
   }
   if (aEffects.call_) {
-    Ask(aSelf, std::move(*aEffects.call_));
+    StartPlatformCall(aSelf, std::move(*aEffects.call_));
   }
 }
 
 // Address that answers reach: the member's own one if known, since a connection's remote address
 // may be an ephemeral port.
-Address ReplyAddress(const VersionActorState& aState, const ReceivedPeerMessage& aArrival)
+Address ReplyAddress(const VersionActorState& aState, const ReceivedPeerMessage& aReceived)
 {
   const auto& ranking = aState.versions_.ranking_;
   if (ranking != nullptr) {
-    const auto found = ranking->addresses_.find(aArrival.from_.host_);
+    const auto found = ranking->addresses_.find(aReceived.from_.host_);
     if (found != ranking->addresses_.end()) {
       return found->second;
     }
   }
-  return aArrival.peer_;
+  return aReceived.peer_;
 }
 
-caf::behavior RunVersions(VersionActor* aSelf)
+caf::behavior MakeVersionBehavior(VersionActor* aSelf)
 {
   const auto now = [aSelf] { return aSelf->clock().now(); };
   aSelf->send(aSelf, TickAtom::value);
   return {
     [=](TickAtom) {
-      aSelf->delayed_send(aSelf, kControlStep, TickAtom::value);
+      aSelf->delayed_send(aSelf, kControlTickInterval, TickAtom::value);
       DisseminationEffects effects;
-      StepDissemination(aSelf->state.versions_, now(), WallMs(), effects);
-      CarryOut(aSelf, effects);
+      StepDissemination(aSelf->state.versions_, now(), WallClockMs(), effects);
+      ApplyEffects(aSelf, effects);
       PublishStatus(aSelf->state, now());
     },
-    [=](const ReceivedPeerMessage& aArrival) {
+    [=](const ReceivedPeerMessage& aReceived) {
       DisseminationEffects effects;
       HandleVersionMessage(aSelf->state.versions_,
-                           aArrival.from_,
-                           ReplyAddress(aSelf->state, aArrival),
-                           aArrival.message_,
+                           aReceived.from_,
+                           ReplyAddress(aSelf->state, aReceived),
+                           aReceived.message_,
                            now(),
                            effects);
-      CarryOut(aSelf, effects);
+      ApplyEffects(aSelf, effects);
+    },
+    [=](const RankingUpdate& aUpdate) {
+      SetRanking(aSelf->state.versions_, aUpdate.ranking_, now());
     },
-    [=](const RankingUpdate& aNews) { SetRanking(aSelf->state.versions_, aNews.ranking_, now()); },
     [=](SummaryBatch& aBatch) {
       for (auto& message : aBatch.summaries_) {
         FillSummary(aSelf->state.versions_, std::get<Summary>(message.message_), now());
-        aSelf->state.context_.port_.sendPeer_(message.to_, std::move(message.message_));
+        aSelf->state.context_.callbacks_.sendPeer_(message.to_, std::move(message.message_));
       }
     },
     [=](const caf::actor& aMembership) { aSelf->state.membership_ = aMembership; },
@@ -168,7 +170,7 @@
     aSelf->state.versions_ = aState;
     aSelf->state.platform_ = aPlatform;
     aSelf->state.shares_ = aShares;
-    return RunVersions(aSelf);
+    return MakeVersionBehavior(aSelf);
   });
 }
 
--- a/peridotquay/process/RolloutStatus.cpp
+++ b/peridotquay/process/RolloutStatus.cpp
@@ -15,20 +15,20 @@
 namespace {
 
 /// The largest bound that a configuration can set, 3,600 s.
-constexpr Duration kLongestBound = seconds(3600);
+constexpr Duration kMaxFreshnessBound = seconds(3600);
 
 /// A replaced bound counts for this long: twice the longest bound, because the times come from
 /// operators' clocks.
-constexpr std::uint64_t kReplacedLifetimeMs = 7200000;
+constexpr std::uint64_t kReplacedBoundLifetimeMs = 7200000;
 
 /// More rows than sites: those of sites that were removed stay.
-constexpr std::uint32_t kMostWatermarks = 1000;
+constexpr std::uint32_t kMaxWatermarkRows = 1000;
 
 const std::string kPolicyEntity = "policy/default";
 const std::string kReplacedEntity = "policy/replaced";
 
 /// The freshness bound of a policy entity; the longest one if the entity is malformed.
-Duration BoundOf(const Entities& aEntities, const std::string& aEntity)
+Duration FreshnessBoundIn(const Entities& aEntities, const std::string& aEntity)
 {
   const auto entity = aEntities.find(aEntity);
   if (entity == aEntities.end()) {
@@ -36,7 +36,7 @@
   }
   const auto json = ConfigJson::parse(entity->second, nullptr, false);
   if (!json.is_object()) {
-    return kLongestBound;
+    return kMaxFreshnessBound;
   }
   const auto found = json.find("key_freshness_bound_ms");
   if (found == json.end() || !found->is_number_integer()) {
@@ -46,7 +46,7 @@
 }
 
 /// The bound that was replaced, or zero if there is none or no host can use it any more.
-Duration ReplacedBound(const Entities& aEntities, std::uint64_t aWallMs)
+Duration ReplacedFreshnessBound(const Entities& aEntities, std::uint64_t aWallMs)
 {
   const auto entity = aEntities.find(kReplacedEntity);
   if (entity == aEntities.end()) {
@@ -55,25 +55,27 @@
   const auto json = ConfigJson::parse(entity->second, nullptr, false);
   const bool valid =
     json.is_object() && json.contains("until_ms") && json["until_ms"].is_number_unsigned();
-  const bool over = valid && json["until_ms"].get<std::uint64_t>() <= aWallMs;
-  return over ? Duration::zero() : BoundOf(aEntities, kReplacedEntity);
+  const bool expired = valid && json["until_ms"].get<std::uint64_t>() <= aWallMs;
+  return expired ? Duration::zero() : FreshnessBoundIn(aEntities, kReplacedEntity);
 }
 
-DataCentreRollout Judge(const DataCentreId& aSite, const Watermark* aMark, Version aVersion)
+DataCentreRollout EvaluateWatermark(const DataCentreId& aDataCentre,
+                                    const Watermark* aWatermark,
+                                    Version aVersion)
 {
-  DataCentreRollout force;
-  force.dataCentre_ = aSite;
-  if (aMark != nullptr) {
-    force.reported_ = true;
-    force.version_ = aMark->version_;
-    force.unreachable_ = aMark->unreachable_;
+  DataCentreRollout rollout;
+  rollout.dataCentre_ = aDataCentre;
+  if (aWatermark != nullptr) {
+    rollout.reported_ = true;
+    rollout.version_ = aWatermark->version_;
+    rollout.unreachable_ = aWatermark->unreachable_;
     // The row keeps hosts that lag behind a later version too; they don't matter here.
-    if (aMark->version_ < aVersion) {
-      force.lagging_ = aMark->lagging_;
+    if (aWatermark->version_ < aVersion) {
+      rollout.lagging_ = aWatermark->lagging_;
     }
-    force.inForce_ = aMark->version_ >= aVersion && aMark->unreachable_.empty();
+    rollout.inForce_ = aWatermark->version_ >= aVersion && aWatermark->unreachable_.empty();
   }
-  return force;
+  return rollout;
 }
 
 } // namespace
@@ -81,63 +83,64 @@
 bool RolloutStatus::InForceEverywhere() const
 {
   return !dataCentres_.empty() &&
-         std::all_of(dataCentres_.begin(), dataCentres_.end(), [](const DataCentreRollout& aSite) {
-           return aSite.inForce_;
-         });
+         std::all_of(dataCentres_.begin(),
+                     dataCentres_.end(),
+                     [](const DataCentreRollout& aDataCentre) { return aDataCentre.inForce_; });
 }
 
 std::vector<DataCentreId> ConfiguredDataCentres(const Entities& aEntities)
 {
   constexpr std::string_view kPrefix = "site/";
-  std::vector<DataCentreId> sites;
+  std::vector<DataCentreId> dataCentres;
   for (auto entry = aEntities.lower_bound(std::string(kPrefix));
        entry != aEntities.end() && entry->first.compare(0, kPrefix.size(), kPrefix) == 0;
        ++entry) {
-    sites.push_back({ entry->first.substr(kPrefix.size()) });
+    dataCentres.push_back({ entry->first.substr(kPrefix.size()) });
   }
-  return sites;
+  return dataCentres;
 }
 
 Result<RolloutStatus> ReadRolloutStatus(Platform& aPlatform,
-                                        const std::vector<DataCentreId>& aSites,
+                                        const std::vector<DataCentreId>& aDataCentres,
                                         Version aVersion)
 {
   // One read for all sites, because many operators may wait at once.
-  BOOST_OUTCOME_TRY(rows, aPlatform.ReadRange(WatermarkRowKey({}), "", kMostWatermarks));
-  std::map<DataCentreId, Watermark> marks;
+  BOOST_OUTCOME_TRY(rows, aPlatform.ReadRange(WatermarkRowKey({}), "", kMaxWatermarkRows));
+  std::map<DataCentreId, Watermark> watermarks;
   for (const auto& row : rows) {
-    BOOST_OUTCOME_TRY(mark, DecodeWatermark(row.value_));
-    marks[mark.dataCentre_] = std::move(mark);
+    BOOST_OUTCOME_TRY(watermark, DecodeWatermark(row.value_));
+    watermarks[watermark.dataCentre_] = std::move(watermark);
   }
-  RolloutStatus view;
-  for (const auto& site : aSites) {
-    const auto mark = marks.find(site);
-    view.dataCentres_.push_back(
-      Judge(site, mark == marks.end() ? nullptr : &mark->second, aVersion));
+  RolloutStatus status;
+  for (const auto& dataCentre : aDataCentres) {
+    const auto watermark = watermarks.find(dataCentre);
+    status.dataCentres_.push_back(EvaluateWatermark(
+      dataCentre, watermark == watermarks.end() ? nullptr : &watermark->second, aVersion));
   }
-  return view;
+  return status;
 }
 
 Duration MaxUsableFreshnessBound(const Entities& aEntities, std::uint64_t aWallMs)
 {
-  return std::max(BoundOf(aEntities, kPolicyEntity), ReplacedBound(aEntities, aWallMs));
+  return std::max(FreshnessBoundIn(aEntities, kPolicyEntity),
+                  ReplacedFreshnessBound(aEntities, aWallMs));
 }
 
-void UpdateReplacedFreshnessBound(const Entities& aPresent, Entities& aNext, std::uint64_t aWallMs)
+void UpdateReplacedFreshnessBound(const Entities& aCurrent, Entities& aNext, std::uint64_t aWallMs)
 {
-  if (const auto kept = aPresent.find(kReplacedEntity); kept != aPresent.end()) {
+  if (const auto kept = aCurrent.find(kReplacedEntity); kept != aCurrent.end()) {
     aNext[kReplacedEntity] = kept->second;
   }
   // Before the first version no host serves a keyed route, so nothing is replaced.
-  const bool lowered =
-    !aPresent.empty() && BoundOf(aPresent, kPolicyEntity) > BoundOf(aNext, kPolicyEntity);
+  const bool lowered = !aCurrent.empty() && FreshnessBoundIn(aCurrent, kPolicyEntity) >
+                                              FreshnessBoundIn(aNext, kPolicyEntity);
   if (!lowered) {
     return;
   }
-  const auto bound = MaxUsableFreshnessBound(aPresent, aWallMs);
+  const auto bound = MaxUsableFreshnessBound(aCurrent, aWallMs);
   const ConfigJson json = { { "key_freshness_bound_ms",
                               std::chrono::duration_cast<milliseconds>(bound).count() },
-                            { "until_ms", aWallMs + kReplacedLifetimeMs } };
+                            { "until_ms", aWallMs + kReplacedBoundLifetimeMs } };
   aNext[kReplacedEntity] = json.dump();
 }
 
@@ -147,17 +150,17 @@
   const auto start = Clock::now();
   RolloutWaitResult result;
   std::optional<Error> failure;
-  bool read = false;
+  bool anyRead = false;
   for (;;) {
-    auto view = ReadRolloutStatus(aPlatform, aSettings.dataCentres_, aSettings.version_);
+    auto status = ReadRolloutStatus(aPlatform, aSettings.dataCentres_, aSettings.version_);
     result.waited_ = Clock::now() - start;
-    if (view.has_value()) {
-      read = true;
-      result.rollout_ = std::move(view).assume_value();
+    if (status.has_value()) {
+      anyRead = true;
+      result.rollout_ = std::move(status).assume_value();
     } else {
-      failure = view.assume_error();
+      failure = status.assume_error();
     }
-    result.inForce_ = read && result.rollout_.InForceEverywhere();
+    result.inForce_ = anyRead && result.rollout_.InForceEverywhere();
     result.byFreshnessBound_ =
       !result.inForce_ && aSettings.freshnessBound_ && result.waited_ >= *aSettings.freshnessBound_;
     result.inForce_ = result.inForce_ || result.byFreshnessBound_;
@@ -166,7 +169,7 @@
     }
     std::this_thread::sleep_for(std::min(aSettings.interval_, aSettings.timeout_ - result.waited_));
   }
-  if (!read && !result.inForce_ && failure) {
+  if (!anyRead && !result.inForce_ && failure) {
     return BOOST_OUTCOME_V2_NAMESPACE::failure(*failure);
   }
   return result;
--- a/peridotquay/process/RolloutStatus.h
+++ b/peridotquay/process/RolloutStatus.h
@@ -36,7 +36,7 @@
 
 /// Reads the watermarks of the sites and compares them with a version.
 Result<RolloutStatus> ReadRolloutStatus(Platform& aPlatform,
-                                        const std::vector<DataCentreId>& aSites,
+                                        const std::vector<DataCentreId>& aDataCentres,
                                         Version aVersion);
 
 /// Largest freshness bound that any host may still use: that of the configuration, or one that was
@@ -46,7 +46,7 @@
 
 /// Carries entity policy/replaced over from the present configuration to the next one, and sets it
 /// if the next one lowers the freshness bound.
-void UpdateReplacedFreshnessBound(const Entities& aPresent, Entities& aNext, std::uint64_t aWallMs);
+void UpdateReplacedFreshnessBound(const Entities& aCurrent, Entities& aNext, std::uint64_t aWallMs);
 
 /// Settings of a wait.
 struct RolloutWaitSettings
--- a/peridotquay/process/ShareLease.cpp
+++ b/peridotquay/process/ShareLease.cpp
@@ -19,15 +19,15 @@
 constexpr std::string_view kSharePrefix = "share/";
 
 // Most lease rows of one read; far above the number of data centres.
-constexpr std::uint32_t kShareRows = 256;
+constexpr std::uint32_t kMaxLeaseRows = 256;
 
 // A short account asks for double of what it holds and this much more.
-constexpr std::uint32_t kLeastNeed = kShareUnits / 20;
+constexpr std::uint32_t kMinNeedUnits = kShareUnits / 20;
 
 // Units kept beyond the measured use, so that small variations cause no moves.
-constexpr double kUseMargin = 1.25;
+constexpr double kUseMarginFactor = 1.25;
 
-std::string OperationId(ShareLease& aLease)
+std::string RandomOperationId(ShareLease& aLease)
 {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string id;
@@ -47,27 +47,27 @@
          aLease.ranking_->shareLeader_.host_ == aLease.self_;
 }
 
-TimePoint ElasticEnd(const ShareLease& aLease)
+TimePoint ElasticLeaseEnd(const ShareLease& aLease)
 {
-  return aLease.elasticSent_ + milliseconds(aLease.row_.elasticMs_);
+  return aLease.elasticRenewalSentAt_ + milliseconds(aLease.row_.elasticMs_);
 }
 
-TimePoint FloorEnd(const ShareLease& aLease)
+TimePoint FloorLeaseEnd(const ShareLease& aLease)
 {
-  return aLease.floorSent_ + milliseconds(aLease.row_.floorMs_);
+  return aLease.floorRenewalSentAt_ + milliseconds(aLease.row_.floorMs_);
 }
 
 bool HoldsElastic(const ShareLease& aLease, TimePoint aNow)
 {
-  return aLease.held_ && aNow < ElasticEnd(aLease);
+  return aLease.held_ && aNow < ElasticLeaseEnd(aLease);
 }
 
 bool HoldsFloors(const ShareLease& aLease, TimePoint aNow)
 {
-  return aLease.held_ && aLease.floorEpoch_ == aLease.row_.epoch_ && aNow < FloorEnd(aLease);
+  return aLease.held_ && aLease.floorEpoch_ == aLease.row_.epoch_ && aNow < FloorLeaseEnd(aLease);
 }
 
-std::uint64_t Milliseconds(Duration aDuration)
+std::uint64_t ToMilliseconds(Duration aDuration)
 {
   return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(aDuration).count());
 }
@@ -78,38 +78,38 @@
   return found == aEntry.shares_.end() ? SharePortion{} : found->second;
 }
 
-std::uint32_t Giving(const ShareLease& aLease, const ClientAccountId& aAccount)
+std::uint32_t UnitsToGive(const ShareLease& aLease, const ClientAccountId& aAccount)
 {
-  const auto found = aLease.giving_.find(aAccount);
-  return found == aLease.giving_.end() ? 0 : found->second;
+  const auto found = aLease.unitsToGive_.find(aAccount);
+  return found == aLease.unitsToGive_.end() ? 0 : found->second;
 }
 
 void ApplyLimits(ShareLease& aLease, ShareLedger& aLedger, TimePoint aNow)
 {
-  for (const auto& [account, entry] : aLease.entries_) {
+  for (const auto& [account, entry] : aLease.poolEntries_) {
     SetShareLimit(aLedger, account, UsableLimit(aLease, account, aNow), aNow);
   }
 }
 
-void Lose(ShareLease& aLease, ShareLedger& aLedger, ShareLeaseEffects& aEffects)
+void LoseLease(ShareLease& aLease, ShareLedger& aLedger, ShareLeaseEffects& aEffects)
 {
   aLease.held_ = false;
-  aLease.stopped_.reset();
+  aLease.grantsStoppedAt_.reset();
   aLease.releaseSent_ = false;
   aLease.pending_.reset();
-  aLease.entries_.clear();
-  aLease.giving_.clear();
+  aLease.poolEntries_.clear();
+  aLease.unitsToGive_.clear();
   aLease.needs_.clear();
   ClearLedger(aLedger);
   aEffects.lost_ = true;
 }
 
 // Applies a write of the own row that is known to have taken effect.
-void Commit(ShareLease& aLease,
-            ShareLedger& aLedger,
-            std::uint64_t aRevision,
-            TimePoint aNow,
-            ShareLeaseEffects& aEffects)
+void ApplyPendingWrite(ShareLease& aLease,
+                       ShareLedger& aLedger,
+                       std::uint64_t aRevision,
+                       TimePoint aNow,
+                       ShareLeaseEffects& aEffects)
 {
   assert(aLease.pending_);
   const auto pending = std::move(*aLease.pending_);
@@ -117,28 +117,28 @@
   aLease.revision_ = aRevision;
   if (pending.releases_) {
     aLease.floorEpoch_ = 0;
-    Lose(aLease, aLedger, aEffects);
+    LoseLease(aLease, aLedger, aEffects);
     return;
   }
   aLease.row_ = pending.row_;
-  aLease.elasticSent_ = pending.sent_;
+  aLease.elasticRenewalSentAt_ = pending.sentAt_;
   if (pending.row_.floorEpoch_ == pending.row_.epoch_) {
     aLease.floorEpoch_ = pending.row_.epoch_;
-    aLease.floorSent_ = pending.sent_;
+    aLease.floorRenewalSentAt_ = pending.sentAt_;
   }
   // Only a later write that took effect shows that an earlier release never will.
-  aLease.stopped_.reset();
+  aLease.grantsStoppedAt_.reset();
   aLease.releaseSent_ = false;
   if (pending.acquires_) {
     aLease.held_ = true;
-    aLease.nextCycle_ = aNow;
-    aEffects.taken_ = true;
+    aLease.nextCycleAt_ = aNow;
+    aEffects.acquired_ = true;
   }
-  for (const auto& [account, entry] : pending.entries_) {
-    aLease.entries_[account] = entry;
-    aLease.giving_.erase(account);
+  for (const auto& [account, entry] : pending.poolEntries_) {
+    aLease.poolEntries_[account] = entry;
+    aLease.unitsToGive_.erase(account);
   }
-  aLease.moves_ += pending.entries_.empty() ? 0 : 1;
+  aLease.poolWrites_ += pending.poolEntries_.empty() ? 0 : 1;
   ApplyLimits(aLease, aLedger, aNow);
 }
 
@@ -156,11 +156,11 @@
   }
   const auto& row = found->second.row_;
   auto& pending = aLease.pending_;
-  const bool mine =
+  const bool ownWrite =
     row.incarnation_ == aLease.incarnation_ && pending && row.epoch_ == pending->row_.epoch_ &&
     row.sequence_ == pending->row_.sequence_ && row.holder_ == pending->row_.holder_;
-  if (mine) {
-    Commit(aLease, aLedger, found->second.revision_, aNow, aEffects);
+  if (ownWrite) {
+    ApplyPendingWrite(aLease, aLedger, found->second.revision_, aNow, aEffects);
     return;
   }
   if (!aLease.held_) {
@@ -168,7 +168,7 @@
   }
   if (row.epoch_ != aLease.row_.epoch_ || row.holder_ != aLease.self_ ||
       row.incarnation_ != aLease.incarnation_) {
-    Lose(aLease, aLedger, aEffects);
+    LoseLease(aLease, aLedger, aEffects);
   } else {
     aLease.revision_ = found->second.revision_;
   }
@@ -194,11 +194,11 @@
   auto& row = aPending.row_;
   row.incarnation_ = aLease.incarnation_;
   row.sequence_ = ++aLease.sequence_;
-  row.elasticMs_ = Milliseconds(aLease.config_->policy_.elasticLease_);
-  row.floorMs_ = Milliseconds(aLease.config_->policy_.floorLease_);
-  aPending.sent_ = aNow;
+  row.elasticMs_ = ToMilliseconds(aLease.config_->policy_.elasticLease_);
+  row.floorMs_ = ToMilliseconds(aLease.config_->policy_.floorLease_);
+  aPending.sentAt_ = aNow;
   const auto key = ShareRowKey(aLease.dataCentre_);
-  aTransaction.operationId_ = OperationId(aLease);
+  aTransaction.operationId_ = RandomOperationId(aLease);
   aTransaction.conditions_.insert(aTransaction.conditions_.begin(), { key, aLease.revision_ });
   aTransaction.writes_.push_back({ key, EncodeShareRow(row) });
   aLease.pending_ = std::move(aPending);
@@ -216,7 +216,7 @@
   pending.row_.epoch_ = 1;
   pending.row_.floorEpoch_ = 1;
   aLease.revision_ = 0;
-  aLease.floorFrom_ = aNow;
+  aLease.floorUsableAt_ = aNow;
   if (found != aLease.observed_.end()) {
     const auto& seen = found->second;
     const auto elastic =
@@ -226,7 +226,7 @@
     // granted under it.
     const bool unused =
       seen.row_.holder_ == aLease.self_ && seen.row_.incarnation_ == aLease.incarnation_;
-    if (!seen.row_.holder_.value_.empty() && !unused && aNow - seen.seen_ < elastic) {
+    if (!seen.row_.holder_.value_.empty() && !unused && aNow - seen.firstSeenAt_ < elastic) {
       return;
     }
     aLease.revision_ = seen.revision_;
@@ -240,15 +240,15 @@
     const auto floor =
       std::max(milliseconds(seen.row_.floorMs_),
                std::chrono::duration_cast<milliseconds>(aLease.config_->policy_.floorLease_));
-    aLease.floorFrom_ = floorsFree ? aNow : seen.floorSeen_ + floor;
+    aLease.floorUsableAt_ = floorsFree ? aNow : seen.floorRenewalSeenAt_ + floor;
     if (regained) {
-      aLease.floorFrom_ = aNow + kMaxGrantLifetime;
+      aLease.floorUsableAt_ = aNow + kMaxGrantLifetime;
     }
   }
   StartWrite(aLease, std::move(pending), {}, aNow, aEffects);
 }
 
-void Observe(ShareLease& aLease, const PlatformAnswer& aAnswer)
+void RecordLeaseRows(ShareLease& aLease, const PlatformAnswer& aAnswer)
 {
   std::set<DataCentreId> present;
   for (const auto& stored : aAnswer.rows_) {
@@ -271,24 +271,24 @@
     const bool renewsFloors =
       !known || read.floorEpoch_ != seen.row_.floorEpoch_ || read.floorEpoch_ == read.epoch_;
     if (renewsFloors) {
-      seen.floorSeen_ = aAnswer.finishedAt_;
+      seen.floorRenewalSeenAt_ = aAnswer.finishedAt_;
     }
     seen.revision_ = stored.revision_;
     seen.row_ = read;
-    seen.seen_ = aAnswer.finishedAt_;
+    seen.firstSeenAt_ = aAnswer.finishedAt_;
   }
   std::erase_if(aLease.observed_,
                 [&](const auto& aSeen) { return present.count(aSeen.first) == 0; });
 }
 
-bool IsShort(const ShareLease& aLease, const AccountLedger& aAccount, TimePoint aNow)
+bool IsShortOfTokens(const ShareLease& aLease, const AccountLedger& aAccount, TimePoint aNow)
 {
-  return aAccount.everShort_ && aNow - aAccount.short_ < aLease.settings_.shortFor_;
+  return aAccount.everShort_ && aNow - aAccount.lastShortAt_ < aLease.settings_.shortagePeriod_;
 }
 
-std::uint32_t UnitsOfUse(const AccountLedger& aAccount, double aRate)
+std::uint32_t UnitsForMeasuredUse(const AccountLedger& aAccount, double aRate)
 {
-  const double units = std::ceil(aAccount.usePerSecond_ * kUseMargin / aRate * kShareUnits);
+  const double units = std::ceil(aAccount.usePerSecond_ * kUseMarginFactor / aRate * kShareUnits);
   return static_cast<std::uint32_t>(std::clamp(units, 0.0, double{ kShareUnits }));
 }
 
@@ -298,64 +298,64 @@
                                                       TimePoint aNow)
 {
   std::uint32_t units = 0;
-  std::uint32_t centres = 0;
+  std::uint32_t dataCentreCount = 0;
   for (const auto& [id, seen] : aLease.observed_) {
-    const bool live = aNow - seen.seen_ < milliseconds(seen.row_.elasticMs_);
+    const bool live = aNow - seen.firstSeenAt_ < milliseconds(seen.row_.elasticMs_);
     const auto need = seen.row_.needs_.find(aAccount);
     if (id != aLease.dataCentre_ && live && need != seen.row_.needs_.end()) {
       units += need->second;
-      ++centres;
+      ++dataCentreCount;
     }
   }
-  return { units, centres };
+  return { units, dataCentreCount };
 }
 
 // Decides what this data centre needs, and takes out of use what it can spare for others.
-void Plan(ShareLease& aLease, ShareLedger& aLedger, TimePoint aNow)
+void PlanMoves(ShareLease& aLease, ShareLedger& aLedger, TimePoint aNow)
 {
   aLease.needs_.clear();
   for (const auto& [id, account] : aLease.config_->clientAccounts_) {
-    const auto entry = aLease.entries_.find(id);
+    const auto entry = aLease.poolEntries_.find(id);
     const auto ledger = aLedger.accounts_.find(id);
-    if (entry == aLease.entries_.end() || ledger == aLedger.accounts_.end()) {
+    if (entry == aLease.poolEntries_.end() || ledger == aLedger.accounts_.end()) {
       continue;
     }
     const auto own = OwnPortion(aLease, entry->second);
     const auto held = own.floor_ + own.elastic_;
-    const auto used = UnitsOfUse(ledger->second, account.ratePerSecond_);
-    const bool isShort = IsShort(aLease, ledger->second, aNow);
+    const auto used = UnitsForMeasuredUse(ledger->second, account.ratePerSecond_);
+    const bool shortOfTokens = IsShortOfTokens(aLease, ledger->second, aNow);
     // Units beyond the site's part would lie idle here.
     const auto most =
       static_cast<std::uint32_t>(std::ceil(account.siteRateFraction_ * kShareUnits));
-    if (isShort && aLease.needs_.size() < aLease.settings_.needs_) {
-      const auto want = std::min(most, std::max(used, 2 * held) + kLeastNeed);
+    if (shortOfTokens && aLease.needs_.size() < aLease.settings_.needs_) {
+      const auto want = std::min(most, std::max(used, 2 * held) + kMinNeedUnits);
       if (want > held) {
         aLease.needs_[id] = want - held;
       }
     }
-    const auto [needed, centres] = NeedsOfOthers(aLease, id, aNow);
+    const auto [needed, dataCentreCount] = NeedsOfOthers(aLease, id, aNow);
     if (needed == 0 || own.elastic_ == 0) {
       continue;
     }
     const auto elasticTotal = kShareUnits - entry->second.sites_ * entry->second.floorUnits_;
     std::uint32_t keep = used > own.floor_ ? used - own.floor_ : 0;
-    if (isShort) {
-      keep = elasticTotal / (centres + 1);
+    if (shortOfTokens) {
+      keep = elasticTotal / (dataCentreCount + 1);
     } else if (ledger->second.everShort_ &&
-               aNow - ledger->second.short_ < aLease.settings_.idleAfter_) {
-      keep = std::max(keep, elasticTotal / (centres + 1));
+               aNow - ledger->second.lastShortAt_ < aLease.settings_.idlePeriod_) {
+      keep = std::max(keep, elasticTotal / (dataCentreCount + 1));
     }
     keep = std::min(keep, most > own.floor_ ? most - own.floor_ : 0);
     const auto spare = own.elastic_ > keep ? own.elastic_ - keep : 0;
     const auto give = std::min(spare, needed);
-    if (give > Giving(aLease, id)) {
-      aLease.giving_[id] = give;
+    if (give > UnitsToGive(aLease, id)) {
+      aLease.unitsToGive_[id] = give;
     }
   }
   ApplyLimits(aLease, aLedger, aNow);
 }
 
-std::set<DataCentreId> Sites(const ShareLease& aLease)
+std::set<DataCentreId> DataCentresWithFloor(const ShareLease& aLease)
 {
   std::set<DataCentreId> sites;
   for (const auto& [id, site] : aLease.config_->sites_) {
@@ -370,9 +370,9 @@
   return sites;
 }
 
-PoolEntry FirstEntry(const ShareLease& aLease)
+PoolEntry MakeInitialEntry(const ShareLease& aLease)
 {
-  const auto sites = Sites(aLease);
+  const auto sites = DataCentresWithFloor(aLease);
   const auto count = static_cast<std::uint32_t>(sites.size());
   PoolEntry entry;
   entry.sites_ = count;
@@ -386,28 +386,28 @@
   return entry;
 }
 
-bool NeedsPool(const ShareLease& aLease)
+bool MustReadPool(const ShareLease& aLease)
 {
-  if (!aLease.needs_.empty() || !aLease.giving_.empty()) {
+  if (!aLease.needs_.empty() || !aLease.unitsToGive_.empty()) {
     return true;
   }
   return std::any_of(aLease.config_->clientAccounts_.begin(),
                      aLease.config_->clientAccounts_.end(),
                      [&](const auto& aAccount) {
-                       return aLease.entries_.find(aAccount.first) == aLease.entries_.end();
+                       return aLease.poolEntries_.find(aAccount.first) == aLease.poolEntries_.end();
                      });
 }
 
 // Data centres whose elastic lease has surely ended and whose units are wanted here. The reclaim
 // fences the holder: its row gets the next epoch and no holder.
-std::vector<DataCentreId> Lapsed(const ShareLease& aLease, TimePoint aNow)
+std::vector<DataCentreId> LapsedDataCentres(const ShareLease& aLease, TimePoint aNow)
 {
   std::vector<DataCentreId> lapsed;
   for (const auto& [id, seen] : aLease.observed_) {
     const auto elastic =
       std::max(milliseconds(seen.row_.elasticMs_),
                std::chrono::duration_cast<milliseconds>(aLease.config_->policy_.elasticLease_));
-    if (id != aLease.dataCentre_ && aNow - seen.seen_ >= elastic) {
+    if (id != aLease.dataCentre_ && aNow - seen.firstSeenAt_ >= elastic) {
       lapsed.push_back(id);
     }
   }
@@ -415,7 +415,7 @@
 }
 
 // Moves the elastic units of lapsed data centres to the free ones, for accounts that need some.
-bool Reclaim(const ShareLease& aLease, const DataCentreId& aLapsed, SharePool& aPool)
+bool ReclaimNeededUnits(const ShareLease& aLease, const DataCentreId& aLapsed, SharePool& aPool)
 {
   bool moved = false;
   for (const auto& [account, need] : aLease.needs_) {
@@ -434,7 +434,7 @@
 }
 
 // The fence ends the lapsed holder's claim on all its elastic units, so all become free.
-void FreeAll(const DataCentreId& aLapsed, SharePool& aPool)
+void FreeElasticUnits(const DataCentreId& aLapsed, SharePool& aPool)
 {
   for (auto& [account, entry] : aPool) {
     const auto share = entry.shares_.find(aLapsed);
@@ -445,12 +445,12 @@
   }
 }
 
-PendingShareWrite Renewal(const ShareLease& aLease, TimePoint aNow)
+PendingShareWrite MakeRenewal(const ShareLease& aLease, TimePoint aNow)
 {
   PendingShareWrite pending;
   pending.row_ = aLease.row_;
   pending.row_.needs_ = aLease.needs_;
-  if (pending.row_.floorEpoch_ != pending.row_.epoch_ && aNow >= aLease.floorFrom_) {
+  if (pending.row_.floorEpoch_ != pending.row_.epoch_ && aNow >= aLease.floorUsableAt_) {
     pending.row_.floorEpoch_ = pending.row_.epoch_;
   }
   return pending;
@@ -458,15 +458,15 @@
 
 // Takes over what the pool row says. It differs from what is known here if a write took effect
 // whose answer was lost; units given by such a write must not be given again.
-void AdoptPool(ShareLease& aLease, ShareLedger& aLedger, const SharePool& aPool, TimePoint aNow)
+void ApplyPoolRow(ShareLease& aLease, ShareLedger& aLedger, const SharePool& aPool, TimePoint aNow)
 {
   for (const auto& [account, entry] : aPool) {
-    const auto known = aLease.entries_.find(account);
-    if (known != aLease.entries_.end() &&
+    const auto known = aLease.poolEntries_.find(account);
+    if (known != aLease.poolEntries_.end() &&
         OwnPortion(aLease, known->second) != OwnPortion(aLease, entry)) {
-      aLease.giving_.erase(account);
+      aLease.unitsToGive_.erase(account);
     }
-    aLease.entries_[account] = entry;
+    aLease.poolEntries_[account] = entry;
   }
   ApplyLimits(aLease, aLedger, aNow);
 }
@@ -479,18 +479,18 @@
                 TimePoint aNow,
                 ShareLeaseEffects& aEffects)
 {
-  auto pending = Renewal(aLease, aNow);
+  auto pending = MakeRenewal(aLease, aNow);
   PlatformTransaction transaction;
-  AdoptPool(aLease, aLedger, aPool, aNow);
+  ApplyPoolRow(aLease, aLedger, aPool, aNow);
   const SharePool before = aPool;
   for (const auto& [id, account] : aLease.config_->clientAccounts_) {
     if (aPool.find(id) == aPool.end()) {
-      aPool[id] = FirstEntry(aLease);
+      aPool[id] = MakeInitialEntry(aLease);
     }
   }
-  for (const auto& id : Lapsed(aLease, aNow)) {
-    if (Reclaim(aLease, id, aPool)) {
-      FreeAll(id, aPool);
+  for (const auto& id : LapsedDataCentres(aLease, aNow)) {
+    if (ReclaimNeededUnits(aLease, id, aPool)) {
+      FreeElasticUnits(id, aPool);
       const auto& seen = aLease.observed_.at(id);
       auto fenced = seen.row_;
       ++fenced.epoch_;
@@ -501,7 +501,7 @@
     }
   }
   for (auto& [account, entry] : aPool) {
-    const auto giving = Giving(aLease, account);
+    const auto giving = UnitsToGive(aLease, account);
     auto& own = entry.shares_[aLease.dataCentre_];
     const auto units = std::min(giving, own.elastic_);
     const auto limit = UsableLimit(aLease, account, aNow);
@@ -522,7 +522,7 @@
   for (const auto& [account, entry] : aPool) {
     const auto known = before.find(account);
     if (known == before.end() || known->second != entry) {
-      pending.entries_[account] = entry;
+      pending.poolEntries_[account] = entry;
     }
   }
   if (aPool != before) {
@@ -532,16 +532,16 @@
   StartWrite(aLease, std::move(pending), std::move(transaction), aNow, aEffects);
 }
 
-void Release(ShareLease& aLease, TimePoint aNow, ShareLeaseEffects& aEffects)
+void ReleaseLease(ShareLease& aLease, TimePoint aNow, ShareLeaseEffects& aEffects)
 {
-  if (!aLease.stopped_) {
-    aLease.stopped_ = aNow;
+  if (!aLease.grantsStoppedAt_) {
+    aLease.grantsStoppedAt_ = aNow;
   }
   // Every grant has expired before another holder can grant.
-  if (aNow - *aLease.stopped_ < kMaxGrantLifetime) {
+  if (aNow - *aLease.grantsStoppedAt_ < kMaxGrantLifetime) {
     return;
   }
-  aLease.nextCycle_ = aNow + aLease.settings_.renewInterval_;
+  aLease.nextCycleAt_ = aNow + aLease.settings_.renewInterval_;
   PendingShareWrite pending;
   pending.row_ = aLease.row_;
   pending.row_.holder_ = {};
@@ -553,20 +553,20 @@
   StartWrite(aLease, std::move(pending), {}, aNow, aEffects);
 }
 
-void HandleRows(ShareLease& aLease,
-                ShareLedger& aLedger,
-                const PlatformAnswer& aAnswer,
-                TimePoint aNow,
-                ShareLeaseEffects& aEffects)
+void HandleLeaseRows(ShareLease& aLease,
+                     ShareLedger& aLedger,
+                     const PlatformAnswer& aAnswer,
+                     TimePoint aNow,
+                     ShareLeaseEffects& aEffects)
 {
   if (aAnswer.error_) {
     return;
   }
-  Observe(aLease, aAnswer);
+  RecordLeaseRows(aLease, aAnswer);
   ResolveOwnRow(aLease, aLedger, aNow, aEffects);
   if (!IsCandidate(aLease)) {
     if (aLease.held_) {
-      Release(aLease, aNow, aEffects);
+      ReleaseLease(aLease, aNow, aEffects);
     }
     return;
   }
@@ -574,19 +574,19 @@
     TryAcquire(aLease, aNow, aEffects);
     return;
   }
-  Plan(aLease, aLedger, aNow);
-  if (NeedsPool(aLease)) {
+  PlanMoves(aLease, aLedger, aNow);
+  if (MustReadPool(aLease)) {
     StartCall(aLease, ShareCallKind::kReadPool, ReadRowCall{ std::string(kPoolRowKey) }, aEffects);
   } else {
-    StartWrite(aLease, Renewal(aLease, aNow), {}, aNow, aEffects);
+    StartWrite(aLease, MakeRenewal(aLease, aNow), {}, aNow, aEffects);
   }
 }
 
-void HandlePool(ShareLease& aLease,
-                ShareLedger& aLedger,
-                const PlatformAnswer& aAnswer,
-                TimePoint aNow,
-                ShareLeaseEffects& aEffects)
+void HandlePoolRow(ShareLease& aLease,
+                   ShareLedger& aLedger,
+                   const PlatformAnswer& aAnswer,
+                   TimePoint aNow,
+                   ShareLeaseEffects& aEffects)
 {
   if (!aLease.held_ || !IsCandidate(aLease)) {
     return;
@@ -598,27 +598,27 @@
     revision = aAnswer.rows_.front().revision_;
     if (decoded.has_error()) {
       // The lease is renewed even if the pool can't be read.
-      StartWrite(aLease, Renewal(aLease, aNow), {}, aNow, aEffects);
+      StartWrite(aLease, MakeRenewal(aLease, aNow), {}, aNow, aEffects);
       return;
     }
     pool = std::move(decoded.assume_value());
   }
   if (aAnswer.error_) {
-    StartWrite(aLease, Renewal(aLease, aNow), {}, aNow, aEffects);
+    StartWrite(aLease, MakeRenewal(aLease, aNow), {}, aNow, aEffects);
   } else {
     WriteMoves(aLease, aLedger, std::move(pool), revision, aNow, aEffects);
   }
 }
 
-void HandleWritten(ShareLease& aLease,
-                   ShareLedger& aLedger,
-                   const PlatformAnswer& aAnswer,
-                   TimePoint aNow,
-                   ShareLeaseEffects& aEffects)
+void HandleWriteAnswer(ShareLease& aLease,
+                       ShareLedger& aLedger,
+                       const PlatformAnswer& aAnswer,
+                       TimePoint aNow,
+                       ShareLeaseEffects& aEffects)
 {
   if (!aAnswer.error_) {
     if (aLease.pending_) {
-      Commit(aLease, aLedger, aAnswer.revision_, aNow, aEffects);
+      ApplyPendingWrite(aLease, aLedger, aAnswer.revision_, aNow, aEffects);
     }
     return;
   }
@@ -627,7 +627,7 @@
   if (aAnswer.error_->code_ == ErrorCode::kPlatformUnavailable) {
     aLease.pending_.reset();
   }
-  aLease.nextCycle_ = aNow + aLease.settings_.acquireInterval_;
+  aLease.nextCycleAt_ = aNow + aLease.settings_.acquireInterval_;
 }
 
 } // namespace
@@ -729,9 +729,9 @@
   const double units = aPortion.floor_ + aPortion.elastic_;
   limit.ratePerSecond_ = aAccount.ratePerSecond_ * units / kShareUnits;
   const double sites = aEntry.sites_;
-  const double floorPart = aAccount.burst_ * aEntry.floorUnits_ / kShareUnits;
+  const double exactFloorBurst = aAccount.burst_ * aEntry.floorUnits_ / kShareUnits;
   const bool wholeToken = aAccount.burst_ >= sites && aEntry.floorUnits_ > 0;
-  const double floorBurst = wholeToken ? std::max(floorPart, 1.0) : floorPart;
+  const double floorBurst = wholeToken ? std::max(exactFloorBurst, 1.0) : exactFloorBurst;
   const double elasticTotal = kShareUnits - sites * aEntry.floorUnits_;
   const double elasticBurst = aAccount.burst_ - sites * floorBurst;
   if (aPortion.floor_ > 0) {
@@ -760,8 +760,8 @@
   lease.incarnation_ = aIncarnation;
   lease.dataCentre_ = std::move(aDataCentre);
   lease.random_ = aSeed;
-  lease.nextCycle_ = aNow;
-  lease.periodStart_ = aNow;
+  lease.nextCycleAt_ = aNow;
+  lease.usePeriodStartedAt_ = aNow;
   return lease;
 }
 
@@ -770,32 +770,32 @@
                     TimePoint aNow,
                     ShareLeaseEffects& aEffects)
 {
-  if (aNow - aLease.periodStart_ >= aLease.settings_.renewInterval_) {
-    EndUsePeriod(aLedger, aNow - aLease.periodStart_, aNow);
-    aLease.periodStart_ = aNow;
+  if (aNow - aLease.usePeriodStartedAt_ >= aLease.settings_.renewInterval_) {
+    EndUsePeriod(aLedger, aNow - aLease.usePeriodStartedAt_, aNow);
+    aLease.usePeriodStartedAt_ = aNow;
   }
   if (aLease.call_) {
     return;
   }
   const bool candidate = IsCandidate(aLease);
   if (aLease.held_ && !candidate && !aLease.pending_) {
-    if (aNow >= aLease.nextCycle_ || !aLease.stopped_) {
-      Release(aLease, aNow, aEffects);
+    if (aNow >= aLease.nextCycleAt_ || !aLease.grantsStoppedAt_) {
+      ReleaseLease(aLease, aNow, aEffects);
     }
     return;
   }
   // A release that may still take effect keeps granting stopped until a renewal has taken effect.
   if (candidate && !aLease.releaseSent_) {
-    aLease.stopped_.reset();
+    aLease.grantsStoppedAt_.reset();
   }
-  if ((!candidate && !aLease.pending_) || aNow < aLease.nextCycle_) {
+  if ((!candidate && !aLease.pending_) || aNow < aLease.nextCycleAt_) {
     return;
   }
-  aLease.nextCycle_ =
+  aLease.nextCycleAt_ =
     aNow + (aLease.held_ ? aLease.settings_.renewInterval_ : aLease.settings_.acquireInterval_);
   StartCall(aLease,
             ShareCallKind::kReadRows,
-            ReadRangeCall{ std::string(kSharePrefix), {}, kShareRows },
+            ReadRangeCall{ std::string(kSharePrefix), {}, kMaxLeaseRows },
             aEffects);
 }
 
@@ -812,21 +812,21 @@
   aLease.call_.reset();
   switch (kind) {
     case ShareCallKind::kReadRows:
-      HandleRows(aLease, aLedger, aAnswer, aNow, aEffects);
+      HandleLeaseRows(aLease, aLedger, aAnswer, aNow, aEffects);
       break;
     case ShareCallKind::kReadPool:
-      HandlePool(aLease, aLedger, aAnswer, aNow, aEffects);
+      HandlePoolRow(aLease, aLedger, aAnswer, aNow, aEffects);
       break;
     case ShareCallKind::kWrite:
-      HandleWritten(aLease, aLedger, aAnswer, aNow, aEffects);
+      HandleWriteAnswer(aLease, aLedger, aAnswer, aNow, aEffects);
       break;
   }
 }
 
 ShareLimit UsableLimit(const ShareLease& aLease, const ClientAccountId& aAccount, TimePoint aNow)
 {
-  const auto entry = aLease.entries_.find(aAccount);
-  if (entry == aLease.entries_.end() || aLease.config_ == nullptr || aLease.stopped_) {
+  const auto entry = aLease.poolEntries_.find(aAccount);
+  if (entry == aLease.poolEntries_.end() || aLease.config_ == nullptr || aLease.grantsStoppedAt_) {
     return {};
   }
   const auto account = aLease.config_->clientAccounts_.find(aAccount);
@@ -834,7 +834,7 @@
     return {};
   }
   auto own = OwnPortion(aLease, entry->second);
-  own.elastic_ -= std::min(own.elastic_, Giving(aLease, aAccount));
+  own.elastic_ -= std::min(own.elastic_, UnitsToGive(aLease, aAccount));
   if (!HoldsElastic(aLease, aNow)) {
     own.elastic_ = 0;
   }
@@ -847,9 +847,9 @@
 Duration RemainingLease(const ShareLease& aLease, TimePoint aNow)
 {
   if (HoldsElastic(aLease, aNow)) {
-    return ElasticEnd(aLease) - aNow;
+    return ElasticLeaseEnd(aLease) - aNow;
   }
-  return HoldsFloors(aLease, aNow) ? FloorEnd(aLease) - aNow : Duration{};
+  return HoldsFloors(aLease, aNow) ? FloorLeaseEnd(aLease) - aNow : Duration{};
 }
 
 ShareGrant HandleShareRequest(ShareLease& aLease,
@@ -858,7 +858,7 @@
                               const ShareRequest& aRequest,
                               TimePoint aNow)
 {
-  if (aLease.entries_.find(aRequest.clientAccount_) != aLease.entries_.end()) {
+  if (aLease.poolEntries_.find(aRequest.clientAccount_) != aLease.poolEntries_.end()) {
     SetShareLimit(
       aLedger, aRequest.clientAccount_, UsableLimit(aLease, aRequest.clientAccount_, aNow), aNow);
   }
--- a/peridotquay/process/ShareLease.h
+++ b/peridotquay/process/ShareLease.h
@@ -86,9 +86,9 @@
 {
   Duration renewInterval_ = seconds(1);
   Duration acquireInterval_ = milliseconds(250); ///< Reads while the lease isn't held.
-  Duration idleAfter_ = seconds(5); ///< Not short of tokens for this long: spare units are given.
-  Duration shortFor_ = seconds(2);  ///< Short of tokens within this: more units are wanted.
-  std::size_t needs_ = 16;          ///< Most accounts named as needed in the lease row.
+  Duration idlePeriod_ = seconds(5); ///< Not short of tokens for this long: spare units are given.
+  Duration shortagePeriod_ = seconds(2); ///< Short of tokens within this: more units are wanted.
+  std::size_t needs_ = 16;               ///< Most accounts named as needed in the lease row.
   bool operator==(const ShareLeaseSettings&) const = default;
 };
 
@@ -97,17 +97,17 @@
 {
   std::uint64_t revision_ = 0;
   ShareRow row_;
-  TimePoint seen_{};      ///< After the read that first showed this revision.
-  TimePoint floorSeen_{}; ///< After the read that first showed this floor epoch in use, or its
-                          ///< last renewal.
+  TimePoint firstSeenAt_{};        ///< After the read that first showed this revision.
+  TimePoint floorRenewalSeenAt_{}; ///< After the read that first showed this floor epoch in use, or
+                                   ///< its last renewal.
 };
 
 /// A write of the own lease row whose effect on this node isn't applied yet.
 struct PendingShareWrite
 {
   ShareRow row_;
-  TimePoint sent_{};
-  std::map<ClientAccountId, PoolEntry> entries_; ///< Pool entries written with it.
+  TimePoint sentAt_{};
+  std::map<ClientAccountId, PoolEntry> poolEntries_; ///< Pool entries written with it.
   bool acquires_ = false;
   bool releases_ = false;
 };
@@ -131,33 +131,34 @@
   std::shared_ptr<const MemberRanking> ranking_;
 
   bool held_ = false;
-  ShareRow row_;               ///< As last known to be in force, while held.
-  std::uint64_t revision_ = 0; ///< Of the own row.
-  TimePoint elasticSent_{};    ///< Before the last renewal that took effect was sent.
-  TimePoint floorSent_{};
+  ShareRow row_;                     ///< As last known to be in force, while held.
+  std::uint64_t revision_ = 0;       ///< Of the own row.
+  TimePoint elasticRenewalSentAt_{}; ///< Before the last renewal that took effect was sent.
+  TimePoint floorRenewalSentAt_{};
   std::uint64_t floorEpoch_ = 0; ///< Epoch under which this process holds the floors; 0: none.
-  TimePoint floorFrom_{}; ///< With floors of an earlier holder: when their lease has surely ended.
-  std::optional<TimePoint> stopped_; ///< Since when nothing is granted, before a release.
-  bool releaseSent_ = false;         ///< A release may take effect at any time.
+  TimePoint
+    floorUsableAt_{}; ///< With floors of an earlier holder: when their lease has surely ended.
+  std::optional<TimePoint> grantsStoppedAt_; ///< Since when nothing is granted, before a release.
+  bool releaseSent_ = false;                 ///< A release may take effect at any time.
 
-  std::map<ClientAccountId, PoolEntry> entries_;    ///< Pool entries as of the last read or write.
-  std::map<ClientAccountId, std::uint32_t> giving_; ///< Elastic units out of use, to be given.
+  std::map<ClientAccountId, PoolEntry> poolEntries_; ///< Pool entries as of the last read or write.
+  std::map<ClientAccountId, std::uint32_t> unitsToGive_; ///< Elastic units out of use, to be given.
   std::map<DataCentreId, ObservedShare> observed_;
   std::map<ClientAccountId, std::uint32_t> needs_;
   std::optional<PendingShareWrite> pending_;
   std::uint64_t sequence_ = 0;
 
   std::optional<ShareCallKind> call_;
-  TimePoint nextCycle_{};
-  TimePoint periodStart_{};
-  std::uint64_t moves_ = 0; ///< Pool writes that took effect.
+  TimePoint nextCycleAt_{};
+  TimePoint usePeriodStartedAt_{};
+  std::uint64_t poolWrites_ = 0; ///< Pool writes that took effect.
 };
 
 /// What the owner has to do after a step.
 struct ShareLeaseEffects
 {
   std::optional<PlatformCall> call_; ///< At most one at a time; answer through HandleShareAnswer.
-  bool taken_ = false;
+  bool acquired_ = false;
   bool lost_ = false;
 };
 
--- a/peridotquay/process/ShareLedger.cpp
+++ b/peridotquay/process/ShareLedger.cpp
@@ -13,7 +13,7 @@
 constexpr double kEpsilon = 1e-9;
 
 // Share of the last period in the moving average: it follows a change within about 3 s.
-constexpr double kUseWeight = 0.3;
+constexpr double kUseAverageWeight = 0.3;
 
 void CapLevel(AccountLedger& aAccount)
 {
@@ -23,19 +23,19 @@
 
 // Tokens that a host kept after its clock ended the grant are lost, never returned: a return after
 // the level was refilled would exceed the burst.
-void Expire(AccountLedger& aAccount, TimePoint aNow)
+void ExpireGrants(AccountLedger& aAccount, TimePoint aNow)
 {
-  if (aNow < aAccount.nextExpiry_) {
+  if (aNow < aAccount.nextExpiryAt_) {
     return;
   }
-  aAccount.nextExpiry_ = TimePoint::max();
+  aAccount.nextExpiryAt_ = TimePoint::max();
   for (auto it = aAccount.grants_.begin(); it != aAccount.grants_.end();) {
-    if (it->second.expires_ <= aNow) {
+    if (it->second.expiresAt_ <= aNow) {
       aAccount.outstanding_ -= it->second.tokens_;
       aAccount.usedInPeriod_ += it->second.tokens_;
       it = aAccount.grants_.erase(it);
     } else {
-      aAccount.nextExpiry_ = std::min(aAccount.nextExpiry_, it->second.expires_);
+      aAccount.nextExpiryAt_ = std::min(aAccount.nextExpiryAt_, it->second.expiresAt_);
       ++it;
     }
   }
@@ -47,14 +47,14 @@
 // Adds what accrued since the last refill. The cap counts outstanding tokens.
 void Refill(AccountLedger& aAccount, TimePoint aNow)
 {
-  if (aNow > aAccount.refilled_) {
-    aAccount.level_ += aAccount.limit_.ratePerSecond_ * ToSeconds(aNow - aAccount.refilled_);
-    aAccount.refilled_ = aNow;
+  if (aNow > aAccount.refilledAt_) {
+    aAccount.level_ += aAccount.limit_.ratePerSecond_ * ToSeconds(aNow - aAccount.refilledAt_);
+    aAccount.refilledAt_ = aNow;
   }
   CapLevel(aAccount);
 }
 
-void Settle(AccountLedger& aAccount, const HostId& aHost, const ShareRequest& aRequest)
+void SettleGrant(AccountLedger& aAccount, const HostId& aHost, const ShareRequest& aRequest)
 {
   const auto found = aAccount.grants_.find(aRequest.grant_);
   if (found == aAccount.grants_.end() || found->second.host_ != aHost) {
@@ -75,7 +75,7 @@
 
 // Grants of small bursts live shorter. Used tokens count as outstanding until they are reported, so
 // with a lifetime above burst / rate the refill would stand still while hosts hold used grants.
-Duration GrantLifetime(const AccountLedger& aAccount)
+Duration LifetimeOfGrants(const AccountLedger& aAccount)
 {
   const double refillSeconds =
     aAccount.limit_.burst_ / std::max(aAccount.limit_.ratePerSecond_, kEpsilon);
@@ -86,8 +86,8 @@
 
 std::uint32_t RetryAfterMs(const AccountLedger& aAccount, TimePoint aNow)
 {
-  constexpr double kLongestMs = 1000;
-  double waitMs = kLongestMs;
+  constexpr double kMaxRetryAfterMs = 1000;
+  double waitMs = kMaxRetryAfterMs;
   const auto& limit = aAccount.limit_;
   if (limit.ratePerSecond_ > 0 && limit.burst_ >= 1) {
     waitMs = (1 - aAccount.level_) / limit.ratePerSecond_ * 1000;
@@ -95,17 +95,18 @@
   // Without room below the burst, the next expiry frees some.
   if (aAccount.level_ + aAccount.outstanding_ + 1 > limit.burst_) {
     for (const auto& [id, grant] : aAccount.grants_) {
-      waitMs = std::max(waitMs, std::min(kLongestMs, ToSeconds(grant.expires_ - aNow) * 1000));
+      waitMs =
+        std::max(waitMs, std::min(kMaxRetryAfterMs, ToSeconds(grant.expiresAt_ - aNow) * 1000));
     }
   }
-  return static_cast<std::uint32_t>(std::ceil(std::clamp(waitMs, 1.0, kLongestMs)));
+  return static_cast<std::uint32_t>(std::ceil(std::clamp(waitMs, 1.0, kMaxRetryAfterMs)));
 }
 
 } // namespace
 
 void UpdateAccount(AccountLedger& aAccount, TimePoint aNow)
 {
-  Expire(aAccount, aNow);
+  ExpireGrants(aAccount, aNow);
   Refill(aAccount, aNow);
 }
 
@@ -117,7 +118,7 @@
   const auto [it, added] = aLedger.accounts_.try_emplace(aAccount);
   auto& account = it->second;
   if (added) {
-    account.refilled_ = aNow;
+    account.refilledAt_ = aNow;
   }
   UpdateAccount(account, aNow);
   account.limit_ = aLimit;
@@ -127,7 +128,7 @@
 ShareGrant GrantTokens(ShareLedger& aLedger,
                        const HostId& aHost,
                        const ShareRequest& aRequest,
-                       Duration aLongest,
+                       Duration aMaxLifetime,
                        TimePoint aNow)
 {
   ShareGrant grant;
@@ -139,19 +140,19 @@
     return grant;
   }
   auto& account = found->second;
-  Expire(account, aNow);
-  Settle(account, aHost, aRequest);
+  ExpireGrants(account, aNow);
+  SettleGrant(account, aHost, aRequest);
   Refill(account, aNow);
   const double wanted = std::isfinite(aRequest.wanted_) ? std::floor(aRequest.wanted_) : 0;
   if (wanted < 1) {
     return grant;
   }
-  const auto lifetime = std::min(GrantLifetime(account), aLongest);
+  const auto lifetime = std::min(LifetimeOfGrants(account), aMaxLifetime);
   // Also short if the halving keeps the level up while hosts get less than they want.
   const bool low =
     account.level_ < account.limit_.burst_ / 2 && wanted > std::floor(account.level_ / 2);
   if (low || wanted > std::floor(account.level_ + kEpsilon)) {
-    account.short_ = aNow;
+    account.lastShortAt_ = aNow;
     account.everShort_ = true;
   }
   // Half of the level at most, so that the first host to ask doesn't starve the others.
@@ -168,7 +169,7 @@
   account.level_ = std::max(0.0, account.level_ - tokens);
   account.outstanding_ += tokens;
   account.grants_[grant.grant_] = { aHost, tokens, aNow + lifetime };
-  account.nextExpiry_ = std::min(account.nextExpiry_, aNow + lifetime);
+  account.nextExpiryAt_ = std::min(account.nextExpiryAt_, aNow + lifetime);
   assert(account.level_ + account.outstanding_ <= account.limit_.burst_ + 1e-6 ||
          account.level_ == 0);
   return grant;
@@ -194,7 +195,7 @@
   for (auto& [id, account] : aLedger.accounts_) {
     UpdateAccount(account, aNow);
     const double use = account.usedInPeriod_ / length;
-    account.usePerSecond_ += kUseWeight * (use - account.usePerSecond_);
+    account.usePerSecond_ += kUseAverageWeight * (use - account.usePerSecond_);
     account.usedInPeriod_ = 0;
   }
 }
--- a/peridotquay/process/ShareLedger.h
+++ b/peridotquay/process/ShareLedger.h
@@ -30,7 +30,7 @@
 {
   HostId host_;
   double tokens_ = 0;
-  TimePoint expires_{}; ///< By this node's clock; the requester's own limit is earlier.
+  TimePoint expiresAt_{}; ///< By this node's clock; the requester's own limit is earlier.
 };
 
 /// Ledger of one client account.
@@ -40,12 +40,12 @@
   ShareLimit limit_;
   double level_ = 0;       ///< Tokens that can be granted now.
   double outstanding_ = 0; ///< Sum of grants_.
-  TimePoint refilled_{};
+  TimePoint refilledAt_{};
   std::map<std::uint64_t, OutstandingGrant> grants_;
-  TimePoint nextExpiry_{}; ///< No grant expires before this.
+  TimePoint nextExpiryAt_{}; ///< No grant expires before this.
   double usedInPeriod_ = 0;
   double usePerSecond_ = 0; ///< Moving average of use.
-  TimePoint short_{};       ///< When a request last found too few tokens.
+  TimePoint lastShortAt_{}; ///< When a request last found too few tokens.
   bool everShort_ = false;
 };
 
@@ -64,11 +64,12 @@
                    TimePoint aNow);
 
 /// Settles the report in the request, then grants up to what it wants, at most half of the level at
-/// once. aLongest bounds the lifetime by the rest of the lease. An unknown account gets no tokens.
+/// once. aMaxLifetime bounds the lifetime by the rest of the lease. An unknown account gets no
+/// tokens.
 ShareGrant GrantTokens(ShareLedger& aLedger,
                        const HostId& aHost,
                        const ShareRequest& aRequest,
-                       Duration aLongest,
+                       Duration aMaxLifetime,
                        TimePoint aNow);
 
 /// Refills and expires one account up to now.
--- a/tests/process/ControlActorTest.cpp
+++ b/tests/process/ControlActorTest.cpp
@@ -27,22 +27,22 @@
   {
     scheduler_.advance_time(seconds(1000));
     ControlContext context{ {}, std::make_shared<ControlStatusSlots>() };
-    context.port_.sendPeer_ = [this](const Address&, PeerMessage) { ++sent_; };
-    context.port_.sendDatagram_ = [this](const Address&, PeerMessage) { ++sent_; };
-    context.port_.publishConfig_ = [this](std::shared_ptr<const Config> aConfig) {
-      config_ptr_ = std::move(aConfig);
+    context.callbacks_.sendPeer_ = [this](const Address&, PeerMessage) { ++messagesSent_; };
+    context.callbacks_.sendDatagram_ = [this](const Address&, PeerMessage) { ++messagesSent_; };
+    context.callbacks_.publishConfig_ = [this](std::shared_ptr<const Config> aConfig) {
+      publishedConfig_ = std::move(aConfig);
     };
-    context.port_.publishTargets_ = [this](std::shared_ptr<const TargetView> aView) {
-      view_ = std::move(aView);
+    context.callbacks_.publishTargets_ = [this](std::shared_ptr<const TargetView> aView) {
+      publishedTargets_ = std::move(aView);
     };
-    context.port_.publishFreshness_ = [this](TimePoint aTime) { fresh_ = aTime; };
-    context.port_.deliverGrant_ = [this](ShareGrant aGrant, TimePoint aAsked) {
+    context.callbacks_.publishFreshness_ = [this](TimePoint aTime) { publishedFreshness_ = aTime; };
+    context.callbacks_.deliverGrant_ = [this](ShareGrant aGrant, TimePoint aAsked) {
       grant_ = std::move(aGrant);
       asked_ = aAsked;
     };
     const auto platform = system_.spawn([this](caf::event_based_actor* aSelf) -> caf::behavior {
-      return { [this, aSelf](const PlatformCallRequest& aJob) {
-        auto answer = RunPlatformCall(platform_, aJob.call_);
+      return { [this, aSelf](const PlatformCallRequest& aRequest) {
+        auto answer = RunPlatformCall(platform_, aRequest.call_);
         answer.startedAt_ = aSelf->clock().now();
         answer.finishedAt_ = aSelf->clock().now();
         return answer;
@@ -92,7 +92,7 @@
     scheduler_.run();
   }
 
-  double Ask(double aWanted)
+  double RequestTokens(double aWanted)
   {
     grant_.reset();
     caf::anon_send(shares_, TokenRequest{ { 77, { "mill" }, 0, 0, aWanted }, Now() });
@@ -100,7 +100,7 @@
     return grant_ ? grant_->tokens_ : -1;
   }
 
-  void Accept(Version aVersion, const std::string& aAccount)
+  void CommitVersion(Version aVersion, const std::string& aAccount)
   {
     Change change;
     change.version_ = aVersion;
@@ -113,12 +113,12 @@
   }
 
   FakePlatform platform_;
-  std::shared_ptr<const Config> config_ptr_;
-  std::shared_ptr<const TargetView> view_;
-  std::optional<TimePoint> fresh_;
+  std::shared_ptr<const Config> publishedConfig_;
+  std::shared_ptr<const TargetView> publishedTargets_;
+  std::optional<TimePoint> publishedFreshness_;
   std::optional<ShareGrant> grant_;
   TimePoint asked_{};
-  int sent_ = 0;
+  int messagesSent_ = 0;
   TestConfig config_;
   caf::actor_system system_;
   caf::scheduler::test_coordinator& scheduler_;
@@ -134,17 +134,17 @@
 TEST_CASE("actors follow the platform by the actor clock", "[actors]")
 {
   PausedNode node;
-  node.Accept(1, R"({"burst":20,"rate":10})");
+  node.CommitVersion(1, R"({"burst":20,"rate":10})");
   node.Advance(seconds(1));
-  REQUIRE(node.config_ptr_ != nullptr);
-  CHECK(node.config_ptr_->version_ == 1);
-  CHECK(node.view_->hosts_.size() == 1);
-  node.Accept(2, R"({"burst":20,"rate":11})");
+  REQUIRE(node.publishedConfig_ != nullptr);
+  CHECK(node.publishedConfig_->version_ == 1);
+  CHECK(node.publishedTargets_->hosts_.size() == 1);
+  node.CommitVersion(2, R"({"burst":20,"rate":11})");
   node.scheduler_.run();
-  CHECK(node.config_ptr_->version_ == 1);
+  CHECK(node.publishedConfig_->version_ == 1);
   node.Advance(milliseconds(700));
-  CHECK(node.config_ptr_->version_ == 2);
-  CHECK(node.Now() - *node.fresh_ <= milliseconds(700));
+  CHECK(node.publishedConfig_->version_ == 2);
+  CHECK(node.Now() - *node.publishedFreshness_ <= milliseconds(700));
 }
 
 // Guards against freshness that goes on while the platform is away, in a data centre without
@@ -152,15 +152,15 @@
 TEST_CASE("freshness stops with the platform", "[actors]")
 {
   PausedNode node;
-  node.Accept(1, R"({"burst":20,"rate":10})");
+  node.CommitVersion(1, R"({"burst":20,"rate":10})");
   node.Advance(seconds(2));
   node.platform_.down_ = true;
-  const auto before = *node.fresh_;
+  const auto before = *node.publishedFreshness_;
   node.Advance(seconds(30));
-  CHECK(*node.fresh_ == before);
+  CHECK(*node.publishedFreshness_ == before);
   node.platform_.down_ = false;
   node.Advance(seconds(1));
-  CHECK(*node.fresh_ > before + seconds(29));
+  CHECK(*node.publishedFreshness_ > before + seconds(29));
 }
 
 // Guards against a leader that grants from a lease that ended while its process was paused, and
@@ -168,16 +168,16 @@
 TEST_CASE("a paused leader grants nothing from an expired lease", "[actors]")
 {
   PausedNode node;
-  node.Accept(1, R"({"burst":20,"rate":10})");
+  node.CommitVersion(1, R"({"burst":20,"rate":10})");
   node.Advance(seconds(6));
   const auto asked = node.Now();
-  CHECK(node.Ask(2) == 2);
+  CHECK(node.RequestTokens(2) == 2);
   CHECK(node.grant_->nonce_ == 77);
   CHECK(node.asked_ == asked);
   node.platform_.down_ = true;
   node.Pause(seconds(700));
-  CHECK(node.Ask(2) == 0);
+  CHECK(node.RequestTokens(2) == 0);
   node.platform_.down_ = false;
   node.Advance(seconds(3));
-  CHECK(node.Ask(2) == 2);
+  CHECK(node.RequestTokens(2) == 2);
 }
