--- a/peridotquay/process/ConfigStore.cpp
+++ b/peridotquay/process/ConfigStore.cpp
@@ -1,4 +1,5 @@
-// The version stream of the configuration in the platform.
+// Loads the configuration from the platform, commits changes and resolves commits whose answer was
+// lost.
 #include "peridotquay/process/ConfigStore.h"
 
 #include "peridotquay/version/ConfigCompiler.h"
@@ -12,7 +13,7 @@
 
 namespace {
 
-/// Changes read in one request: at most 64 of 64 KiB.
+/// Maximum number of changes in one read. A change has at most 64 KiB.
 constexpr std::uint32_t kMaxChangesPerRead = 64;
 
 /// Reads the change of a version; empty if its row doesn't exist.
@@ -56,7 +57,7 @@
   return Snapshot{};
 }
 
-/// Applies the changes after the snapshot up to a version.
+/// Applies the changes after the snapshot, up to and including a version.
 Result<Entities> Replay(Platform& aPlatform, const Snapshot& aSnapshot, Version aVersion)
 {
   auto entities = aSnapshot.entities_;
@@ -68,8 +69,8 @@
       if (change.version_ != version) {
         return Fail(ErrorCode::kPlatformMalformed, ChangeRowKey(version), "no gap");
       }
-      // A change that can't be applied counts as an empty one, as it does at every node; otherwise
-      // a row of another writer would bar all further changes.
+      // A change that can't be applied counts as empty, as it does at every node. Otherwise one bad
+      // row of another writer would block all further changes.
       static_cast<void>(ApplyChange(entities, change));
     }
     if (changes.empty()) {
@@ -84,16 +85,16 @@
   return Fail(ErrorCode::kVersionConflict, "version " + std::to_string(aWinner));
 }
 
-/// A transaction of a change whose answer was lost.
+/// Commit of a change whose answer was lost.
 struct LostCommit
 {
   const StoredConfig& base_;
   const Change& change_;
 };
 
-/// Writes the head again under its old revision. If that succeeds, the head's revision is another
-/// one and the lost transaction can't take effect any more.
-/// The result doesn't matter: the caller reads the head again.
+/// Writes the head row unchanged if it still has the revision that the lost transaction relies on.
+/// The write changes the revision, so the lost transaction can't take effect any more. The result
+/// is ignored because the caller reads the head row again.
 void FenceLostCommit(Platform& aPlatform, const LostCommit& aLost)
 {
   PlatformTransaction fence;
@@ -103,15 +104,16 @@
   static_cast<void>(aPlatform.Transact(fence));
 }
 
-/// Finds out by reading whether the lost transaction took effect.
+/// Reads the platform until it shows whether the lost transaction took effect.
 Result<Version> ResolveLostCommit(Platform& aPlatform,
                                   const LostCommit& aLost,
                                   const CommitSettings& aSettings)
 {
   const auto start = Clock::now();
   while (Clock::now() - start < aSettings.resolveTimeout_) {
-    // The head is read first: if it has moved on while the change row is absent afterwards, the
-    // lost transaction didn't take effect and never will, because its condition on the head fails.
+    // The head row is read before the change row. If the head's revision has changed and the change
+    // row is absent, the lost transaction didn't take effect and never will, because its condition
+    // on the head row fails.
     const auto head = ReadHead(aPlatform);
     const auto change = ReadChange(aPlatform, aLost.change_.version_);
     if (change.has_value() && change.assume_value()) {
@@ -132,10 +134,10 @@
     ErrorCode::kPlatformUnknown, aLost.change_.operationId_, "look for this operation id later");
 }
 
-/// Most tries when the head's revision moved on without a new version.
+/// Maximum number of attempts if the head's revision changes without a new version.
 constexpr int kMaxWriteAttempts = 4;
 
-/// Writes a checked change against the head revision in aBase.
+/// Writes a checked change if the head row still has the revision in aBase.
 Result<Version> WriteChange(Platform& aPlatform,
                             const StoredConfig& aBase,
                             const Change& aChange,
@@ -211,7 +213,8 @@
     if (head.version_ != aBase.version_) {
       return VersionConflict(head.version_);
     }
-    // Another operator barred a lost transaction; the version is still the one written against.
+    // Another operator's commit fenced a lost transaction. The version is unchanged, so the change
+    // still applies.
     base.headRevision_ = head.headRevision_;
   }
   return Fail(ErrorCode::kPlatformUnavailable, "change", "the head keeps moving; not written");
--- a/peridotquay/process/ControlActor.h
+++ b/peridotquay/process/ControlActor.h
@@ -1,5 +1,6 @@
-// Actors of the control side. Each wraps one decision module, holds its state and uses the actor
-// clock. Only files of the control side and its tests include this header, because it includes CAF.
+// Actors of the control plane. Each one runs a decision module (membership, dissemination or the
+// share lease), owns its state and takes the time from the clock of the actor system. Only files of
+// the control plane and its tests include this header, because it includes CAF.
 #pragma once
 
 #include "peridotquay/process/ControlPlane.h"
@@ -18,15 +19,15 @@
 
 namespace peridotquay {
 
-/// A frame or datagram from a peer.
+/// A message that a peer sent in a frame or a datagram.
 struct ReceivedPeerMessage
 {
-  Hello from_; ///< Empty for datagrams.
-  Address peer_;
+  Hello from_;   ///< Identity from the peer's handshake; empty for datagrams.
+  Address peer_; ///< Remote address.
   PeerMessage message_;
 };
 
-/// The local target's announcement.
+/// The local target announced its state, its number of slots and its load.
 struct TargetAnnouncement
 {
   TargetState state_ = TargetState::kCold;
@@ -34,13 +35,13 @@
   double load_ = 0;
 };
 
-/// This node left.
+/// This node leaves the membership. The successor takes over its request records.
 struct DepartureAnnouncement
 {
   HostId successor_;
 };
 
-/// Membership changed.
+/// The ranking of the members changed, which names the delegates and the share leader.
 struct RankingUpdate
 {
   std::shared_ptr<const MemberRanking> ranking_;
@@ -52,32 +53,33 @@
   std::shared_ptr<const Config> config_;
 };
 
-/// Addresses found in contact rows.
+/// Addresses of hosts that the contact rows of the platform name.
 struct ContactUpdate
 {
   std::vector<Address> contacts_;
 };
 
-/// Summaries that lack version and freshness.
+/// Summaries from membership, to which the version actor adds version and freshness before it sends
+/// them.
 struct SummaryBatch
 {
   std::vector<ControlMessage> summaries_;
 };
 
-/// The data path asks for tokens.
+/// The data plane requests tokens from the share leader.
 struct TokenRequest
 {
   ShareRequest request_;
-  TimePoint asked_{};
+  TimePoint requestedAt_{};
 };
 
-/// A platform call for a platform actor, which answers with a PlatformAnswer.
+/// Asks the platform actor to run a call. It answers with a PlatformAnswer.
 struct PlatformCallRequest
 {
   PlatformCall call_;
 };
 
-/// Status as of the last step of each actor. Each slot has one writer and holds immutable values.
+/// Latest status of each actor. Each slot is written by one actor and holds immutable values.
 struct ControlStatusSlots
 {
   std::atomic<std::shared_ptr<const ControlStatus>> membership_;
@@ -85,44 +87,47 @@
   std::atomic<std::shared_ptr<const ControlStatus>> shares_;
 };
 
-/// What the actors have in common. Immutable once the actors run.
+/// Callbacks and status slots that the actors share. Not changed after the actors are spawned.
 struct ControlContext
 {
   DataPlaneCallbacks callbacks_;
   std::shared_ptr<ControlStatusSlots> status_;
 };
 
-/// Interval of the steps of each actor. Bounds how late a timer acts; 100 ms is a third of the
-/// shortest one (indirect probes after 300 ms) and keeps an idle node below 30 wake-ups a second.
+/// Interval between the ticks of each actor, and so the maximum delay of a timer: a third of the
+/// shortest timer (indirect probes after 300 ms). An idle node stays below 30 wake-ups a second.
 inline constexpr Duration kControlTickInterval = milliseconds(100);
 
-/// Runs membership. Tells the other two actors of rankings and of summaries to complete.
+/// Spawns the actor that runs membership. It sends rankings to aVersions and aShares, and summaries
+/// to aVersions.
 caf::actor SpawnMembershipActor(caf::actor_system& aSystem,
                                 const ControlContext& aContext,
                                 const Membership& aState,
                                 const caf::actor& aVersions,
                                 const caf::actor& aShares);
 
-/// Runs dissemination. aPlatform answers PlatformCallRequest with PlatformAnswer. Contacts go to
-/// the actor in the first message of type caf::actor.
+/// Spawns the actor that runs dissemination. aPlatform must answer PlatformCallRequest with
+/// PlatformAnswer. The membership actor, which receives the contacts, is spawned later and is set
+/// by a message of type caf::actor.
 caf::actor SpawnVersionActor(caf::actor_system& aSystem,
                              const ControlContext& aContext,
                              const Dissemination& aState,
                              const caf::actor& aPlatform,
                              const caf::actor& aShares);
 
-/// Runs the share lease and its ledger.
+/// Spawns the actor that runs the share lease and its ledger. aPlatform must answer
+/// PlatformCallRequest with PlatformAnswer.
 caf::actor SpawnShareActor(caf::actor_system& aSystem,
                            const ControlContext& aContext,
                            const ShareLease& aState,
                            const caf::actor& aPlatform);
 
-/// Runs platform calls one at a time in a thread of its own.
+/// Spawns the actor that runs platform calls, one at a time, in a thread of its own.
 caf::actor SpawnPlatformActor(caf::actor_system& aSystem, std::shared_ptr<Platform> aPlatform);
 
 } // namespace peridotquay
 
-// The messages stay within one process, so they need no serialization.
+// These messages stay within one process, so they need no serialization.
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::ReceivedPeerMessage)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::TargetAnnouncement)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::DepartureAnnouncement)
--- a/peridotquay/process/ControlActorMembership.cpp
+++ b/peridotquay/process/ControlActorMembership.cpp
@@ -1,4 +1,4 @@
-// Actor around membership.
+// Actor that runs membership and publishes the targets to the data plane.
 #include "peridotquay/process/ControlActor.h"
 #include "peridotquay/process/Events.h"
 
@@ -10,7 +10,8 @@
 
 using TickAtom = caf::atom_constant<caf::atom("tick")>;
 
-// Loads alone don't change routes much; the view is republished for them at most this often.
+// Minimum interval between publications for which only loads changed. Loads alone change routes
+// little.
 constexpr Duration kLoadPublishInterval = seconds(1);
 
 struct MembershipActorState
--- a/peridotquay/process/ControlActorPlatform.cpp
+++ b/peridotquay/process/ControlActorPlatform.cpp
@@ -1,4 +1,4 @@
-// Actor around the blocking platform client.
+// Actor that runs the blocking calls of the platform client.
 #include "peridotquay/process/ControlActor.h"
 
 #include <caf/all.hpp>
@@ -11,7 +11,8 @@
     [platform = std::move(aPlatform)](caf::event_based_actor* aSelf) -> caf::behavior {
       return {
         [=](const PlatformCallRequest& aRequest) {
-          // The start is read before the call: what the answer says held at some time after it.
+          // The clock is read before the call: the answer describes the platform at some time after
+          // startedAt_.
           const auto started = aSelf->clock().now();
           auto answer = RunPlatformCall(*platform, aRequest.call_);
           answer.startedAt_ = started;
--- a/peridotquay/process/ControlActorShare.cpp
+++ b/peridotquay/process/ControlActorShare.cpp
@@ -1,4 +1,5 @@
-// Actor around the share lease and its ledger.
+// Actor that runs the share lease and its ledger, and forwards token requests of the data plane to
+// the share leader.
 #include "peridotquay/process/ControlActor.h"
 #include "peridotquay/process/Events.h"
 #include "peridotquay/version/MembershipRank.h"
@@ -13,14 +14,14 @@
 
 using TickAtom = caf::atom_constant<caf::atom("tick")>;
 
-// A request without an answer is forgotten after this; its grant would have expired.
+// Token requests without an answer are removed after this time; their grants would have expired.
 constexpr Duration kTokenRequestTimeout = seconds(2);
 
-// A request of the data path that is under way.
+// Token request of the data plane that is under way.
 struct PendingTokenRequest
 {
-  std::uint64_t nonce_ = 0; ///< Of the data path.
-  TimePoint asked_{};
+  std::uint64_t nonce_ = 0; ///< Nonce that the data plane chose.
+  TimePoint requestedAt_{};
 };
 
 struct ShareActorState
@@ -29,8 +30,9 @@
   ShareLease lease_;
   ShareLedger ledger_;
   caf::actor platform_;
-  std::uint64_t nextNonce_ = 0;                        ///< Of requests to the leader.
-  std::map<std::uint64_t, PendingTokenRequest> asked_; ///< By nonce of the request to the leader.
+  std::uint64_t nextNonce_ = 0; ///< For requests to the share leader.
+  std::map<std::uint64_t, PendingTokenRequest>
+    pendingRequests_; ///< By nonce of the request to the share leader.
 };
 
 using ShareActor = caf::stateful_actor<ShareActorState>;
@@ -58,26 +60,29 @@
     });
 }
 
+// Passes a grant to the data plane if it answers a pending request.
 void DeliverGrant(ShareActor* aSelf, ShareGrant aGrant)
 {
-  const auto found = aSelf->state.asked_.find(aGrant.nonce_);
-  if (found == aSelf->state.asked_.end()) {
+  const auto found = aSelf->state.pendingRequests_.find(aGrant.nonce_);
+  if (found == aSelf->state.pendingRequests_.end()) {
     return;
   }
   const auto pending = found->second;
-  aSelf->state.asked_.erase(found);
+  aSelf->state.pendingRequests_.erase(found);
   aGrant.nonce_ = pending.nonce_;
-  aSelf->state.context_.callbacks_.deliverGrant_(std::move(aGrant), pending.asked_);
+  aSelf->state.context_.callbacks_.deliverGrant_(std::move(aGrant), pending.requestedAt_);
 }
 
 void RequestTokens(ShareActor* aSelf, const TokenRequest& aTokenRequest)
 {
   auto& state = aSelf->state;
-  // Nonces on the wire begin at a random number. A late grant for an earlier process of this host
-  // must not match a request of this one, whose lifetime is counted from later.
+  // The request gets a nonce from a sequence that begins at a random number. Otherwise a late grant
+  // for an earlier process of this host could match a newer request of this process, and the
+  // lifetime of the grant would be counted from a later time.
   auto request = aTokenRequest.request_;
   request.nonce_ = state.nextNonce_++;
-  state.asked_[request.nonce_] = { aTokenRequest.request_.nonce_, aTokenRequest.asked_ };
+  state.pendingRequests_[request.nonce_] = { aTokenRequest.request_.nonce_,
+                                             aTokenRequest.requestedAt_ };
   const auto& ranking = state.lease_.ranking_;
   if (ranking == nullptr) {
     return;
@@ -115,8 +120,8 @@
   ShareLeaseEffects effects;
   StepShareLease(state.lease_, state.ledger_, now, effects);
   ApplyEffects(aSelf, effects);
-  std::erase_if(state.asked_, [&](const auto& aAsked) {
-    return now - aAsked.second.asked_ > kTokenRequestTimeout;
+  std::erase_if(state.pendingRequests_, [&](const auto& aPending) {
+    return now - aPending.second.requestedAt_ > kTokenRequestTimeout;
   });
   ControlStatus status;
   status.shareLeader_ = state.lease_.held_;
--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -1,4 +1,5 @@
-// Actor around dissemination.
+// Actor that runs dissemination and publishes the configuration and its freshness to the data
+// plane.
 #include "peridotquay/process/ControlActor.h"
 #include "peridotquay/process/Events.h"
 
@@ -16,7 +17,7 @@
   Dissemination versions_;
   caf::actor platform_;
   caf::actor shares_;
-  caf::actor membership_; ///< Empty until it is told.
+  caf::actor membership_; ///< Empty until the message that sets it arrives.
 };
 
 using VersionActor = caf::stateful_actor<VersionActorState>;
@@ -86,7 +87,8 @@
   if (aEffects.config_ != nullptr || aEffects.freshness_) {
     PublishStatus(state, aSelf->clock().now());
   }
-  // The configuration goes first: freshness must never be published for a version not in force yet.
+  // The configuration is published first: freshness must never be published for a version that
+  // isn't in force yet.
   if (aEffects.config_ != nullptr) {
     callbacks.publishConfig_(aEffects.config_);
     aSelf->send(state.shares_, ConfigUpdate{ aEffects.config_ });
@@ -108,8 +110,8 @@
   }
 }
 
-// Address that answers reach: the member's own one if known, since a connection's remote address
-// may be an ephemeral port.
+// Address for answers: the one that the member announced, if it is known. The remote address of a
+// connection may have an ephemeral port.
 Address ReplyAddress(const VersionActorState& aState, const ReceivedPeerMessage& aReceived)
 {
   const auto& ranking = aState.versions_.ranking_;
--- a/peridotquay/process/RolloutStatus.cpp
+++ b/peridotquay/process/RolloutStatus.cpp
@@ -1,4 +1,4 @@
-// Whether a version is in force everywhere.
+// Reads the watermarks, waits for a rollout and keeps track of replaced freshness bounds.
 #include "peridotquay/process/RolloutStatus.h"
 
 #include "peridotquay/version/Config.h"
@@ -14,20 +14,21 @@
 
 namespace {
 
-/// The largest bound that a configuration can set, 3,600 s.
+/// Maximum freshness bound that a configuration can set.
 constexpr Duration kMaxFreshnessBound = seconds(3600);
 
-/// A replaced bound counts for this long: twice the longest bound, because the times come from
-/// operators' clocks.
+/// Time for which a replaced bound counts: twice the maximum bound, because the times come from the
+/// clocks of operators' machines.
 constexpr std::uint64_t kReplacedBoundLifetimeMs = 7200000;
 
-/// More rows than sites: those of sites that were removed stay.
+/// Maximum number of watermark rows in one read. Rows of removed data centres remain.
 constexpr std::uint32_t kMaxWatermarkRows = 1000;
 
 const std::string kPolicyEntity = "policy/default";
 const std::string kReplacedEntity = "policy/replaced";
 
-/// The freshness bound of a policy entity; the longest one if the entity is malformed.
+/// Freshness bound of a policy entity: the default if the entity or its bound is absent, the
+/// maximum if the entity is malformed.
 Duration FreshnessBoundIn(const Entities& aEntities, const std::string& aEntity)
 {
   const auto entity = aEntities.find(aEntity);
@@ -45,7 +46,7 @@
   return milliseconds(found->get<std::int64_t>());
 }
 
-/// The bound that was replaced, or zero if there is none or no host can use it any more.
+/// Replaced freshness bound; zero if there is none or if no host can use it any more.
 Duration ReplacedFreshnessBound(const Entities& aEntities, std::uint64_t aWallMs)
 {
   const auto entity = aEntities.find(kReplacedEntity);
@@ -69,7 +70,7 @@
     rollout.reported_ = true;
     rollout.version_ = aWatermark->version_;
     rollout.unreachable_ = aWatermark->unreachable_;
-    // The row keeps hosts that lag behind a later version too; they don't matter here.
+    // If the watermark has reached aVersion, its lagging hosts lag behind a later version.
     if (aWatermark->version_ < aVersion) {
       rollout.lagging_ = aWatermark->lagging_;
     }
@@ -104,7 +105,7 @@
                                         const std::vector<DataCentreId>& aDataCentres,
                                         Version aVersion)
 {
-  // One read for all sites, because many operators may wait at once.
+  // One read for all data centres, because many operators may wait at the same time.
   BOOST_OUTCOME_TRY(rows, aPlatform.ReadRange(WatermarkRowKey({}), "", kMaxWatermarkRows));
   std::map<DataCentreId, Watermark> watermarks;
   for (const auto& row : rows) {
@@ -131,7 +132,7 @@
   if (const auto kept = aCurrent.find(kReplacedEntity); kept != aCurrent.end()) {
     aNext[kReplacedEntity] = kept->second;
   }
-  // Before the first version no host serves a keyed route, so nothing is replaced.
+  // Before the first version no host serves a keyed route, so there is no bound to replace.
   const bool lowered = !aCurrent.empty() && FreshnessBoundIn(aCurrent, kPolicyEntity) >
                                               FreshnessBoundIn(aNext, kPolicyEntity);
   if (!lowered) {
--- a/peridotquay/process/RolloutStatus.h
+++ b/peridotquay/process/RolloutStatus.h
@@ -1,4 +1,6 @@
-// Whether a version is in force everywhere, by the watermarks of the data centres.
+// Tells how far a configuration version has rolled out. The delegates of each data centre write a
+// watermark row to the platform: the lowest version in force at its reachable hosts, some of the
+// hosts that lag behind, and the hosts that can't be reached.
 #pragma once
 
 #include "peridotquay/process/Platform.h"
@@ -10,67 +12,67 @@
 
 namespace peridotquay {
 
-/// What the watermark of one data centre says of a version.
+/// Rollout of a version in one data centre, according to its watermark row.
 struct DataCentreRollout
 {
   DataCentreId dataCentre_;
-  bool reported_ = false; ///< The data centre has a watermark row.
-  Version version_ = 0;
-  std::vector<std::string> lagging_;
-  std::vector<std::string> unreachable_;
-  bool inForce_ = false; ///< At the wanted version, without lagging or unreachable hosts.
+  bool reported_ = false;                ///< The data centre has a watermark row.
+  Version version_ = 0;                  ///< Version of the watermark.
+  std::vector<std::string> lagging_;     ///< Some of the hosts without the wanted version.
+  std::vector<std::string> unreachable_; ///< Hosts that can't be reached.
+  bool inForce_ = false; ///< The wanted version is in force at every host, and all are reachable.
   bool operator==(const DataCentreRollout&) const = default;
 };
 
-/// All data centres of the configuration, sorted.
+/// Rollout of a version in all data centres of the configuration, sorted by data centre.
 struct RolloutStatus
 {
   std::vector<DataCentreRollout> dataCentres_;
-  /// Whether the version is in force at every site; false if there are no sites.
+  /// True if the version is in force in every data centre; false if there are none.
   bool InForceEverywhere() const;
   bool operator==(const RolloutStatus&) const = default;
 };
 
-/// Data centres that the configuration names.
+/// Data centres that a configuration names, sorted.
 std::vector<DataCentreId> ConfiguredDataCentres(const Entities& aEntities);
 
-/// Reads the watermarks of the sites and compares them with a version.
+/// Reads the watermarks of the data centres and compares them with a version.
 Result<RolloutStatus> ReadRolloutStatus(Platform& aPlatform,
                                         const std::vector<DataCentreId>& aDataCentres,
                                         Version aVersion);
 
-/// Largest freshness bound that any host may still use: that of the configuration, or one that was
-/// lowered so recently that a cut-off host can still use it. A host that never heard of a
-/// withdrawal stops serving keyed routes this long after it at the latest.
+/// Largest freshness bound that any host may still use: that of the configuration, or a larger one
+/// that was replaced so recently that a disconnected host may still use it. A host that doesn't
+/// receive the withdrawal of a key stops serving keyed routes at most this long after it.
 Duration MaxUsableFreshnessBound(const Entities& aEntities, std::uint64_t aWallMs);
 
-/// Carries entity policy/replaced over from the present configuration to the next one, and sets it
-/// if the next one lowers the freshness bound.
+/// Copies the entity policy/replaced, which holds the replaced freshness bound, from the current
+/// configuration to the next one, and updates it if the next one lowers the freshness bound.
 void UpdateReplacedFreshnessBound(const Entities& aCurrent, Entities& aNext, std::uint64_t aWallMs);
 
-/// Settings of a wait.
+/// Settings of WaitUntilInForce.
 struct RolloutWaitSettings
 {
   Version version_ = 0;
   std::vector<DataCentreId> dataCentres_;
   Duration timeout_ = seconds(15);
   Duration interval_ = milliseconds(100);
-  /// For withdrawals: hosts without the version stop serving keyed routes this long after it was
-  /// written. Empty for other changes.
+  /// For withdrawals of keys: hosts without the version stop serving keyed routes this long after
+  /// it was written, so the wait ends then. Empty for other changes.
   std::optional<Duration> freshnessBound_;
 };
 
-/// Result of a wait.
+/// Result of WaitUntilInForce.
 struct RolloutWaitResult
 {
   RolloutStatus rollout_;
-  bool inForce_ = false;
+  bool inForce_ = false;          ///< True also if byFreshnessBound_.
   bool byFreshnessBound_ = false; ///< Hosts without the version no longer serve keyed routes.
   Duration waited_{};
 };
 
-/// Waits until a version is in force, from when it is called. Failures to read are retried until
-/// the timeout; the last one is returned only if nothing was read at all.
+/// Waits until a version is in force everywhere. The timeout counts from the call. Failed reads are
+/// retried until the timeout; the last error is returned only if no read succeeded.
 Result<RolloutWaitResult> WaitUntilInForce(Platform& aPlatform,
                                            const RolloutWaitSettings& aSettings);
 
--- a/peridotquay/process/ShareLease.cpp
+++ b/peridotquay/process/ShareLease.cpp
@@ -1,4 +1,4 @@
-// Acquisition, renewal, fencing and moves of rate shares.
+// Acquires, renews and releases the share lease, and moves units between data centres.
 #include "peridotquay/process/ShareLease.h"
 
 #include "peridotquay/version/MembershipRank.h"
@@ -18,15 +18,16 @@
 
 constexpr std::string_view kSharePrefix = "share/";
 
-// Most lease rows of one read; far above the number of data centres.
+// Maximum number of lease rows in one read, far above the number of data centres.
 constexpr std::uint32_t kMaxLeaseRows = 256;
 
-// A short account asks for double of what it holds and this much more.
+// Units that an account short of tokens wants in addition to its use or double what it holds.
 constexpr std::uint32_t kMinNeedUnits = kShareUnits / 20;
 
-// Units kept beyond the measured use, so that small variations cause no moves.
+// Factor on the measured use for the units to keep, so that small variations cause no moves.
 constexpr double kUseMarginFactor = 1.25;
 
+// Returns 128 random bits in hexadecimal.
 std::string RandomOperationId(ShareLease& aLease)
 {
   constexpr std::string_view kDigits = "0123456789abcdef";
@@ -41,6 +42,7 @@
   return id;
 }
 
+// True if membership names this node the share leader and a configuration is known.
 bool IsCandidate(const ShareLease& aLease)
 {
   return aLease.config_ != nullptr && aLease.ranking_ != nullptr &&
@@ -104,7 +106,7 @@
   aEffects.lost_ = true;
 }
 
-// Applies a write of the own row that is known to have taken effect.
+// Applies the pending write to the state of this node once it is known to have taken effect.
 void ApplyPendingWrite(ShareLease& aLease,
                        ShareLedger& aLedger,
                        std::uint64_t aRevision,
@@ -126,7 +128,8 @@
     aLease.floorEpoch_ = pending.row_.epoch_;
     aLease.floorRenewalSentAt_ = pending.sentAt_;
   }
-  // Only a later write that took effect shows that an earlier release never will.
+  // A release sent earlier has a condition on an earlier revision of the row, so it can't take
+  // effect after this write.
   aLease.grantsStoppedAt_.reset();
   aLease.releaseSent_ = false;
   if (pending.acquires_) {
@@ -142,9 +145,9 @@
   ApplyLimits(aLease, aLedger, aNow);
 }
 
-// Compares the own row with what this node wrote. Only this process writes rows with its epoch,
-// host and incarnation, so such a row shows which write took effect last, even if its answer was
-// lost.
+// Compares the row that was read with the pending write and detects a lost lease. Only this process
+// writes rows with its epoch, host and incarnation, so such a row shows which write took effect
+// last, even if the answer to the write was lost.
 void ResolveOwnRow(ShareLease& aLease,
                    ShareLedger& aLedger,
                    TimePoint aNow,
@@ -184,7 +187,8 @@
   aEffects.call_ = std::move(aCall);
 }
 
-// Writes the own row, with conditions on it and on every other row that the write relies on.
+// Starts a transaction that writes the lease row of this node if the row is unchanged. The caller
+// puts the conditions and writes of other rows into aTransaction.
 void StartWrite(ShareLease& aLease,
                 PendingShareWrite aPending,
                 PlatformTransaction aTransaction,
@@ -205,8 +209,8 @@
   StartCall(aLease, ShareCallKind::kWrite, TransactCall{ std::move(aTransaction) }, aEffects);
 }
 
-// Takes the lease if it is free or its elastic part has surely ended. Counts from after the read
-// that first showed the present revision.
+// Acquires the lease if it is free or the elastic lease of its holder has surely ended. The
+// duration is counted from the end of the read that first showed the present revision.
 void TryAcquire(ShareLease& aLease, TimePoint aNow, ShareLeaseEffects& aEffects)
 {
   const auto found = aLease.observed_.find(aLease.dataCentre_);
@@ -222,8 +226,8 @@
     const auto elastic =
       std::max(milliseconds(seen.row_.elasticMs_),
                std::chrono::duration_cast<milliseconds>(aLease.config_->policy_.elasticLease_));
-    // An own acquisition whose answer was lost, and that was repeated before it showed: nothing was
-    // granted under it.
+    // The row shows an acquisition by this process whose answer was lost, and which this process
+    // already tried to repeat. Nothing was granted under it.
     const bool unused =
       seen.row_.holder_ == aLease.self_ && seen.row_.incarnation_ == aLease.incarnation_;
     if (!seen.row_.holder_.value_.empty() && !unused && aNow - seen.firstSeenAt_ < elastic) {
@@ -233,8 +237,8 @@
     pending.row_.epoch_ = seen.row_.epoch_ + 1;
     const bool floorsFree =
       seen.row_.floorEpoch_ == 0 || (unused && seen.row_.floorEpoch_ == seen.row_.epoch_);
-    // This process holds the floors from before a reclaim. Its ledger was cleared since, so grants
-    // that it made may still be used for their lifetime.
+    // This process held the floors before a reclaim. Its ledger was cleared since, so hosts may
+    // still use its earlier grants until these expire.
     const bool regained = seen.row_.floorEpoch_ != 0 && seen.row_.floorEpoch_ == aLease.floorEpoch_;
     pending.row_.floorEpoch_ = floorsFree ? pending.row_.epoch_ : seen.row_.floorEpoch_;
     const auto floor =
@@ -248,6 +252,7 @@
   StartWrite(aLease, std::move(pending), {}, aNow, aEffects);
 }
 
+// Stores the lease rows of all data centres and when they changed.
 void RecordLeaseRows(ShareLease& aLease, const PlatformAnswer& aAnswer)
 {
   std::set<DataCentreId> present;
@@ -267,7 +272,7 @@
       continue;
     }
     const auto& read = row.assume_value();
-    // A reclaim changes the row without renewing the floors.
+    // A reclaim raises the epoch but leaves the floor epoch, so it doesn't renew the floors.
     const bool renewsFloors =
       !known || read.floorEpoch_ != seen.row_.floorEpoch_ || read.floorEpoch_ == read.epoch_;
     if (renewsFloors) {
@@ -286,13 +291,15 @@
   return aAccount.everShort_ && aNow - aAccount.lastShortAt_ < aLease.settings_.shortagePeriod_;
 }
 
+// Units that cover the measured use of an account whose whole limit is aRate.
 std::uint32_t UnitsForMeasuredUse(const AccountLedger& aAccount, double aRate)
 {
   const double units = std::ceil(aAccount.usePerSecond_ * kUseMarginFactor / aRate * kShareUnits);
   return static_cast<std::uint32_t>(std::clamp(units, 0.0, double{ kShareUnits }));
 }
 
-// What other data centres want of an account, and how many of them want it.
+// Returns the units of an account that other data centres want, and the number of data centres that
+// want some.
 std::pair<std::uint32_t, std::uint32_t> NeedsOfOthers(const ShareLease& aLease,
                                                       const ClientAccountId& aAccount,
                                                       TimePoint aNow)
@@ -310,7 +317,8 @@
   return { units, dataCentreCount };
 }
 
-// Decides what this data centre needs, and takes out of use what it can spare for others.
+// Decides for each account how many units this data centre wants, and how many elastic units it
+// stops using because others want them.
 void PlanMoves(ShareLease& aLease, ShareLedger& aLedger, TimePoint aNow)
 {
   aLease.needs_.clear();
@@ -324,7 +332,7 @@
     const auto held = own.floor_ + own.elastic_;
     const auto used = UnitsForMeasuredUse(ledger->second, account.ratePerSecond_);
     const bool shortOfTokens = IsShortOfTokens(aLease, ledger->second, aNow);
-    // Units beyond the site's part would lie idle here.
+    // Units above the fraction that the site overlay allows would stay unused here.
     const auto most =
       static_cast<std::uint32_t>(std::ceil(account.siteRateFraction_ * kShareUnits));
     if (shortOfTokens && aLease.needs_.size() < aLease.settings_.needs_) {
@@ -355,6 +363,7 @@
   ApplyLimits(aLease, aLedger, aNow);
 }
 
+// Data centres of the configuration. If it names none: those known from membership.
 std::set<DataCentreId> DataCentresWithFloor(const ShareLease& aLease)
 {
   std::set<DataCentreId> sites;
@@ -370,6 +379,7 @@
   return sites;
 }
 
+// Divides an account equally among the data centres.
 PoolEntry MakeInitialEntry(const ShareLease& aLease)
 {
   const auto sites = DataCentresWithFloor(aLease);
@@ -386,6 +396,7 @@
   return entry;
 }
 
+// True if units are to be moved, or if an account isn't known to be in the pool.
 bool MustReadPool(const ShareLease& aLease)
 {
   if (!aLease.needs_.empty() || !aLease.unitsToGive_.empty()) {
@@ -398,8 +409,7 @@
                      });
 }
 
-// Data centres whose elastic lease has surely ended and whose units are wanted here. The reclaim
-// fences the holder: its row gets the next epoch and no holder.
+// Other data centres whose elastic lease has surely ended.
 std::vector<DataCentreId> LapsedDataCentres(const ShareLease& aLease, TimePoint aNow)
 {
   std::vector<DataCentreId> lapsed;
@@ -414,7 +424,8 @@
   return lapsed;
 }
 
-// Moves the elastic units of lapsed data centres to the free ones, for accounts that need some.
+// Frees the elastic units of a lapsed data centre for the accounts that need units here. Returns
+// true if it freed any.
 bool ReclaimNeededUnits(const ShareLease& aLease, const DataCentreId& aLapsed, SharePool& aPool)
 {
   bool moved = false;
@@ -433,7 +444,8 @@
   return moved;
 }
 
-// The fence ends the lapsed holder's claim on all its elastic units, so all become free.
+// Frees all elastic units of a lapsed data centre. Fencing its holder ends the holder's claim on
+// all of them, not only on the accounts that need units here.
 void FreeElasticUnits(const DataCentreId& aLapsed, SharePool& aPool)
 {
   for (auto& [account, entry] : aPool) {
@@ -445,6 +457,8 @@
   }
 }
 
+// Makes the next row of the held lease. It takes over the floors if the floor lease of the earlier
+// holder has ended.
 PendingShareWrite MakeRenewal(const ShareLease& aLease, TimePoint aNow)
 {
   PendingShareWrite pending;
@@ -456,8 +470,8 @@
   return pending;
 }
 
-// Takes over what the pool row says. It differs from what is known here if a write took effect
-// whose answer was lost; units given by such a write must not be given again.
+// Applies the pool row as read. A portion of this data centre differs from the one known here if a
+// write took effect whose answer was lost. Units given by such a write must not be given again.
 void ApplyPoolRow(ShareLease& aLease, ShareLedger& aLedger, const SharePool& aPool, TimePoint aNow)
 {
   for (const auto& [account, entry] : aPool) {
@@ -471,7 +485,9 @@
   ApplyLimits(aLease, aLedger, aNow);
 }
 
-// Gives what no longer carries tokens and takes what is free, in one transaction with the renewal.
+// Renews the lease and moves units in the same transaction: adds missing accounts to the pool,
+// reclaims units of lapsed data centres, frees units that this node has stopped using and that no
+// outstanding token relies on, and takes free units that this data centre wants.
 void WriteMoves(ShareLease& aLease,
                 ShareLedger& aLedger,
                 SharePool aPool,
@@ -492,6 +508,7 @@
     if (ReclaimNeededUnits(aLease, id, aPool)) {
       FreeElasticUnits(id, aPool);
       const auto& seen = aLease.observed_.at(id);
+      // Fences the lapsed holder: its row gets the next epoch and no holder.
       auto fenced = seen.row_;
       ++fenced.epoch_;
       fenced.holder_ = {};
@@ -532,12 +549,13 @@
   StartWrite(aLease, std::move(pending), std::move(transaction), aNow, aEffects);
 }
 
+// Stops granting at once and releases the lease when all grants have expired.
 void ReleaseLease(ShareLease& aLease, TimePoint aNow, ShareLeaseEffects& aEffects)
 {
   if (!aLease.grantsStoppedAt_) {
     aLease.grantsStoppedAt_ = aNow;
   }
-  // Every grant has expired before another holder can grant.
+  // Every grant must have expired before another holder can grant.
   if (aNow - *aLease.grantsStoppedAt_ < kMaxGrantLifetime) {
     return;
   }
@@ -597,7 +615,7 @@
     auto decoded = DecodeSharePool(aAnswer.rows_.front().value_);
     revision = aAnswer.rows_.front().revision_;
     if (decoded.has_error()) {
-      // The lease is renewed even if the pool can't be read.
+      // A malformed pool row must not end the lease.
       StartWrite(aLease, MakeRenewal(aLease, aNow), {}, aNow, aEffects);
       return;
     }
@@ -622,8 +640,9 @@
     }
     return;
   }
-  // After a lost answer, or a conflict that a write with a lost answer may have caused, the next
-  // read shows what took effect. A write that surely did nothing is forgotten.
+  // A write that surely had no effect is forgotten. Otherwise the answer was lost, or there was a
+  // conflict, which an earlier write with a lost answer may have caused. The pending write is then
+  // kept, and the next read shows whether it took effect.
   if (aAnswer.error_->code_ == ErrorCode::kPlatformUnavailable) {
     aLease.pending_.reset();
   }
@@ -740,7 +759,7 @@
   if (elasticTotal > 0) {
     limit.burst_ += elasticBurst * aPortion.elastic_ / elasticTotal;
   }
-  // The overlay of the site may hold the data centre below what its units stand for.
+  // The site overlay may limit the data centre to less than its units stand for.
   limit.ratePerSecond_ =
     std::min(limit.ratePerSecond_, aAccount.ratePerSecond_ * aAccount.siteRateFraction_);
   limit.burst_ = std::min(limit.burst_, aAccount.burst_ * aAccount.siteRateFraction_);
@@ -784,7 +803,8 @@
     }
     return;
   }
-  // A release that may still take effect keeps granting stopped until a renewal has taken effect.
+  // After a release was sent, granting resumes only when a later write has taken effect, because
+  // the release may take effect until then.
   if (candidate && !aLease.releaseSent_) {
     aLease.grantsStoppedAt_.reset();
   }
--- a/peridotquay/process/ShareLease.h
+++ b/peridotquay/process/ShareLease.h
@@ -1,10 +1,17 @@
-// Lease of a data centre's rate shares in the platform table, and moves of shares between data
-// centres through the pool row.
+// Divides the rate limit of each client account among data centres. In each data centre one node,
+// the share leader, holds a lease and grants tokens to the hosts within the share of its data
+// centre.
 //
-// Rows: share/<data centre> is the lease, renewed each second by its holder. share-pool holds, for
-// each client account, how its units are allotted: to data centres (floor and elastic) or free.
-// Every move is one transaction on the pool row and the mover's lease row, so that a fenced holder
-// can't move anything. Free functions over one plain struct.
+// Rows of the platform table:
+// - share/<data centre> is the lease of a data centre, which its holder renews each second;
+// - share-pool records for each client account which units belong to which data centre and which
+//   are free. A data centre has floor units, which never move, and elastic units, which move to
+//   data centres with more demand.
+// Every move is one transaction on the pool row and the lease row of the node that moves units. A
+// holder whose lease row was changed by another node is fenced: it can't move anything.
+//
+// The module consists of free functions over one plain struct. It does no I/O: the caller runs the
+// platform calls.
 #pragma once
 
 #include "peridotquay/process/PlatformCall.h"
@@ -24,27 +31,27 @@
 
 namespace peridotquay {
 
-/// Parts that one client account's limit is divided into. Integers, so that moves keep the sum
-/// exact.
+/// Units that the limit of one client account is divided into. Units are integers, so that moves
+/// keep the sum exact.
 inline constexpr std::uint32_t kShareUnits = 10000;
 
-/// Row of the pool.
+/// Key of the pool row.
 inline constexpr std::string_view kPoolRowKey = "share-pool";
 
-/// Row of a data centre's lease.
+/// Key of the lease row of a data centre.
 std::string ShareRowKey(const DataCentreId& aDataCentre);
 
-/// The lease row.
+/// Lease row of a data centre.
 struct ShareRow
 {
-  std::uint64_t epoch_ = 0; ///< Grows with each takeover and each reclaim.
-  HostId holder_;           ///< Empty: released or reclaimed.
+  std::uint64_t epoch_ = 0; ///< Fencing token; grows with each takeover and each reclaim.
+  HostId holder_;           ///< Empty after a release or a reclaim.
   Incarnation incarnation_ = 0;
-  std::uint64_t sequence_ = 0;   ///< Number of the holder's write.
-  std::uint64_t floorEpoch_ = 0; ///< Epoch whose holder may use the floors; 0: released.
-  std::uint64_t elasticMs_ = 0;  ///< Lease times of the holder.
-  std::uint64_t floorMs_ = 0;
-  std::map<ClientAccountId, std::uint32_t> needs_; ///< Units wanted beyond those held.
+  std::uint64_t sequence_ = 0;   ///< Number of the write, counted by the holder.
+  std::uint64_t floorEpoch_ = 0; ///< Epoch whose holder may use the floor units; 0 after a release.
+  std::uint64_t elasticMs_ = 0;  ///< Duration of the lease on the elastic units.
+  std::uint64_t floorMs_ = 0;    ///< Duration of the lease on the floor units.
+  std::map<ClientAccountId, std::uint32_t> needs_; ///< Units wanted beyond those held, by account.
   bool operator==(const ShareRow&) const = default;
 };
 
@@ -56,62 +63,67 @@
   bool operator==(const SharePortion&) const = default;
 };
 
-/// One client account in the pool row.
-/// Invariant: free_ and all portions sum to kShareUnits.
+/// Division of one client account's units, as stored in the pool row.
+/// Invariant: free_ and all portions in shares_ sum to kShareUnits.
 struct PoolEntry
 {
-  std::uint32_t sites_ = 1;      ///< Data centres with a floor.
-  std::uint32_t floorUnits_ = 0; ///< Floor of each of them.
-  std::uint32_t free_ = 0;
+  std::uint32_t sites_ = 1;      ///< Number of data centres with a floor.
+  std::uint32_t floorUnits_ = 0; ///< Floor units of each of them.
+  std::uint32_t free_ = 0;       ///< Units that belong to no data centre.
   std::map<DataCentreId, SharePortion> shares_;
   bool operator==(const PoolEntry&) const = default;
 };
 
 using SharePool = std::map<ClientAccountId, PoolEntry>;
 
-/// JSON text of the rows. Decoding fails with kPlatformMalformed.
+/// Convert the rows to and from JSON text. Decoding fails with kPlatformMalformed.
 std::string EncodeShareRow(const ShareRow& aRow);
 Result<ShareRow> DecodeShareRow(std::string_view aText);
 std::string EncodeSharePool(const SharePool& aPool);
 Result<SharePool> DecodeSharePool(std::string_view aText);
 
-/// Limit that an portion stands for. Each floor holds at least one token if the burst has one for
-/// every data centre; what floors hold is taken from the elastic part, so the sum stays the burst.
+/// Converts a portion to a rate and a burst. If the account's burst has at least one token for each
+/// data centre, each floor gets at least one whole token. The elastic units share the rest of the
+/// burst, so the bursts of all data centres sum to at most the account's burst.
 ShareLimit PortionLimit(const ClientAccount& aAccount,
                         const PoolEntry& aEntry,
                         const SharePortion& aPortion);
 
-/// Settings of the lease.
+/// Intervals and limits of the lease.
 struct ShareLeaseSettings
 {
   Duration renewInterval_ = seconds(1);
-  Duration acquireInterval_ = milliseconds(250); ///< Reads while the lease isn't held.
-  Duration idlePeriod_ = seconds(5); ///< Not short of tokens for this long: spare units are given.
-  Duration shortagePeriod_ = seconds(2); ///< Short of tokens within this: more units are wanted.
-  std::size_t needs_ = 16;               ///< Most accounts named as needed in the lease row.
+  Duration acquireInterval_ = milliseconds(250); ///< Between reads while the lease isn't held.
+  Duration idlePeriod_ = seconds(5); ///< An account that wasn't short of tokens for this long keeps
+                                     ///< only the units that its use needs.
+  Duration shortagePeriod_ = seconds(2); ///< An account that was short of tokens within this wants
+                                         ///< more units.
+  std::size_t needs_ = 16;               ///< Maximum number of accounts in ShareRow::needs_.
   bool operator==(const ShareLeaseSettings&) const = default;
 };
 
-/// A lease row of any data centre as read.
+/// Lease row of a data centre as this node last read it.
 struct ObservedShare
 {
   std::uint64_t revision_ = 0;
   ShareRow row_;
-  TimePoint firstSeenAt_{};        ///< After the read that first showed this revision.
-  TimePoint floorRenewalSeenAt_{}; ///< After the read that first showed this floor epoch in use, or
-                                   ///< its last renewal.
+  TimePoint firstSeenAt_{};        ///< End of the read that first showed revision_.
+  TimePoint floorRenewalSeenAt_{}; ///< End of the read that first showed the floor epoch, or its
+                                   ///< last renewal.
 };
 
-/// A write of the own lease row whose effect on this node isn't applied yet.
+/// Write of this node's lease row whose effect isn't applied to ShareLease yet, because its answer
+/// is outstanding or was lost.
 struct PendingShareWrite
 {
   ShareRow row_;
   TimePoint sentAt_{};
-  std::map<ClientAccountId, PoolEntry> poolEntries_; ///< Pool entries written with it.
-  bool acquires_ = false;
-  bool releases_ = false;
+  std::map<ClientAccountId, PoolEntry> poolEntries_; ///< Pool entries in the same transaction.
+  bool acquires_ = false;                            ///< The write acquires the lease.
+  bool releases_ = false;                            ///< The write releases the lease.
 };
 
+/// Purpose of the platform call that is under way.
 enum class ShareCallKind : std::uint8_t
 {
   kReadRows,
@@ -126,40 +138,41 @@
   HostId self_;
   Incarnation incarnation_ = 0;
   DataCentreId dataCentre_;
-  std::uint64_t random_ = 1;
+  std::uint64_t random_ = 1; ///< State of the random number generator for operation ids.
   std::shared_ptr<const Config> config_;
   std::shared_ptr<const MemberRanking> ranking_;
 
   bool held_ = false;
-  ShareRow row_;                     ///< As last known to be in force, while held.
-  std::uint64_t revision_ = 0;       ///< Of the own row.
-  TimePoint elasticRenewalSentAt_{}; ///< Before the last renewal that took effect was sent.
-  TimePoint floorRenewalSentAt_{};
-  std::uint64_t floorEpoch_ = 0; ///< Epoch under which this process holds the floors; 0: none.
-  TimePoint
-    floorUsableAt_{}; ///< With floors of an earlier holder: when their lease has surely ended.
-  std::optional<TimePoint> grantsStoppedAt_; ///< Since when nothing is granted, before a release.
-  bool releaseSent_ = false;                 ///< A release may take effect at any time.
-
-  std::map<ClientAccountId, PoolEntry> poolEntries_; ///< Pool entries as of the last read or write.
-  std::map<ClientAccountId, std::uint32_t> unitsToGive_; ///< Elastic units out of use, to be given.
-  std::map<DataCentreId, ObservedShare> observed_;
-  std::map<ClientAccountId, std::uint32_t> needs_;
+  ShareRow row_;                     ///< Last own write known to have taken effect, while held_.
+  std::uint64_t revision_ = 0;       ///< Revision of the lease row of dataCentre_.
+  TimePoint elasticRenewalSentAt_{}; ///< When the last renewal that took effect was sent.
+  TimePoint floorRenewalSentAt_{};   ///< When the last renewal of the floors was sent.
+  std::uint64_t floorEpoch_ = 0; ///< Epoch in which this process holds the floors; 0 if it doesn't.
+  TimePoint floorUsableAt_{};    ///< When the floors of an earlier holder may be used here.
+  std::optional<TimePoint> grantsStoppedAt_; ///< When granting stopped in preparation of a release.
+  bool releaseSent_ = false; ///< A release was sent, which may take effect at any time.
+
+  std::map<ClientAccountId, PoolEntry> poolEntries_;     ///< As of the last read or write.
+  std::map<ClientAccountId, std::uint32_t> unitsToGive_; ///< Elastic units that this node no longer
+                                                         ///< uses and will free.
+  std::map<DataCentreId, ObservedShare> observed_;       ///< Lease rows of all data centres.
+  std::map<ClientAccountId, std::uint32_t> needs_;       ///< Becomes ShareRow::needs_.
   std::optional<PendingShareWrite> pending_;
-  std::uint64_t sequence_ = 0;
+  std::uint64_t sequence_ = 0; ///< Of the last write sent.
 
-  std::optional<ShareCallKind> call_;
-  TimePoint nextCycleAt_{};
-  TimePoint usePeriodStartedAt_{};
-  std::uint64_t poolWrites_ = 0; ///< Pool writes that took effect.
+  std::optional<ShareCallKind> call_; ///< The call under way.
+  TimePoint nextCycleAt_{};           ///< When the lease rows are read next.
+  TimePoint usePeriodStartedAt_{};    ///< Start of the present period of use measurement.
+  std::uint64_t poolWrites_ = 0;      ///< Number of pool writes that took effect.
 };
 
-/// What the owner has to do after a step.
+/// What the caller must do after a function of this module.
 struct ShareLeaseEffects
 {
-  std::optional<PlatformCall> call_; ///< At most one at a time; answer through HandleShareAnswer.
-  bool acquired_ = false;
-  bool lost_ = false;
+  std::optional<PlatformCall> call_; ///< Call to run. Its answer goes to HandleShareAnswer; no
+                                     ///< other call follows before.
+  bool acquired_ = false;            ///< The lease was acquired.
+  bool lost_ = false;                ///< The lease was lost or released.
 };
 
 ShareLease MakeShareLease(ShareLeaseSettings aSettings,
@@ -169,7 +182,8 @@
                           std::uint64_t aSeed,
                           TimePoint aNow);
 
-/// Does what is due: acquire, renew, move, release.
+/// Starts what is due: to acquire, renew or release the lease, or to move units. Called at every
+/// tick.
 void StepShareLease(ShareLease& aLease,
                     ShareLedger& aLedger,
                     TimePoint aNow,
@@ -182,18 +196,19 @@
                        TimePoint aNow,
                        ShareLeaseEffects& aEffects);
 
-/// Answers a host's request for tokens. Checks the lease by the clock before it grants.
+/// Answers a host's request for tokens. Checks that the lease still runs at aNow before it grants,
+/// because the process may have been paused.
 ShareGrant HandleShareRequest(ShareLease& aLease,
                               ShareLedger& aLedger,
                               const HostId& aHost,
                               const ShareRequest& aRequest,
                               TimePoint aNow);
 
-/// Limit of an account that this node may hand out now: nothing without a lease, the floor after
-/// the elastic lease ended.
+/// Limit within which this node may grant tokens of an account now: zero without a lease, only the
+/// floor after the elastic lease ended.
 ShareLimit UsableLimit(const ShareLease& aLease, const ClientAccountId& aAccount, TimePoint aNow);
 
-/// Time that grants may still live: the rest of the lease that covers them.
+/// Time until the end of the lease that covers new grants, which bounds their lifetime.
 Duration RemainingLease(const ShareLease& aLease, TimePoint aNow);
 
 } // namespace peridotquay
--- a/peridotquay/process/ShareLedger.cpp
+++ b/peridotquay/process/ShareLedger.cpp
@@ -1,4 +1,4 @@
-// Refill, grants, settlement and expiry.
+// Refills token buckets, grants tokens, and settles or expires grants.
 #include "peridotquay/process/ShareLedger.h"
 
 #include <algorithm>
@@ -9,20 +9,21 @@
 
 namespace {
 
-// Absorbs rounding of sums of fractions in comparisons.
+// Tolerance in tokens for rounding errors in comparisons.
 constexpr double kEpsilon = 1e-9;
 
-// Share of the last period in the moving average: it follows a change within about 3 s.
+// Weight of the last period in the moving average of use, which follows a change within about 3 s.
 constexpr double kUseAverageWeight = 0.3;
 
+// Limits the level to what the burst leaves beside the outstanding tokens.
 void CapLevel(AccountLedger& aAccount)
 {
   const double room = std::max(0.0, aAccount.limit_.burst_ - aAccount.outstanding_);
   aAccount.level_ = std::min(aAccount.level_, room);
 }
 
-// Tokens that a host kept after its clock ended the grant are lost, never returned: a return after
-// the level was refilled would exceed the burst.
+// Removes expired grants and counts their tokens as used. The tokens are never returned to the
+// level: the refill may have replaced them already, and a return would then exceed the burst.
 void ExpireGrants(AccountLedger& aAccount, TimePoint aNow)
 {
   if (aNow < aAccount.nextExpiryAt_) {
@@ -44,7 +45,7 @@
   }
 }
 
-// Adds what accrued since the last refill. The cap counts outstanding tokens.
+// Adds the tokens that accrued since the last refill, up to the burst less the outstanding tokens.
 void Refill(AccountLedger& aAccount, TimePoint aNow)
 {
   if (aNow > aAccount.refilledAt_) {
@@ -54,6 +55,8 @@
   CapLevel(aAccount);
 }
 
+// Ends the grant that the request reports on and returns its unused tokens to the level. Reports on
+// an expired grant or on a grant of another host are ignored.
 void SettleGrant(AccountLedger& aAccount, const HostId& aHost, const ShareRequest& aRequest)
 {
   const auto found = aAccount.grants_.find(aRequest.grant_);
@@ -61,7 +64,7 @@
     return;
   }
   const double tokens = found->second.tokens_;
-  // Anything but a number counts as all used.
+  // NaN and infinity count as all tokens used.
   const double used =
     std::isfinite(aRequest.used_) ? std::clamp(aRequest.used_, 0.0, tokens) : tokens;
   aAccount.outstanding_ -= tokens;
@@ -73,8 +76,9 @@
   }
 }
 
-// Grants of small bursts live shorter. Used tokens count as outstanding until they are reported, so
-// with a lifetime above burst / rate the refill would stand still while hosts hold used grants.
+// Lifetime of a grant: half of the time that refills the burst, within the minimum and maximum.
+// Used tokens count as outstanding until they are reported or expire, so with a lifetime above
+// burst / rate the refill would stop while hosts hold used grants.
 Duration LifetimeOfGrants(const AccountLedger& aAccount)
 {
   const double refillSeconds =
@@ -84,6 +88,8 @@
                   kMinGrantLifetime);
 }
 
+// Time after which a refused host should ask again: when the next token has accrued or, if the
+// burst leaves no room for one, when the outstanding grants have expired.
 std::uint32_t RetryAfterMs(const AccountLedger& aAccount, TimePoint aNow)
 {
   constexpr double kMaxRetryAfterMs = 1000;
@@ -92,7 +98,7 @@
   if (limit.ratePerSecond_ > 0 && limit.burst_ >= 1) {
     waitMs = (1 - aAccount.level_) / limit.ratePerSecond_ * 1000;
   }
-  // Without room below the burst, the next expiry frees some.
+  // No token can accrue before outstanding grants expire.
   if (aAccount.level_ + aAccount.outstanding_ + 1 > limit.burst_) {
     for (const auto& [id, grant] : aAccount.grants_) {
       waitMs =
@@ -148,14 +154,15 @@
     return grant;
   }
   const auto lifetime = std::min(LifetimeOfGrants(account), aMaxLifetime);
-  // Also short if the halving keeps the level up while hosts get less than they want.
+  // Because a grant is at most half of the level, hosts may get less than they want while the level
+  // never reaches zero. That counts as a shortage too.
   const bool low =
     account.level_ < account.limit_.burst_ / 2 && wanted > std::floor(account.level_ / 2);
   if (low || wanted > std::floor(account.level_ + kEpsilon)) {
     account.lastShortAt_ = aNow;
     account.everShort_ = true;
   }
-  // Half of the level at most, so that the first host to ask doesn't starve the others.
+  // At most half of the level, so that the first host that asks doesn't starve the others.
   const double most = std::max(1.0, std::floor(account.level_ / 2));
   const double tokens = std::min({ wanted, most, std::floor(account.level_ + kEpsilon) });
   if (tokens < 1 || lifetime < kMinGrantLifetime) {
--- a/peridotquay/process/ShareLedger.h
+++ b/peridotquay/process/ShareLedger.h
@@ -1,5 +1,5 @@
-// Token ledger of the share leader: grants tokens of client accounts to hosts within the shares of
-// the data centre.
+// Token ledger of the share leader: a token bucket for each client account, filled at the data
+// centre's share of the account's limit. Hosts receive tokens from it in grants that expire.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -11,13 +11,13 @@
 
 namespace peridotquay {
 
-/// Longest lifetime of a grant, counted by the requester from before it asked.
+/// Maximum lifetime of a grant. The requester counts it from when it sent the request.
 inline constexpr Duration kMaxGrantLifetime = seconds(1);
 
-/// Shortest lifetime that is granted: below it a grant may expire before it arrives.
+/// Minimum lifetime of a grant. A shorter one may expire before it arrives.
 inline constexpr Duration kMinGrantLifetime = milliseconds(50);
 
-/// Part of a client account's limit that the ledger may hand out.
+/// Part of a client account's limit within which the ledger may grant tokens.
 struct ShareLimit
 {
   double ratePerSecond_ = 0;
@@ -25,68 +25,68 @@
   bool operator==(const ShareLimit&) const = default;
 };
 
-/// Tokens granted and neither reported nor expired.
+/// A grant that has neither expired nor been reported on by its host.
 struct OutstandingGrant
 {
   HostId host_;
   double tokens_ = 0;
-  TimePoint expiresAt_{}; ///< By this node's clock; the requester's own limit is earlier.
+  TimePoint expiresAt_{}; ///< By this node's clock. The requester stops using the grant earlier.
 };
 
-/// Ledger of one client account.
+/// Token bucket and outstanding grants of one client account.
 /// Invariant: level_ + outstanding_ <= limit_.burst_, or level_ is 0 after the limit was lowered.
 struct AccountLedger
 {
   ShareLimit limit_;
   double level_ = 0;       ///< Tokens that can be granted now.
-  double outstanding_ = 0; ///< Sum of grants_.
+  double outstanding_ = 0; ///< Sum of the tokens in grants_.
   TimePoint refilledAt_{};
   std::map<std::uint64_t, OutstandingGrant> grants_;
   TimePoint nextExpiryAt_{}; ///< No grant expires before this.
-  double usedInPeriod_ = 0;
-  double usePerSecond_ = 0; ///< Moving average of use.
-  TimePoint lastShortAt_{}; ///< When a request last found too few tokens.
+  double usedInPeriod_ = 0;  ///< Tokens used since the last EndUsePeriod.
+  double usePerSecond_ = 0;  ///< Moving average of the tokens used per second.
+  TimePoint lastShortAt_{};  ///< When a request last found too few tokens; valid if everShort_.
   bool everShort_ = false;
 };
 
-/// All client accounts of one data centre. Changed only through the functions below.
+/// Ledger of all client accounts in one data centre. Changed only through the functions below.
 struct ShareLedger
 {
   std::map<ClientAccountId, AccountLedger> accounts_;
   std::uint64_t nextGrant_ = 1;
 };
 
-/// Sets the share of an account. A new account starts without tokens, and a raised limit adds none:
-/// shares that move create no tokens.
+/// Sets the limit of an account. A new account starts without tokens and a raised limit adds none,
+/// so that moving a share between data centres creates no tokens.
 void SetShareLimit(ShareLedger& aLedger,
                    const ClientAccountId& aAccount,
                    const ShareLimit& aLimit,
                    TimePoint aNow);
 
-/// Settles the report in the request, then grants up to what it wants, at most half of the level at
-/// once. aMaxLifetime bounds the lifetime by the rest of the lease. An unknown account gets no
-/// tokens.
+/// Settles the earlier grant that the request reports on, then grants as many tokens as the request
+/// wants, but at most half of the level or one token, whichever is more. aMaxLifetime is the time
+/// until the lease ends. An unknown account gets no tokens.
 ShareGrant GrantTokens(ShareLedger& aLedger,
                        const HostId& aHost,
                        const ShareRequest& aRequest,
                        Duration aMaxLifetime,
                        TimePoint aNow);
 
-/// Refills and expires one account up to now.
+/// Removes expired grants and adds the tokens that accrued until aNow.
 void UpdateAccount(AccountLedger& aAccount, TimePoint aNow);
 
-/// True if the account holds no more than a lower limit would allow, so that the difference can be
-/// handed to another holder.
+/// True if the level and the outstanding grants of the account fit into the burst of aLimit. Then
+/// the rest of the present limit can be given to another data centre.
 bool FitsLimit(const ShareLedger& aLedger,
                const ClientAccountId& aAccount,
                const ShareLimit& aLimit,
                TimePoint aNow);
 
-/// Ends a period of the moving average of use. Called once a second.
+/// Adds the use in the period that ends now to the moving average. Called once a second.
 void EndUsePeriod(ShareLedger& aLedger, Duration aPeriod, TimePoint aNow);
 
-/// Forgets all accounts, when the lease is lost. Grants not expired yet are covered by the lease
-/// that they were granted under.
+/// Removes all accounts when the lease is lost. Grants that haven't expired yet end before the
+/// lease under which they were granted.
 void ClearLedger(ShareLedger& aLedger);
 
 } // namespace peridotquay
