--- a/peridotquay/process/ConfigStore.cpp
+++ b/peridotquay/process/ConfigStore.cpp
@@ -67,14 +67,16 @@
     for (const auto& change : changes) {
       ++version;
       if (change.version_ != version) {
-        return Fail(ErrorCode::kPlatformMalformed, ChangeRowKey(version), "no gap");
+        return Fail(
+          ErrorCode::kPlatformMalformed, ChangeRowKey(version), "a change row for each version");
       }
       // A change that can't be applied counts as empty, as it does at every node. Otherwise one bad
       // row of another writer would block all further changes.
       static_cast<void>(ApplyChange(entities, change));
     }
     if (changes.empty()) {
-      return Fail(ErrorCode::kPlatformMalformed, ChangeRowKey(version + 1), "no gap");
+      return Fail(
+        ErrorCode::kPlatformMalformed, ChangeRowKey(version + 1), "a change row for each version");
     }
   }
   return entities;
@@ -123,15 +125,18 @@
     }
     const bool absent = head.has_value() && change.has_value();
     if (absent && head.assume_value().headRevision_ != aLost.base_.headRevision_) {
-      return Fail(ErrorCode::kPlatformUnavailable, "change", "the answer was lost; not written");
+      return Fail(ErrorCode::kPlatformUnavailable,
+                  "change",
+                  "the answer was lost, but the change was not written");
     }
     if (absent && Clock::now() - start >= aSettings.fenceDelay_) {
       FenceLostCommit(aPlatform, aLost);
     }
     std::this_thread::sleep_for(aSettings.resolveInterval_);
   }
-  return Fail(
-    ErrorCode::kPlatformUnknown, aLost.change_.operationId_, "look for this operation id later");
+  return Fail(ErrorCode::kPlatformUnknown,
+              aLost.change_.operationId_,
+              "unknown whether it was written; look for this operation id later");
 }
 
 /// Maximum number of attempts if the head's revision changes without a new version.
@@ -217,7 +222,8 @@
     // still applies.
     base.headRevision_ = head.headRevision_;
   }
-  return Fail(ErrorCode::kPlatformUnavailable, "change", "the head keeps moving; not written");
+  return Fail(
+    ErrorCode::kPlatformUnavailable, "change", "the head row keeps changing; not written");
 }
 
 bool IsSnapshotDue(const StoredConfig& aBase, Version aWritten)
--- a/peridotquay/process/ShareLease.cpp
+++ b/peridotquay/process/ShareLease.cpp
@@ -228,24 +228,26 @@
                std::chrono::duration_cast<milliseconds>(aLease.config_->policy_.elasticLease_));
     // The row shows an acquisition by this process whose answer was lost, and which this process
     // already tried to repeat. Nothing was granted under it.
-    const bool unused =
+    const bool ownAcquisition =
       seen.row_.holder_ == aLease.self_ && seen.row_.incarnation_ == aLease.incarnation_;
-    if (!seen.row_.holder_.value_.empty() && !unused && aNow - seen.firstSeenAt_ < elastic) {
+    if (!seen.row_.holder_.value_.empty() && !ownAcquisition &&
+        aNow - seen.firstSeenAt_ < elastic) {
       return;
     }
     aLease.revision_ = seen.revision_;
     pending.row_.epoch_ = seen.row_.epoch_ + 1;
     const bool floorsFree =
-      seen.row_.floorEpoch_ == 0 || (unused && seen.row_.floorEpoch_ == seen.row_.epoch_);
+      seen.row_.floorEpoch_ == 0 || (ownAcquisition && seen.row_.floorEpoch_ == seen.row_.epoch_);
     // This process held the floors before a reclaim. Its ledger was cleared since, so hosts may
     // still use its earlier grants until these expire.
-    const bool regained = seen.row_.floorEpoch_ != 0 && seen.row_.floorEpoch_ == aLease.floorEpoch_;
+    const bool floorsKept =
+      seen.row_.floorEpoch_ != 0 && seen.row_.floorEpoch_ == aLease.floorEpoch_;
     pending.row_.floorEpoch_ = floorsFree ? pending.row_.epoch_ : seen.row_.floorEpoch_;
     const auto floor =
       std::max(milliseconds(seen.row_.floorMs_),
                std::chrono::duration_cast<milliseconds>(aLease.config_->policy_.floorLease_));
     aLease.floorUsableAt_ = floorsFree ? aNow : seen.floorRenewalSeenAt_ + floor;
-    if (regained) {
+    if (floorsKept) {
       aLease.floorUsableAt_ = aNow + kMaxGrantLifetime;
     }
   }
@@ -271,15 +273,15 @@
     if (known && seen.revision_ == stored.revision_) {
       continue;
     }
-    const auto& read = row.assume_value();
+    const auto& newRow = row.assume_value();
     // A reclaim raises the epoch but leaves the floor epoch, so it doesn't renew the floors.
     const bool renewsFloors =
-      !known || read.floorEpoch_ != seen.row_.floorEpoch_ || read.floorEpoch_ == read.epoch_;
+      !known || newRow.floorEpoch_ != seen.row_.floorEpoch_ || newRow.floorEpoch_ == newRow.epoch_;
     if (renewsFloors) {
       seen.floorRenewalSeenAt_ = aAnswer.finishedAt_;
     }
     seen.revision_ = stored.revision_;
-    seen.row_ = read;
+    seen.row_ = newRow;
     seen.firstSeenAt_ = aAnswer.finishedAt_;
   }
   std::erase_if(aLease.observed_,
@@ -307,9 +309,9 @@
   std::uint32_t units = 0;
   std::uint32_t dataCentreCount = 0;
   for (const auto& [id, seen] : aLease.observed_) {
-    const bool live = aNow - seen.firstSeenAt_ < milliseconds(seen.row_.elasticMs_);
+    const bool leaseRuns = aNow - seen.firstSeenAt_ < milliseconds(seen.row_.elasticMs_);
     const auto need = seen.row_.needs_.find(aAccount);
-    if (id != aLease.dataCentre_ && live && need != seen.row_.needs_.end()) {
+    if (id != aLease.dataCentre_ && leaseRuns && need != seen.row_.needs_.end()) {
       units += need->second;
       ++dataCentreCount;
     }
@@ -333,10 +335,10 @@
     const auto used = UnitsForMeasuredUse(ledger->second, account.ratePerSecond_);
     const bool shortOfTokens = IsShortOfTokens(aLease, ledger->second, aNow);
     // Units above the fraction that the site overlay allows would stay unused here.
-    const auto most =
+    const auto maxUnits =
       static_cast<std::uint32_t>(std::ceil(account.siteRateFraction_ * kShareUnits));
-    if (shortOfTokens && aLease.needs_.size() < aLease.settings_.needs_) {
-      const auto want = std::min(most, std::max(used, 2 * held) + kMinNeedUnits);
+    if (shortOfTokens && aLease.needs_.size() < aLease.settings_.maxNeeds_) {
+      const auto want = std::min(maxUnits, std::max(used, 2 * held) + kMinNeedUnits);
       if (want > held) {
         aLease.needs_[id] = want - held;
       }
@@ -345,7 +347,8 @@
     if (needed == 0 || own.elastic_ == 0) {
       continue;
     }
-    const auto elasticTotal = kShareUnits - entry->second.sites_ * entry->second.floorUnits_;
+    const auto elasticTotal =
+      kShareUnits - entry->second.dataCentresWithFloor_ * entry->second.floorUnits_;
     std::uint32_t keep = used > own.floor_ ? used - own.floor_ : 0;
     if (shortOfTokens) {
       keep = elasticTotal / (dataCentreCount + 1);
@@ -353,7 +356,7 @@
                aNow - ledger->second.lastShortAt_ < aLease.settings_.idlePeriod_) {
       keep = std::max(keep, elasticTotal / (dataCentreCount + 1));
     }
-    keep = std::min(keep, most > own.floor_ ? most - own.floor_ : 0);
+    keep = std::min(keep, maxUnits > own.floor_ ? maxUnits - own.floor_ : 0);
     const auto spare = own.elastic_ > keep ? own.elastic_ - keep : 0;
     const auto give = std::min(spare, needed);
     if (give > UnitsToGive(aLease, id)) {
@@ -385,7 +388,7 @@
   const auto sites = DataCentresWithFloor(aLease);
   const auto count = static_cast<std::uint32_t>(sites.size());
   PoolEntry entry;
-  entry.sites_ = count;
+  entry.dataCentresWithFloor_ = count;
   entry.floorUnits_ = static_cast<std::uint32_t>(
     std::floor(aLease.config_->policy_.floorFraction_ * kShareUnits / count));
   const auto elastic = (kShareUnits - count * entry.floorUnits_) / count;
@@ -498,7 +501,7 @@
   auto pending = MakeRenewal(aLease, aNow);
   PlatformTransaction transaction;
   ApplyPoolRow(aLease, aLedger, aPool, aNow);
-  const SharePool before = aPool;
+  const SharePool poolBefore = aPool;
   for (const auto& [id, account] : aLease.config_->clientAccounts_) {
     if (aPool.find(id) == aPool.end()) {
       aPool[id] = MakeInitialEntry(aLease);
@@ -509,12 +512,12 @@
       FreeElasticUnits(id, aPool);
       const auto& seen = aLease.observed_.at(id);
       // Fences the lapsed holder: its row gets the next epoch and no holder.
-      auto fenced = seen.row_;
-      ++fenced.epoch_;
-      fenced.holder_ = {};
-      fenced.needs_.clear();
+      auto fencedRow = seen.row_;
+      ++fencedRow.epoch_;
+      fencedRow.holder_ = {};
+      fencedRow.needs_.clear();
       transaction.conditions_.push_back({ ShareRowKey(id), seen.revision_ });
-      transaction.writes_.push_back({ ShareRowKey(id), EncodeShareRow(fenced) });
+      transaction.writes_.push_back({ ShareRowKey(id), EncodeShareRow(fencedRow) });
     }
   }
   for (auto& [account, entry] : aPool) {
@@ -537,12 +540,12 @@
     }
   }
   for (const auto& [account, entry] : aPool) {
-    const auto known = before.find(account);
-    if (known == before.end() || known->second != entry) {
+    const auto known = poolBefore.find(account);
+    if (known == poolBefore.end() || known->second != entry) {
       pending.poolEntries_[account] = entry;
     }
   }
-  if (aPool != before) {
+  if (aPool != poolBefore) {
     transaction.conditions_.push_back({ std::string(kPoolRowKey), aPoolRevision });
     transaction.writes_.push_back({ std::string(kPoolRowKey), EncodeSharePool(aPool) });
   }
@@ -564,8 +567,8 @@
   pending.row_ = aLease.row_;
   pending.row_.holder_ = {};
   pending.row_.needs_.clear();
-  const bool ownFloors = aLease.floorEpoch_ == aLease.row_.epoch_;
-  pending.row_.floorEpoch_ = ownFloors ? 0 : aLease.row_.floorEpoch_;
+  const bool holdsFloors = aLease.floorEpoch_ == aLease.row_.epoch_;
+  pending.row_.floorEpoch_ = holdsFloors ? 0 : aLease.row_.floorEpoch_;
   pending.releases_ = true;
   aLease.releaseSent_ = true;
   StartWrite(aLease, std::move(pending), {}, aNow, aEffects);
@@ -703,7 +706,7 @@
     for (const auto& [id, share] : entry.shares_) {
       shares[id.value_] = Json::array({ share.floor_, share.elastic_ });
     }
-    accounts[account.value_] = Json{ { "sites", entry.sites_ },
+    accounts[account.value_] = Json{ { "sites", entry.dataCentresWithFloor_ },
                                      { "floor", entry.floorUnits_ },
                                      { "free", entry.free_ },
                                      { "shares", std::move(shares) } };
@@ -718,7 +721,7 @@
     SharePool pool;
     for (const auto& [account, value] : json.at("accounts").items()) {
       PoolEntry entry;
-      value.at("sites").get_to(entry.sites_);
+      value.at("sites").get_to(entry.dataCentresWithFloor_);
       value.at("floor").get_to(entry.floorUnits_);
       value.at("free").get_to(entry.free_);
       std::uint64_t sum = entry.free_;
@@ -728,8 +731,8 @@
         sum += std::uint64_t{ portion.floor_ } + portion.elastic_;
         entry.shares_[DataCentreId{ id }] = portion;
       }
-      if (sum != kShareUnits || entry.sites_ == 0 ||
-          std::uint64_t{ entry.sites_ } * entry.floorUnits_ > kShareUnits) {
+      if (sum != kShareUnits || entry.dataCentresWithFloor_ == 0 ||
+          std::uint64_t{ entry.dataCentresWithFloor_ } * entry.floorUnits_ > kShareUnits) {
         return Fail(ErrorCode::kPlatformMalformed, "share-pool", account);
       }
       pool[ClientAccountId{ account }] = std::move(entry);
@@ -747,12 +750,12 @@
   ShareLimit limit;
   const double units = aPortion.floor_ + aPortion.elastic_;
   limit.ratePerSecond_ = aAccount.ratePerSecond_ * units / kShareUnits;
-  const double sites = aEntry.sites_;
+  const double floorCount = aEntry.dataCentresWithFloor_;
   const double exactFloorBurst = aAccount.burst_ * aEntry.floorUnits_ / kShareUnits;
-  const bool wholeToken = aAccount.burst_ >= sites && aEntry.floorUnits_ > 0;
+  const bool wholeToken = aAccount.burst_ >= floorCount && aEntry.floorUnits_ > 0;
   const double floorBurst = wholeToken ? std::max(exactFloorBurst, 1.0) : exactFloorBurst;
-  const double elasticTotal = kShareUnits - sites * aEntry.floorUnits_;
-  const double elasticBurst = aAccount.burst_ - sites * floorBurst;
+  const double elasticTotal = kShareUnits - floorCount * aEntry.floorUnits_;
+  const double elasticBurst = aAccount.burst_ - floorCount * floorBurst;
   if (aPortion.floor_ > 0) {
     limit.burst_ += floorBurst;
   }
@@ -796,8 +799,8 @@
   if (aLease.call_) {
     return;
   }
-  const bool candidate = IsCandidate(aLease);
-  if (aLease.held_ && !candidate && !aLease.pending_) {
+  const bool isCandidate = IsCandidate(aLease);
+  if (aLease.held_ && !isCandidate && !aLease.pending_) {
     if (aNow >= aLease.nextCycleAt_ || !aLease.grantsStoppedAt_) {
       ReleaseLease(aLease, aNow, aEffects);
     }
@@ -805,10 +808,10 @@
   }
   // After a release was sent, granting resumes only when a later write has taken effect, because
   // the release may take effect until then.
-  if (candidate && !aLease.releaseSent_) {
+  if (isCandidate && !aLease.releaseSent_) {
     aLease.grantsStoppedAt_.reset();
   }
-  if ((!candidate && !aLease.pending_) || aNow < aLease.nextCycleAt_) {
+  if ((!isCandidate && !aLease.pending_) || aNow < aLease.nextCycleAt_) {
     return;
   }
   aLease.nextCycleAt_ =
--- a/peridotquay/process/ShareLease.h
+++ b/peridotquay/process/ShareLease.h
@@ -67,8 +67,8 @@
 /// Invariant: free_ and all portions in shares_ sum to kShareUnits.
 struct PoolEntry
 {
-  std::uint32_t sites_ = 1;      ///< Number of data centres with a floor.
-  std::uint32_t floorUnits_ = 0; ///< Floor units of each of them.
+  std::uint32_t dataCentresWithFloor_ = 1;
+  std::uint32_t floorUnits_ = 0; ///< Floor units of each data centre with a floor.
   std::uint32_t free_ = 0;       ///< Units that belong to no data centre.
   std::map<DataCentreId, SharePortion> shares_;
   bool operator==(const PoolEntry&) const = default;
@@ -98,7 +98,7 @@
                                      ///< only the units that its use needs.
   Duration shortagePeriod_ = seconds(2); ///< An account that was short of tokens within this wants
                                          ///< more units.
-  std::size_t needs_ = 16;               ///< Maximum number of accounts in ShareRow::needs_.
+  std::size_t maxNeeds_ = 16;            ///< Maximum number of accounts in ShareRow::needs_.
   bool operator==(const ShareLeaseSettings&) const = default;
 };
 
--- a/peridotquay/process/ShareLedger.cpp
+++ b/peridotquay/process/ShareLedger.cpp
@@ -18,8 +18,8 @@
 // Limits the level to what the burst leaves beside the outstanding tokens.
 void CapLevel(AccountLedger& aAccount)
 {
-  const double room = std::max(0.0, aAccount.limit_.burst_ - aAccount.outstanding_);
-  aAccount.level_ = std::min(aAccount.level_, room);
+  const double maxLevel = std::max(0.0, aAccount.limit_.burst_ - aAccount.outstanding_);
+  aAccount.level_ = std::min(aAccount.level_, maxLevel);
 }
 
 // Removes expired grants and counts their tokens as used. The tokens are never returned to the
@@ -156,15 +156,15 @@
   const auto lifetime = std::min(LifetimeOfGrants(account), aMaxLifetime);
   // Because a grant is at most half of the level, hosts may get less than they want while the level
   // never reaches zero. That counts as a shortage too.
-  const bool low =
+  const bool levelLow =
     account.level_ < account.limit_.burst_ / 2 && wanted > std::floor(account.level_ / 2);
-  if (low || wanted > std::floor(account.level_ + kEpsilon)) {
+  if (levelLow || wanted > std::floor(account.level_ + kEpsilon)) {
     account.lastShortAt_ = aNow;
     account.everShort_ = true;
   }
   // At most half of the level, so that the first host that asks doesn't starve the others.
-  const double most = std::max(1.0, std::floor(account.level_ / 2));
-  const double tokens = std::min({ wanted, most, std::floor(account.level_ + kEpsilon) });
+  const double maxTokens = std::max(1.0, std::floor(account.level_ / 2));
+  const double tokens = std::min({ wanted, maxTokens, std::floor(account.level_ + kEpsilon) });
   if (tokens < 1 || lifetime < kMinGrantLifetime) {
     grant.retryAfterMs_ = RetryAfterMs(account, aNow);
     return grant;
@@ -198,11 +198,11 @@
 
 void EndUsePeriod(ShareLedger& aLedger, Duration aPeriod, TimePoint aNow)
 {
-  const double length = std::max(ToSeconds(aPeriod), kEpsilon);
+  const double periodSeconds = std::max(ToSeconds(aPeriod), kEpsilon);
   for (auto& [id, account] : aLedger.accounts_) {
     UpdateAccount(account, aNow);
-    const double use = account.usedInPeriod_ / length;
-    account.usePerSecond_ += kUseAverageWeight * (use - account.usePerSecond_);
+    const double usePerSecond = account.usedInPeriod_ / periodSeconds;
+    account.usePerSecond_ += kUseAverageWeight * (usePerSecond - account.usePerSecond_);
     account.usedInPeriod_ = 0;
   }
 }
--- a/tests/process/ControlActorTest.cpp
+++ b/tests/process/ControlActorTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the actors with a paused clock: nothing happens unless the test advances the time.
+// Tests of the control actors with a clock that moves only when the test advances it.
 #include "peridotquay/process/ControlActor.h"
 
 #include "tests/version/FakePlatform.h"
@@ -17,11 +17,11 @@
   TestConfig() { set("scheduler.policy", caf::atom("testing")); }
 };
 
-// One node whose three actors run in the test's thread, with a platform that answers at once.
-class PausedNode
+// Node whose actors run in the test's thread, with a platform that answers at once.
+class ManualClockNode
 {
 public:
-  PausedNode()
+  ManualClockNode()
     : system_(config_)
     , scheduler_(dynamic_cast<caf::scheduler::test_coordinator&>(system_.scheduler()))
   {
@@ -64,7 +64,7 @@
     scheduler_.run();
   }
 
-  ~PausedNode()
+  ~ManualClockNode()
   {
     for (const auto& actor : { membership_, versions_, shares_ }) {
       caf::anon_send_exit(actor, caf::exit_reason::user_shutdown);
@@ -72,8 +72,8 @@
     scheduler_.run();
   }
 
-  PausedNode(const PausedNode&) = delete;
-  PausedNode& operator=(const PausedNode&) = delete;
+  ManualClockNode(const ManualClockNode&) = delete;
+  ManualClockNode& operator=(const ManualClockNode&) = delete;
 
   TimePoint Now() { return scheduler_.clock().now(); }
 
@@ -85,7 +85,7 @@
     }
   }
 
-  // Time passes without a chance to act, as in a paused process.
+  // Advances the time in one step, in which no actor runs, as in a paused process.
   void Pause(Duration aLength)
   {
     scheduler_.advance_time(aLength);
@@ -129,11 +129,11 @@
 
 } // namespace
 
-// Guards against a timer that doesn't use the actor clock, and against a version that isn't
-// published within a poll.
-TEST_CASE("actors follow the platform by the actor clock", "[actors]")
+// Guards against a timer that doesn't use the clock of the actor system, and against a new version
+// that isn't published within 700 ms.
+TEST_CASE("actors poll the platform by the clock of the actor system", "[actors]")
 {
-  PausedNode node;
+  ManualClockNode node;
   node.CommitVersion(1, R"({"burst":20,"rate":10})");
   node.Advance(seconds(1));
   REQUIRE(node.publishedConfig_ != nullptr);
@@ -147,11 +147,11 @@
   CHECK(node.Now() - *node.publishedFreshness_ <= milliseconds(700));
 }
 
-// Guards against freshness that goes on while the platform is away, in a data centre without
-// others.
-TEST_CASE("freshness stops with the platform", "[actors]")
+// Guards against freshness that advances while the only node of a data centre can't reach the
+// platform.
+TEST_CASE("freshness doesn't advance in a platform outage", "[actors]")
 {
-  PausedNode node;
+  ManualClockNode node;
   node.CommitVersion(1, R"({"burst":20,"rate":10})");
   node.Advance(seconds(2));
   node.platform_.down_ = true;
@@ -163,11 +163,11 @@
   CHECK(*node.publishedFreshness_ > before + seconds(29));
 }
 
-// Guards against a leader that grants from a lease that ended while its process was paused, and
-// against grants counted from a later time than that of the request.
-TEST_CASE("a paused leader grants nothing from an expired lease", "[actors]")
+// Guards against a share leader that grants tokens under a lease that ended while its process was
+// paused, and against a grant whose lifetime is counted from a later time than the request.
+TEST_CASE("a share leader grants nothing after its lease ended during a pause", "[actors]")
 {
-  PausedNode node;
+  ManualClockNode node;
   node.CommitVersion(1, R"({"burst":20,"rate":10})");
   node.Advance(seconds(6));
   const auto asked = node.Now();
--- a/tests/process/ShareLeaseTest.cpp
+++ b/tests/process/ShareLeaseTest.cpp
@@ -1,5 +1,5 @@
-// Tests of the share lease: several data centres with two candidates each, one platform, virtual
-// time.
+// Tests of the share lease in a simulation with virtual time: several data centres with two
+// candidates each, which share one platform.
 #include "peridotquay/process/ShareLease.h"
 
 #include "peridotquay/version/MembershipRank.h"
@@ -19,36 +19,39 @@
 constexpr double kRate = 100;
 constexpr double kBurst = 40;
 
-// One candidate for the lease of its data centre, with a clock of its own.
+// Node that competes for the lease of its data centre, with a clock of its own.
 struct Candidate
 {
   ShareLease lease_;
   ShareLedger ledger_;
-  Duration offset_{};
-  TimePoint pausedUntil_{};
-  bool platformCutOff_ = false; ///< Doesn't reach the platform, but hosts reach it.
+  Duration offset_{};           ///< Of its clock from the simulation's time.
+  TimePoint pausedUntil_{};     ///< The process doesn't run until then.
+  bool platformCutOff_ = false; ///< It can't reach the platform, but hosts can reach it.
   std::string dataCentre_;
 };
 
-// A platform call on its way there or back.
+// Platform call that is on its way to the platform, or whose answer is on its way back.
 struct CallInFlight
 {
   TimePoint dueAt_;
-  std::size_t from_ = 0;
-  bool executed_ = false;   ///< True: the answer travels back.
-  bool answerLost_ = false; ///< The answer never comes; the caller is told so after 2 s.
-  std::uint64_t processNumber_ =
-    0; ///< Of the process that sent it; a later one never gets the answer.
+  std::size_t from_ = 0;            ///< Index of the candidate that sent the call.
+  bool executed_ = false;           ///< The answer is on its way back.
+  bool answerLost_ = false;         ///< The answer never arrives; the caller times out after 2 s.
+  std::uint64_t processNumber_ = 0; ///< Of the calling process. A later process of the same
+                                    ///< candidate doesn't receive the answer.
   PlatformCall call_;
   PlatformAnswer answer_;
 };
 
+// Use of granted tokens.
 struct TokenUse
 {
   TimePoint time_;
   double tokens_ = 0;
 };
 
+// Data centres a, b, ... with the candidates 2 * i and 2 * i + 1 in data centre i. At the start the
+// candidate with the even index is the share leader.
 class ShareSimulation
 {
 public:
@@ -78,7 +81,7 @@
   Duration maxDelay_ = milliseconds(20);
   double lostAnswerFraction_ = 0;
 
-  // A new process.
+  // Starts a new process for a candidate, with an empty state and a new clock offset.
   void StartProcess(std::size_t aIndex)
   {
     auto& candidate = candidates_[aIndex];
@@ -95,7 +98,8 @@
     ++processNumbers_[aIndex];
   }
 
-  // Tells a node who leads, as membership would. Both candidates may think that they do.
+  // Tells a candidate whether it is the share leader, as membership would. Both candidates of a
+  // data centre may be told that they are.
   void SetLeader(std::size_t aIndex, bool aSelf)
   {
     auto ranking = std::make_shared<MemberRanking>();
@@ -122,8 +126,10 @@
     }
   }
 
-  // A host asks a candidate at most 100 ms after it decided to, and uses the grant at some time
-  // before it expires, which it counts from before it asked. Returns the tokens used.
+  // Requests tokens from a candidate for a host that uses the whole grant before it expires.
+  // Without delay, the request arrives and the tokens are used at once. Otherwise the request takes
+  // up to 100 ms, the lifetime counts from when it was sent, and the tokens are used at a random
+  // time before the expiry. Returns the tokens used.
   double RequestTokens(std::size_t aIndex, double aWanted, bool aWithoutDelay = true)
   {
     auto& candidate = candidates_[aIndex];
@@ -145,7 +151,7 @@
     return grant.tokens_;
   }
 
-  // Asks a data centre's leader every 50 ms; returns the tokens.
+  // Requests tokens from a candidate every 50 ms and returns how many were used.
   double RequestTokensFor(std::size_t aIndex, Duration aLength, double aEach = 5)
   {
     double used = 0;
@@ -156,8 +162,8 @@
     return used;
   }
 
-  // A bucket of the whole limit that is full at the start never runs dry: the same as at most
-  // burst + rate * length in every interval.
+  // True if all uses fit into one token bucket with the account's whole limit that is full at the
+  // start. This holds exactly if no interval has more uses than burst + rate * length.
   bool WithinLimit()
   {
     std::sort(uses_.begin(), uses_.end(), [](const TokenUse& aLeft, const TokenUse& aRight) {
@@ -190,6 +196,7 @@
       static_cast<std::uint64_t>(std::max<Duration::rep>(1, aBelow.count()))));
   }
 
+  // Sends the call in aEffects, if there is one, with a random delay.
   void StartCall(std::size_t aFrom, ShareLeaseEffects& aEffects)
   {
     if (!aEffects.call_) {
@@ -201,7 +208,7 @@
                        std::move(*aEffects.call_), {} };
     call.answer_.startedAt_ = LocalTime(aFrom);
     if (lost) {
-      // The caller gives up after 2 s; the write may take effect long after that.
+      // The caller times out after 2 s; the write may take effect up to 2 s later.
       CallInFlight failure = call;
       failure.executed_ = true;
       failure.answerLost_ = false;
@@ -213,6 +220,8 @@
     callsInFlight_.push_back(std::move(call));
   }
 
+  // Executes the calls and delivers the answers that are due. Calls to the platform from a
+  // candidate that is cut off fail, and answers wait while the candidate is paused.
   void AdvanceCalls()
   {
     auto calls = std::move(callsInFlight_);
@@ -256,9 +265,9 @@
 
 } // namespace
 
-// Guards against rows that can be written and not read back, and against a pool row that mints
-// units.
-TEST_CASE("share rows read back and a bad pool is refused", "[lease]")
+// Guards against rows that can be written but not read back, and against a pool row whose units sum
+// to more than the whole limit.
+TEST_CASE("share rows survive encoding and a pool row with too many units is refused", "[lease]")
 {
   const ShareRow row{ 3, { "h" }, 5, 7, 2, 5000, 600000, { { kAccount, 12 } } };
   CHECK(DecodeShareRow(EncodeShareRow(row)).assume_value() == row);
@@ -273,9 +282,9 @@
   }
 }
 
-// Guards against limits of data centres that add up to more than the account's, also where each
-// floor is rounded up to a whole token.
-TEST_CASE("limits of all data centres add up to the account's", "[lease]")
+// Guards against data centres whose limits sum to more than the account's limit, also if each floor
+// is rounded up to a whole token.
+TEST_CASE("limits of all data centres sum to at most the account's limit", "[lease]")
 {
   for (const double burst : { 3.0, 4.0, 10.0, 1000.0 }) {
     const ClientAccount account{ kAccount, 50, burst };
@@ -292,9 +301,10 @@
   }
 }
 
-// Guards against two holders of one lease: a taker waits for the whole elastic lease after its
-// read, and for the whole floor lease before it uses floors.
-TEST_CASE("a crashed leader's lease is taken over after 5 s and its floors later", "[lease]")
+// Guards against two nodes that grant under the same lease: the successor of a crashed leader waits
+// for the whole elastic lease after its read, and for the whole floor lease before it uses floors.
+TEST_CASE("a crashed leader's lease is taken over after 5 s, its floors after the floor lease",
+          "[lease]")
 {
   ShareSimulation simulation(1, seconds(600), 3);
   simulation.Run(seconds(3));
@@ -318,8 +328,9 @@
           .ratePerSecond_ == Approx(kRate));
 }
 
-// Guards against a planned change of leader that costs the floors or takes long.
-TEST_CASE("a leader that is no longer first releases the lease", "[lease]")
+// Guards against a planned change of the share leader that makes the floors unusable or takes as
+// long as the end of a lease.
+TEST_CASE("a holder that is no longer the share leader releases its lease and floors", "[lease]")
 {
   ShareSimulation simulation(1, seconds(600), 4);
   simulation.Run(seconds(3));
@@ -333,9 +344,9 @@
           .ratePerSecond_ == Approx(kRate));
 }
 
-// Guards against a holder that goes on after its lease ended, and against one that loses its floors
-// in an outage.
-TEST_CASE("in an outage the elastic share lapses and the floor stays", "[lease]")
+// Guards against a holder that uses the elastic share after its lease ended, and against one that
+// loses its floors while the platform can't be reached.
+TEST_CASE("in a platform outage the elastic share lapses before the floor", "[lease]")
 {
   ShareSimulation simulation(2, seconds(600), 5);
   simulation.Run(seconds(4));
@@ -353,15 +364,15 @@
   CHECK(simulation.WithinLimit());
 }
 
-// Guards against demand in one data centre that stays at an equal share while others are idle, and
-// against two busy ones that don't share.
-TEST_CASE("elastic shares follow demand", "[lease]")
+// Guards against a busy data centre that keeps only its equal share while others are idle, and
+// against an uneven division between two busy data centres.
+TEST_CASE("elastic units move to busy data centres and are divided evenly among them", "[lease]")
 {
   ShareSimulation simulation(4, seconds(600), 6);
   simulation.Run(seconds(4));
   simulation.RequestTokensFor(0, seconds(10));
   const auto first = simulation.RequestTokensFor(0, seconds(10));
-  // All but the floors of the three idle data centres.
+  // The whole limit except the floors of the three idle data centres.
   CHECK(first >= kRate * 10 * (1 - 3 * 0.0625) * 0.9);
   double sums[2] = {};
   for (int i = 0; i < 600; ++i) {
@@ -376,9 +387,9 @@
   CHECK(simulation.WithinLimit());
 }
 
-// Guards against elastic shares that are lost with a data centre: others take them when they need
-// them, and the data centre can't use them any more when it is back.
-TEST_CASE("a lapsed data centre's elastic share is reclaimed", "[lease]")
+// Guards against elastic units that stay unused after their data centre failed, and against a data
+// centre that still uses its elastic units after others reclaimed them.
+TEST_CASE("elastic units of a failed data centre are reclaimed and fenced", "[lease]")
 {
   ShareSimulation simulation(2, seconds(600), 7);
   simulation.Run(seconds(4));
@@ -393,8 +404,9 @@
   CHECK(simulation.WithinLimit());
 }
 
-// Guards against a lost answer that leaves the lease without a holder or a move half done.
-TEST_CASE("lost answers are resolved by reading back", "[lease]")
+// Guards against a lost answer that leaves the lease without a holder or a move incomplete.
+TEST_CASE("after lost answers the lease rows are read back to see which writes took effect",
+          "[lease]")
 {
   ShareSimulation simulation(2, seconds(600), 8);
   simulation.lostAnswerFraction_ = 0.3;
@@ -406,10 +418,10 @@
   CHECK(simulation.WithinLimit());
 }
 
-// Guards against any interleaving of demand, moves, lost and late writes, pauses, restarts, outages
-// and disputed leadership that lets an account use more than burst + rate * length in some
-// interval.
-TEST_CASE("no interval exceeds the limit over all data centres", "[lease][property]")
+// Guards against an account that uses more than burst + rate * length in some interval, for random
+// interleavings of demand, moves, lost and late writes, pauses, restarts, outages and two nodes
+// that both believe to be the share leader.
+TEST_CASE("an account never exceeds its limit over all data centres", "[lease][property]")
 {
   CHECK(rc::check([] {
     const auto dataCentreCount = *rc::gen::inRange<std::size_t>(1, 4);
@@ -444,7 +456,7 @@
         default:
           break;
       }
-      // Every candidate is asked for all it has all the time, so that no excess stays hidden.
+      // Each candidate is asked for more than it can grant every 50 ms, so that every excess shows.
       const auto end =
         simulation.now_ + milliseconds(*rc::gen::element(50, 50, 200, 1000, 3000, 8000));
       while (simulation.now_ < end) {
--- a/tests/process/ShareLedgerTest.cpp
+++ b/tests/process/ShareLedgerTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the token ledger, alone and against a naive reference.
+// Tests of the token ledger, also against a naive reference.
 #include "peridotquay/process/ShareLedger.h"
 
 #include <catch2/catch.hpp>
@@ -19,7 +19,7 @@
   return { 1, kAccount, aGrant, aUsed, aTokens };
 }
 
-// A ledger whose account is full.
+// Returns a ledger whose account has a full bucket.
 ShareLedger MakeFullLedger(ShareLimit aLimit)
 {
   ShareLedger ledger;
@@ -28,15 +28,15 @@
   return ledger;
 }
 
-// One use of tokens.
+// Use of granted tokens.
 struct TokenUse
 {
   TimePoint time_;
   double tokens_ = 0;
 };
 
-// Naive reference: in each interval between two uses, no more than burst + rate * length, by adding
-// up all uses in it.
+// Naive reference: adds up the uses in each interval between two uses, and returns false if they
+// exceed burst + rate * length.
 bool WithinLimit(const std::vector<TokenUse>& aUses, const ShareLimit& aLimit)
 {
   for (std::size_t first = 0; first < aUses.size(); ++first) {
@@ -52,7 +52,7 @@
   return true;
 }
 
-// A host with one grant, which it uses until its own clock says that it expired.
+// Grant of one host, which uses it until the grant expires by the host's own clock.
 struct HostGrant
 {
   std::uint64_t grant_ = 0;
@@ -63,8 +63,9 @@
 
 } // namespace
 
-// Guards against tokens minted by a new holder, a raised limit, or a move.
-TEST_CASE("shares that move create no tokens", "[shares]")
+// Guards against tokens that are created by a new ledger, a raised limit, or a limit that is
+// lowered and raised again.
+TEST_CASE("changes of the limit create no tokens", "[shares]")
 {
   ShareLedger ledger;
   SetShareLimit(ledger, kAccount, { 10, 10 }, kStart);
@@ -78,9 +79,9 @@
   CHECK(ledger.accounts_.at(kAccount).level_ == Approx(4));
 }
 
-// Guards against a return of tokens after the grant expired, which would exceed the burst once the
-// level was refilled.
-TEST_CASE("unused tokens return before the expiry and not after it", "[shares]")
+// Guards against tokens that are returned after their grant expired: the refill has replaced them
+// by then, and the burst would be exceeded.
+TEST_CASE("unused tokens are returned before the grant expires but not after it", "[shares]")
 {
   auto ledger = MakeFullLedger({ 0.001, 10 });
   const auto grant = GrantTokens(ledger, { "h" }, MakeRequest(4), kMaxGrantLifetime, kStart);
@@ -95,8 +96,9 @@
   CHECK(ledger.accounts_.at(kAccount).level_ == Approx(7).margin(0.01));
 }
 
-// Guards against a host that settles another host's grant, and against hostile numbers.
-TEST_CASE("reports are checked", "[shares]")
+// Guards against a host that settles another host's grant, and against requests with negative or
+// infinite numbers.
+TEST_CASE("a request can't return other hosts' tokens or create tokens", "[shares]")
 {
   auto ledger = MakeFullLedger({ 0.001, 10 });
   const auto grant = GrantTokens(ledger, { "h" }, MakeRequest(4), kMaxGrantLifetime, kStart);
@@ -113,9 +115,10 @@
   CHECK(GrantTokens(ledger, { "h" }, MakeRequest(-5), kMaxGrantLifetime, kStart).tokens_ == 0);
 }
 
-// Guards against a burst that one host takes whole while others ask, and one that is refused
-// because it is spread: 16 calls of a burst of 16 from 16 hosts are all granted.
-TEST_CASE("a burst spread over hosts is granted", "[shares]")
+// Guards against one host that receives the whole burst while others ask, and against a burst that
+// is refused because it comes from many hosts: with a burst of 16, one call from each of 16 hosts
+// is granted.
+TEST_CASE("one host gets at most half of the burst and many hosts get all of it", "[shares]")
 {
   auto ledger = MakeFullLedger({ 100, 16 });
   const auto first = GrantTokens(ledger, { "greedy" }, MakeRequest(16), kMaxGrantLifetime, kStart);
@@ -133,17 +136,17 @@
   CHECK(refused.retryAfterMs_ >= 1);
 }
 
-// Guards against grants that outlive the lease that covers them.
-TEST_CASE("a grant ends with the lease", "[shares]")
+// Guards against grants that last longer than the lease that covers them.
+TEST_CASE("a grant expires no later than the lease", "[shares]")
 {
   auto ledger = MakeFullLedger({ 1, 10 });
   CHECK(GrantTokens(ledger, { "h" }, MakeRequest(1), milliseconds(300), kStart).lifetimeMs_ == 300);
   CHECK(GrantTokens(ledger, { "h" }, MakeRequest(1), milliseconds(20), kStart).tokens_ == 0);
 }
 
-// Guards against any interleaving of grants, use, reports, expiry, late messages and pauses that
-// lets an account use more than burst + rate * length in some interval.
-TEST_CASE("no interval exceeds the burst and the rate", "[shares][property]")
+// Guards against an account that uses more than burst + rate * length in some interval, for random
+// interleavings of grants, use, reports, expiry, late messages and pauses.
+TEST_CASE("uses within any interval stay within the burst and the rate", "[shares][property]")
 {
   CHECK(rc::check([] {
     const ShareLimit limit{ *rc::gen::inRange(1, 200) * 1.0, *rc::gen::inRange(1, 40) * 1.0 };
@@ -164,7 +167,8 @@
         uses.push_back({ now, used });
         continue;
       }
-      // The report gives the rest back, so the host stops using the old grant as it asks.
+      // The request returns the unused tokens, so the host stops using the old grant when it sends
+      // the request.
       const auto asked = now;
       const auto request = MakeRequest(*rc::gen::inRange(0, 12), hostGrant.grant_, hostGrant.used_);
       hostGrant = {};
@@ -184,9 +188,9 @@
   }));
 }
 
-// Guards against tokens created while a limit is lowered and raised: the sum over two holders that
-// hand shares to each other stays within the whole limit.
-TEST_CASE("two holders that move shares stay within the limit", "[shares][property]")
+// Guards against tokens that are created when a share moves: the uses under two ledgers that give
+// shares to each other must stay within the whole limit.
+TEST_CASE("two ledgers that move shares stay within the whole limit", "[shares][property]")
 {
   CHECK(rc::check([] {
     const ShareLimit whole{ 100, 20 };
@@ -209,7 +213,7 @@
       const int moved = std::min(percent[side], *rc::gen::inRange(1, 30));
       const auto lower = percentOf(percent[side] - moved);
       SetShareLimit(ledgers[side], kAccount, lower, now);
-      // Grants fall due before the other side gets the share.
+      // The grants must expire before the other ledger receives the share.
       if (!FitsLimit(ledgers[side], kAccount, lower, now)) {
         now += kMaxGrantLifetime;
       }
