--- a/peridotquay/process/ControlActor.h
+++ b/peridotquay/process/ControlActor.h
@@ -98,29 +98,29 @@
 /// shortest timer (indirect probes after 300 ms). An idle node stays below 30 wake-ups a second.
 inline constexpr Duration kControlTickInterval = milliseconds(100);
 
-/// Spawns the actor that runs membership. It sends rankings to aVersions and aShares, and summaries
-/// to aVersions.
+/// Spawns the actor that runs membership. It sends rankings to aVersionActor and aShareActor, and
+/// summaries to aVersionActor.
 caf::actor SpawnMembershipActor(caf::actor_system& aSystem,
                                 const ControlContext& aContext,
                                 const Membership& aState,
-                                const caf::actor& aVersions,
-                                const caf::actor& aShares);
+                                const caf::actor& aVersionActor,
+                                const caf::actor& aShareActor);
 
-/// Spawns the actor that runs dissemination. aPlatform must answer PlatformCallRequest with
+/// Spawns the actor that runs dissemination. aPlatformActor must answer PlatformCallRequest with
 /// PlatformAnswer. The membership actor, which receives the contacts, is spawned later and is set
 /// by a message of type caf::actor.
 caf::actor SpawnVersionActor(caf::actor_system& aSystem,
                              const ControlContext& aContext,
                              const Dissemination& aState,
-                             const caf::actor& aPlatform,
-                             const caf::actor& aShares);
+                             const caf::actor& aPlatformActor,
+                             const caf::actor& aShareActor);
 
-/// Spawns the actor that runs the share lease and its ledger. aPlatform must answer
+/// Spawns the actor that runs the share lease and its ledger. aPlatformActor must answer
 /// PlatformCallRequest with PlatformAnswer.
 caf::actor SpawnShareActor(caf::actor_system& aSystem,
                            const ControlContext& aContext,
                            const ShareLease& aState,
-                           const caf::actor& aPlatform);
+                           const caf::actor& aPlatformActor);
 
 /// Spawns the actor that runs platform calls, one at a time, in a thread of its own.
 caf::actor SpawnPlatformActor(caf::actor_system& aSystem, std::shared_ptr<Platform> aPlatform);
--- a/peridotquay/process/ControlActorMembership.cpp
+++ b/peridotquay/process/ControlActorMembership.cpp
@@ -18,8 +18,8 @@
 {
   ControlContext context_;
   Membership membership_;
-  caf::actor versions_;
-  caf::actor shares_;
+  caf::actor versionActor_;
+  caf::actor shareActor_;
   std::uint64_t publishedRevision_ = 0;
   bool published_ = false;
   TimePoint loadPublishedAt_{};
@@ -63,7 +63,7 @@
     }
   }
   if (!aEffects.summaries_.empty()) {
-    aSelf->send(aSelf->state.versions_, SummaryBatch{ std::move(aEffects.summaries_) });
+    aSelf->send(aSelf->state.versionActor_, SummaryBatch{ std::move(aEffects.summaries_) });
   }
   for (const auto& event : aEffects.events_) {
     LogMembershipEvent(event);
@@ -108,8 +108,8 @@
   if (ranking != state.ranking_) {
     state.ranking_ = ranking;
     const auto shared = std::make_shared<const MemberRanking>(std::move(ranking));
-    aSelf->send(state.versions_, RankingUpdate{ shared });
-    aSelf->send(state.shares_, RankingUpdate{ shared });
+    aSelf->send(state.versionActor_, RankingUpdate{ shared });
+    aSelf->send(state.shareActor_, RankingUpdate{ shared });
   }
 }
 
@@ -150,14 +150,14 @@
 caf::actor SpawnMembershipActor(caf::actor_system& aSystem,
                                 const ControlContext& aContext,
                                 const Membership& aState,
-                                const caf::actor& aVersions,
-                                const caf::actor& aShares)
+                                const caf::actor& aVersionActor,
+                                const caf::actor& aShareActor)
 {
   return aSystem.spawn([=](MembershipActor* aSelf) {
     aSelf->state.context_ = aContext;
     aSelf->state.membership_ = aState;
-    aSelf->state.versions_ = aVersions;
-    aSelf->state.shares_ = aShares;
+    aSelf->state.versionActor_ = aVersionActor;
+    aSelf->state.shareActor_ = aShareActor;
     return MakeMembershipBehavior(aSelf);
   });
 }
--- a/peridotquay/process/ControlActorShare.cpp
+++ b/peridotquay/process/ControlActorShare.cpp
@@ -29,7 +29,7 @@
   ControlContext context_;
   ShareLease lease_;
   ShareLedger ledger_;
-  caf::actor platform_;
+  caf::actor platformActor_;
   std::uint64_t nextNonce_ = 0; ///< For requests to the share leader.
   std::map<std::uint64_t, PendingTokenRequest>
     pendingRequests_; ///< By nonce of the request to the share leader.
@@ -51,7 +51,7 @@
   }
   aSelf
     ->request(
-      aSelf->state.platform_, caf::infinite, PlatformCallRequest{ std::move(*aEffects.call_) })
+      aSelf->state.platformActor_, caf::infinite, PlatformCallRequest{ std::move(*aEffects.call_) })
     .then([aSelf](const PlatformAnswer& aAnswer) {
       ShareLeaseEffects effects;
       HandleShareAnswer(
@@ -154,12 +154,12 @@
 caf::actor SpawnShareActor(caf::actor_system& aSystem,
                            const ControlContext& aContext,
                            const ShareLease& aState,
-                           const caf::actor& aPlatform)
+                           const caf::actor& aPlatformActor)
 {
   return aSystem.spawn([=](ShareActor* aSelf) {
     aSelf->state.context_ = aContext;
     aSelf->state.lease_ = aState;
-    aSelf->state.platform_ = aPlatform;
+    aSelf->state.platformActor_ = aPlatformActor;
     aSelf->state.nextNonce_ = NextRandom(aSelf->state.lease_.random_);
     return MakeShareBehavior(aSelf);
   });
--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -14,10 +14,10 @@
 struct VersionActorState
 {
   ControlContext context_;
-  Dissemination versions_;
-  caf::actor platform_;
-  caf::actor shares_;
-  caf::actor membership_; ///< Empty until the message that sets it arrives.
+  Dissemination dissemination_;
+  caf::actor platformActor_;
+  caf::actor shareActor_;
+  caf::actor membershipActor_; ///< Empty until the message that sets it arrives.
 };
 
 using VersionActor = caf::stateful_actor<VersionActorState>;
@@ -55,16 +55,16 @@
 
 void PublishStatus(const VersionActorState& aState, TimePoint aNow)
 {
-  const auto& versions = aState.versions_;
+  const auto& dissemination = aState.dissemination_;
   ControlStatus status;
-  status.version_ = versions.inForce_;
-  const auto fresh = FreshUntil(versions);
+  status.version_ = dissemination.inForce_;
+  const auto fresh = FreshUntil(dissemination);
   status.freshnessAgeMs_ =
     fresh ? static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *fresh).count())
           : kNoProof;
-  status.delegate_ = IsDelegate(versions);
-  status.platformReachable_ = versions.platformReachable_;
-  status.minDataCentreVersion_ = versions.watermark_;
+  status.delegate_ = IsDelegate(dissemination);
+  status.platformReachable_ = dissemination.platformReachable_;
+  status.minDataCentreVersion_ = dissemination.watermark_;
   aState.context_.status_->versions_.store(std::make_shared<const ControlStatus>(status));
 }
 
@@ -72,10 +72,11 @@
 
 void StartPlatformCall(VersionActor* aSelf, PlatformCall aCall)
 {
-  aSelf->request(aSelf->state.platform_, caf::infinite, PlatformCallRequest{ std::move(aCall) })
+  aSelf
+    ->request(aSelf->state.platformActor_, caf::infinite, PlatformCallRequest{ std::move(aCall) })
     .then([aSelf](const PlatformAnswer& aAnswer) {
       DisseminationEffects effects;
-      HandleVersionAnswer(aSelf->state.versions_, aAnswer, aSelf->clock().now(), effects);
+      HandleVersionAnswer(aSelf->state.dissemination_, aAnswer, aSelf->clock().now(), effects);
       ApplyEffects(aSelf, effects);
     });
 }
@@ -91,7 +92,7 @@
   // isn't in force yet.
   if (aEffects.config_ != nullptr) {
     callbacks.publishConfig_(aEffects.config_);
-    aSelf->send(state.shares_, ConfigUpdate{ aEffects.config_ });
+    aSelf->send(state.shareActor_, ConfigUpdate{ aEffects.config_ });
   }
   if (aEffects.freshness_) {
     callbacks.publishFreshness_(*aEffects.freshness_);
@@ -99,8 +100,8 @@
   for (auto& message : aEffects.messages_) {
     callbacks.sendPeer_(message.to_, std::move(message.message_));
   }
-  if (!aEffects.contacts_.empty() && state.membership_) {
-    aSelf->send(state.membership_, ContactUpdate{ std::move(aEffects.contacts_) });
+  if (!aEffects.contacts_.empty() && state.membershipActor_) {
+    aSelf->send(state.membershipActor_, ContactUpdate{ std::move(aEffects.contacts_) });
   }
   for (const auto& event : aEffects.events_) {
     LogDisseminationEvent(event);
@@ -114,7 +115,7 @@
 // connection may have an ephemeral port.
 Address ReplyAddress(const VersionActorState& aState, const ReceivedPeerMessage& aReceived)
 {
-  const auto& ranking = aState.versions_.ranking_;
+  const auto& ranking = aState.dissemination_.ranking_;
   if (ranking != nullptr) {
     const auto found = ranking->addresses_.find(aReceived.from_.host_);
     if (found != ranking->addresses_.end()) {
@@ -132,13 +133,13 @@
     [=](TickAtom) {
       aSelf->delayed_send(aSelf, kControlTickInterval, TickAtom::value);
       DisseminationEffects effects;
-      StepDissemination(aSelf->state.versions_, now(), WallClockMs(), effects);
+      StepDissemination(aSelf->state.dissemination_, now(), WallClockMs(), effects);
       ApplyEffects(aSelf, effects);
       PublishStatus(aSelf->state, now());
     },
     [=](const ReceivedPeerMessage& aReceived) {
       DisseminationEffects effects;
-      HandleVersionMessage(aSelf->state.versions_,
+      HandleVersionMessage(aSelf->state.dissemination_,
                            aReceived.from_,
                            ReplyAddress(aSelf->state, aReceived),
                            aReceived.message_,
@@ -147,15 +148,15 @@
       ApplyEffects(aSelf, effects);
     },
     [=](const RankingUpdate& aUpdate) {
-      SetRanking(aSelf->state.versions_, aUpdate.ranking_, now());
+      SetRanking(aSelf->state.dissemination_, aUpdate.ranking_, now());
     },
     [=](SummaryBatch& aBatch) {
       for (auto& message : aBatch.summaries_) {
-        FillSummary(aSelf->state.versions_, std::get<Summary>(message.message_), now());
+        FillSummary(aSelf->state.dissemination_, std::get<Summary>(message.message_), now());
         aSelf->state.context_.callbacks_.sendPeer_(message.to_, std::move(message.message_));
       }
     },
-    [=](const caf::actor& aMembership) { aSelf->state.membership_ = aMembership; },
+    [=](const caf::actor& aMembershipActor) { aSelf->state.membershipActor_ = aMembershipActor; },
   };
 }
 
@@ -164,14 +165,14 @@
 caf::actor SpawnVersionActor(caf::actor_system& aSystem,
                              const ControlContext& aContext,
                              const Dissemination& aState,
-                             const caf::actor& aPlatform,
-                             const caf::actor& aShares)
+                             const caf::actor& aPlatformActor,
+                             const caf::actor& aShareActor)
 {
   return aSystem.spawn([=](VersionActor* aSelf) {
     aSelf->state.context_ = aContext;
-    aSelf->state.versions_ = aState;
-    aSelf->state.platform_ = aPlatform;
-    aSelf->state.shares_ = aShares;
+    aSelf->state.dissemination_ = aState;
+    aSelf->state.platformActor_ = aPlatformActor;
+    aSelf->state.shareActor_ = aShareActor;
     return MakeVersionBehavior(aSelf);
   });
 }
--- a/peridotquay/process/RolloutStatus.cpp
+++ b/peridotquay/process/RolloutStatus.cpp
@@ -27,7 +27,7 @@
 const std::string kPolicyEntity = "policy/default";
 const std::string kReplacedEntity = "policy/replaced";
 
-/// Freshness bound of a policy entity: the default if the entity or its bound is absent, the
+/// Freshness bound of a policy entity: the default if the entity or an integer bound is absent, the
 /// maximum if the entity is malformed.
 Duration FreshnessBoundIn(const Entities& aEntities, const std::string& aEntity)
 {
--- a/peridotquay/process/ShareLease.cpp
+++ b/peridotquay/process/ShareLease.cpp
@@ -369,31 +369,31 @@
 // Data centres of the configuration. If it names none: those known from membership.
 std::set<DataCentreId> DataCentresWithFloor(const ShareLease& aLease)
 {
-  std::set<DataCentreId> sites;
+  std::set<DataCentreId> dataCentres;
   for (const auto& [id, site] : aLease.config_->sites_) {
-    sites.insert(id);
+    dataCentres.insert(id);
   }
-  if (sites.empty()) {
+  if (dataCentres.empty()) {
     for (const auto& [id, delegates] : aLease.ranking_->delegates_) {
-      sites.insert(id);
+      dataCentres.insert(id);
     }
-    sites.insert(aLease.dataCentre_);
+    dataCentres.insert(aLease.dataCentre_);
   }
-  return sites;
+  return dataCentres;
 }
 
 // Divides an account equally among the data centres.
 PoolEntry MakeInitialEntry(const ShareLease& aLease)
 {
-  const auto sites = DataCentresWithFloor(aLease);
-  const auto count = static_cast<std::uint32_t>(sites.size());
+  const auto dataCentres = DataCentresWithFloor(aLease);
+  const auto count = static_cast<std::uint32_t>(dataCentres.size());
   PoolEntry entry;
   entry.dataCentresWithFloor_ = count;
   entry.floorUnits_ = static_cast<std::uint32_t>(
     std::floor(aLease.config_->policy_.floorFraction_ * kShareUnits / count));
   const auto elastic = (kShareUnits - count * entry.floorUnits_) / count;
   entry.free_ = kShareUnits - count * (entry.floorUnits_ + elastic);
-  for (const auto& id : sites) {
+  for (const auto& id : dataCentres) {
     entry.shares_[id] = { entry.floorUnits_, elastic };
   }
   return entry;
--- a/tests/process/ShareLeaseTest.cpp
+++ b/tests/process/ShareLeaseTest.cpp
@@ -202,12 +202,12 @@
     if (!aEffects.call_) {
       return;
     }
-    const bool lost =
+    const bool answerLost =
       static_cast<double>(NextRandom(random_) >> 11U) / 9007199254740992.0 < lostAnswerFraction_;
-    CallInFlight call{ now_ + Random(maxDelay_),   aFrom, false, lost, processNumbers_[aFrom],
+    CallInFlight call{ now_ + Random(maxDelay_),   aFrom, false, answerLost, processNumbers_[aFrom],
                        std::move(*aEffects.call_), {} };
     call.answer_.startedAt_ = LocalTime(aFrom);
-    if (lost) {
+    if (answerLost) {
       // The caller times out after 2 s; the write may take effect up to 2 s later.
       CallInFlight failure = call;
       failure.executed_ = true;
