--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -14,14 +14,14 @@
 namespace {
 
 // Most rows of one read of changes; with the largest changes that is 4 MiB.
-constexpr std::uint32_t kChangeRows = 64;
+constexpr std::uint32_t kMaxChangeRows = 64;
 
 // Most addresses in a contact row: enough that some of them live after a rack failed.
-constexpr std::size_t kContacts = 4;
+constexpr std::size_t kMaxContactAddresses = 4;
 
 // A node that knows no other member waits this long before it replaces a contact row, so that it
 // first tries the contacts in it.
-constexpr Duration kAloneBeforeContacts = seconds(3);
+constexpr Duration kContactReplacementDelay = seconds(3);
 
 constexpr std::string_view kContactPrefix = "contacts/";
 
@@ -53,9 +53,9 @@
   return aState.ranking_ != nullptr && OwnPosition(aState) == 0;
 }
 
-void ReportFreshness(Dissemination& aState,
-                     std::optional<TimePoint> aBefore,
-                     DisseminationEffects& aEffects)
+void PublishFreshness(Dissemination& aState,
+                      std::optional<TimePoint> aBefore,
+                      DisseminationEffects& aEffects)
 {
   const auto after = FreshUntil(aState);
   assert(!aBefore || (after && *after >= *aBefore));
@@ -65,9 +65,9 @@
 }
 
 // Takes a proof. One of a version that isn't in force here yet counts once that version is.
-void AddProof(Dissemination& aState, FreshnessProof aProof, DisseminationEffects& aEffects)
+void ApplyProof(Dissemination& aState, FreshnessProof aProof, DisseminationEffects& aEffects)
 {
-  aState.head_ = std::max(aState.head_, aProof.version_);
+  aState.latestVersion_ = std::max(aState.latestVersion_, aProof.version_);
   if (aState.inForce_ < aProof.version_) {
     if (!aState.pendingProof_ || aState.pendingProof_->time_ < aProof.time_) {
       aState.pendingProof_ = aProof;
@@ -75,27 +75,27 @@
     return;
   }
   const auto before = FreshUntil(aState);
-  if (!aState.proof_ || *aState.proof_ < aProof.time_) {
-    aState.proof_ = aProof.time_;
+  if (!aState.provenUntil_ || *aState.provenUntil_ < aProof.time_) {
+    aState.provenUntil_ = aProof.time_;
   }
-  ReportFreshness(aState, before, aEffects);
+  PublishFreshness(aState, before, aEffects);
 }
 
-void UsePendingProof(Dissemination& aState, DisseminationEffects& aEffects)
+void ApplyPendingProof(Dissemination& aState, DisseminationEffects& aEffects)
 {
   if (aState.pendingProof_ && aState.pendingProof_->version_ <= aState.inForce_) {
     const auto proof = *aState.pendingProof_;
     aState.pendingProof_.reset();
-    AddProof(aState, proof, aEffects);
+    ApplyProof(aState, proof, aEffects);
   }
 }
 
-void KeepRecent(Dissemination& aState, const Change& aChange)
+void RecordRecentChange(Dissemination& aState, const Change& aChange)
 {
   aState.recent_.push_back(aChange);
   aState.recentBytes_ += ChangeBytes(aChange);
-  while (aState.recent_.size() > aState.settings_.recentVersions_ ||
-         (aState.recent_.size() > 1 && aState.recentBytes_ > aState.settings_.recentBytes_)) {
+  while (aState.recent_.size() > aState.settings_.maxRecentVersions_ ||
+         (aState.recent_.size() > 1 && aState.recentBytes_ > aState.settings_.maxRecentBytes_)) {
     aState.recentBytes_ -= ChangeBytes(aState.recent_.front());
     aState.recent_.pop_front();
   }
@@ -114,14 +114,14 @@
   const auto& config = compiled.assume_value();
   assert(version > aState.inForce_);
   aState.inForce_ = version;
-  aState.bound_ = config->policy_.keyFreshnessBound_;
+  aState.freshnessBound_ = config->policy_.keyFreshnessBound_;
   aState.sites_.clear();
   for (const auto& [id, site] : config->sites_) {
     aState.sites_.insert(id);
   }
   aEffects.config_ = config;
   aEffects.events_.push_back({ EventKind::kVersionInForce, std::to_string(version) });
-  UsePendingProof(aState, aEffects);
+  ApplyPendingProof(aState, aEffects);
 }
 
 // Applies the changes that follow the present version; false if there is a gap before one of them.
@@ -132,7 +132,7 @@
   const auto before = aState.version_;
   bool connected = true;
   for (const auto& change : aChanges) {
-    aState.head_ = std::max(aState.head_, change.version_);
+    aState.latestVersion_ = std::max(aState.latestVersion_, change.version_);
     if (change.version_ <= aState.version_) {
       continue;
     }
@@ -148,7 +148,7 @@
       MarkEntitiesChanged(aState.compiled_, change.edits_);
     }
     aState.version_ = change.version_;
-    KeepRecent(aState, change);
+    RecordRecentChange(aState, change);
     if (IsRoot(aState) && aState.version_ % kSnapshotInterval == 0 &&
         (aState.sites_.empty() || *aState.sites_.begin() == aState.dataCentre_)) {
       aState.snapshotDue_ = aState.version_;
@@ -166,7 +166,7 @@
                    Entities aEntities,
                    DisseminationEffects& aEffects)
 {
-  aState.head_ = std::max(aState.head_, aVersion);
+  aState.latestVersion_ = std::max(aState.latestVersion_, aVersion);
   if (aVersion <= aState.version_) {
     return;
   }
@@ -197,11 +197,11 @@
                     DisseminationEffects& aEffects)
 {
   if (aChanges.empty() || aState.ranking_ == nullptr ||
-      aChanges.back().version_ <= aState.pushed_) {
+      aChanges.back().version_ <= aState.pushedVersion_) {
     return;
   }
-  aState.pushed_ = aChanges.back().version_;
-  const auto order = PushOrder(*aState.ranking_, aState.pushed_, aState.settings_.arity_);
+  aState.pushedVersion_ = aChanges.back().version_;
+  const auto order = PushOrder(*aState.ranking_, aState.pushedVersion_, aState.settings_.arity_);
   const auto self = std::find_if(order.begin(), order.end(), [&](const auto& aMember) {
     return aMember.host_ == aState.ranking_->self_;
   });
@@ -216,7 +216,7 @@
 }
 
 // Changes after a version that fit into one message; the last one alone if none else fits.
-std::vector<Change> RecentAfter(const Dissemination& aState, Version aVersion)
+std::vector<Change> RecentChangesAfter(const Dissemination& aState, Version aVersion)
 {
   std::vector<Change> changes;
   std::size_t bytes = 0;
@@ -225,7 +225,7 @@
       continue;
     }
     bytes += ChangeBytes(change);
-    if (!changes.empty() && bytes > aState.settings_.replyBytes_) {
+    if (!changes.empty() && bytes > aState.settings_.maxReplyBytes_) {
       break;
     }
     changes.push_back(change);
@@ -236,10 +236,11 @@
 // Starts the push of what the root has and hasn't pushed, or hands it to the root.
 void StartPush(Dissemination& aState, bool aFromPlatform, DisseminationEffects& aEffects)
 {
-  if (aState.ranking_ == nullptr || aState.version_ <= aState.pushed_ || aState.recent_.empty()) {
+  if (aState.ranking_ == nullptr || aState.version_ <= aState.pushedVersion_ ||
+      aState.recent_.empty()) {
     return;
   }
-  auto changes = RecentAfter(aState, aState.pushed_);
+  auto changes = RecentChangesAfter(aState, aState.pushedVersion_);
   if (changes.empty() || changes.back().version_ != aState.version_) {
     // Too much for one message: the last change tells the children to sync for the rest.
     changes = { aState.recent_.back() };
@@ -270,7 +271,7 @@
   for (const auto& [name, json] : aState.entities_) {
     change.edits_.push_back({ name, json });
   }
-  if (ChangeBytes(change) > aState.settings_.snapshotBytes_) {
+  if (ChangeBytes(change) > aState.settings_.maxSnapshotBytes_) {
     return {};
   }
   return { std::move(change) };
@@ -291,13 +292,15 @@
 // A delegate that is silent might reach it, so it must have said that it doesn't.
 std::optional<OutageEvidence> OwnOutage(const Dissemination& aState, TimePoint aNow)
 {
-  if (!IsDelegate(aState) || !aState.pollFailed_ || aState.pendingProof_ || aState.inForce_ == 0) {
+  if (!IsDelegate(aState) || !aState.failedPollStartedAt_ || aState.pendingProof_ ||
+      aState.inForce_ == 0) {
     return std::nullopt;
   }
-  OutageEvidence evidence{ aState.inForce_, *aState.pollFailed_ };
+  OutageEvidence evidence{ aState.inForce_, *aState.failedPollStartedAt_ };
   if (OtherDelegate(aState) != nullptr) {
-    const auto& other = aState.otherDelegate_;
-    if (!other || aNow - other->time_ >= aState.bound_ || other->version_ > aState.inForce_) {
+    const auto& other = aState.otherDelegateOutage_;
+    if (!other || aNow - other->time_ >= aState.freshnessBound_ ||
+        other->version_ > aState.inForce_) {
       return std::nullopt;
     }
     evidence.time_ = std::min(evidence.time_, other->time_);
@@ -314,7 +317,7 @@
 {
   const bool own = aSender.dataCentre_ == aState.dataCentre_;
   if (own && aRequest.subtreeNodes_ > 0) {
-    aState.reports_[aSender.host_] = {
+    aState.subtreeReports_[aSender.host_] = {
       aRequest.subtreeLeast_, aRequest.subtreeNodes_, aRequest.lagging_, aNow
     };
   }
@@ -323,19 +326,19 @@
   reply.version_ = aState.inForce_;
   // Another data centre gets only what the platform proved. Passing extensions on would hide from
   // it that the platform isn't reached here.
-  reply.ageMs_ = AgeMs(own ? FreshUntil(aState) : aState.proof_, aNow);
+  reply.ageMs_ = AgeMs(own ? FreshUntil(aState) : aState.provenUntil_, aNow);
   if (!own) {
     if (const auto outage = OwnOutage(aState, aNow)) {
       reply.outageAgeMs_ = AgeMs(outage->time_, aNow);
     }
-  } else if (aState.pollFailed_ && !aState.pendingProof_) {
-    reply.outageAgeMs_ = AgeMs(aState.pollFailed_, aNow);
+  } else if (aState.failedPollStartedAt_ && !aState.pendingProof_) {
+    reply.outageAgeMs_ = AgeMs(aState.failedPollStartedAt_, aNow);
   }
   if (aRequest.version_ < aState.version_) {
     const bool covered =
       !aState.recent_.empty() && aState.recent_.front().version_ <= aRequest.version_ + 1;
     if (covered) {
-      reply.changes_ = RecentAfter(aState, aRequest.version_);
+      reply.changes_ = RecentChangesAfter(aState, aRequest.version_);
     } else {
       reply.changes_ = SnapshotChange(aState);
       reply.snapshot_ = true;
@@ -368,18 +371,19 @@
   }
   TimePoint oldest = outage->time_;
   for (const auto& id : others) {
-    const auto found = aState.evidence_.find(id);
-    if (found == aState.evidence_.end() || aNow - found->second.time_ >= aState.bound_ ||
+    const auto found = aState.centreOutages_.find(id);
+    if (found == aState.centreOutages_.end() ||
+        aNow - found->second.time_ >= aState.freshnessBound_ ||
         found->second.version_ > aState.inForce_) {
       return;
     }
     oldest = std::min(oldest, found->second.time_);
   }
   const auto before = FreshUntil(aState);
-  if (!aState.extension_ || *aState.extension_ < oldest) {
-    aState.extension_ = oldest;
+  if (!aState.extendedUntil_ || *aState.extendedUntil_ < oldest) {
+    aState.extendedUntil_ = oldest;
   }
-  ReportFreshness(aState, before, aEffects);
+  PublishFreshness(aState, before, aEffects);
 }
 
 // The time that an age in a reply stands for: counted from before the question was sent, so that
@@ -406,35 +410,35 @@
   aState.sentSyncs_.erase(found);
   const bool own = sent.dataCentre_ == aState.dataCentre_;
   if (own) {
-    aState.parentHeard_ = aNow;
+    aState.lastParentReplyAt_ = aNow;
   }
   if (aReply.snapshot_ && !aReply.changes_.empty()) {
     ApplySnapshotChange(aState, aReply.changes_.front(), aEffects);
   } else if (aReply.snapshot_) {
-    aState.fetch_ = true;
-    aState.nextPoll_ = aNow;
+    aState.fetchNeeded_ = true;
+    aState.nextPollAt_ = aNow;
   } else {
     ApplyChanges(aState, aReply.changes_, aEffects);
     // More is to come: the rest didn't fit into the reply.
     if (!aReply.changes_.empty() && aState.version_ < aReply.version_) {
-      aState.nextSync_ = aNow;
+      aState.nextSyncAt_ = aNow;
     }
   }
-  if (const auto time = ProvenTime(sent.sent_, aReply.ageMs_)) {
-    AddProof(aState, { aReply.version_, *time }, aEffects);
+  if (const auto time = ProvenTime(sent.sentAt_, aReply.ageMs_)) {
+    ApplyProof(aState, { aReply.version_, *time }, aEffects);
   }
-  const auto outage = ProvenTime(sent.sent_, aReply.outageAgeMs_);
+  const auto outage = ProvenTime(sent.sentAt_, aReply.outageAgeMs_);
   const auto* other = OtherDelegate(aState);
   if (other != nullptr && other->host_ == sent.host_) {
-    aState.otherDelegate_.reset();
+    aState.otherDelegateOutage_.reset();
     if (outage) {
-      aState.otherDelegate_ = OutageEvidence{ aReply.version_, *outage };
+      aState.otherDelegateOutage_ = OutageEvidence{ aReply.version_, *outage };
     }
   }
   if (!own) {
-    aState.evidence_.erase(sent.dataCentre_);
+    aState.centreOutages_.erase(sent.dataCentre_);
     if (outage) {
-      aState.evidence_[sent.dataCentre_] = { aReply.version_, *outage };
+      aState.centreOutages_[sent.dataCentre_] = { aReply.version_, *outage };
     }
   }
   ExtendFreshness(aState, aNow, aEffects);
@@ -449,7 +453,7 @@
   const bool connected = ApplyChanges(aState, aPush.changes_, aEffects);
   PushToChildren(aState, aPush.changes_, aEffects);
   if (!connected) {
-    aState.nextSync_ = aNow;
+    aState.nextSyncAt_ = aNow;
   }
 }
 
@@ -464,7 +468,7 @@
   aState.sentSyncs_[nonce] = { aDataCentre, aTo.host_, aNow };
   aEffects.messages_.push_back(
     { aTo.address_,
-      SyncRequest{ nonce, aState.version_, aReport.least_, aReport.nodes_, aReport.lagging_ },
+      SyncRequest{ nonce, aState.version_, aReport.minVersion_, aReport.nodes_, aReport.lagging_ },
       false });
 }
 
@@ -480,7 +484,7 @@
     return &members[1];
   }
   const auto parent = (position - 1) / aState.settings_.arity_;
-  const bool silent = aNow - aState.parentHeard_ > aState.settings_.replyTimeout_;
+  const bool silent = aNow - aState.lastParentReplyAt_ > aState.settings_.replyTimeout_;
   if (silent && position > 1 && parent != 1) {
     return &members[1];
   }
@@ -488,16 +492,17 @@
 }
 
 // Sync with other data centres at delegates that have no proof of their own.
-void SyncAcross(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
+void SyncWithOtherCentres(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
-  const bool proven =
-    aState.proof_ && aNow - *aState.proof_ < aState.settings_.staleAge_ && !aState.pendingProof_;
+  const bool proven = aState.provenUntil_ &&
+                      aNow - *aState.provenUntil_ < aState.settings_.maxProofAge_ &&
+                      !aState.pendingProof_;
   if (proven || !IsDelegate(aState)) {
     return;
   }
   for (const auto& [id, delegates] : aState.ranking_->delegates_) {
     if (!delegates.empty()) {
-      const auto& peer = delegates[(aState.syncs_ + OwnPosition(aState)) % delegates.size()];
+      const auto& peer = delegates[(aState.syncCount_ + OwnPosition(aState)) % delegates.size()];
       SendSync(aState, peer, id, {}, aNow, aEffects);
     }
   }
@@ -505,27 +510,27 @@
 
 void Sync(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
-  if (aNow < aState.nextSync_ || aState.ranking_ == nullptr) {
+  if (aNow < aState.nextSyncAt_ || aState.ranking_ == nullptr) {
     return;
   }
-  aState.nextSync_ = aNow + aState.settings_.syncInterval_;
-  ++aState.syncs_;
+  aState.nextSyncAt_ = aNow + aState.settings_.syncInterval_;
+  ++aState.syncCount_;
   std::erase_if(aState.sentSyncs_, [&](const auto& aSent) {
-    return aNow - aSent.second.sent_ > aState.settings_.replyTimeout_;
+    return aNow - aSent.second.sentAt_ > aState.settings_.replyTimeout_;
   });
   if (const auto* parent = FindParent(aState, aNow)) {
     if (parent->host_ != aState.parent_) {
       aState.parent_ = parent->host_;
-      aState.parentHeard_ = aNow;
+      aState.lastParentReplyAt_ = aNow;
     }
     // The root reports to no one; its sync with the second delegate must not be counted there.
     const auto report = IsRoot(aState) ? SubtreeReport{} : AggregateReports(aState, aNow);
     SendSync(aState, *parent, aState.dataCentre_, report, aNow, aEffects);
   }
-  SyncAcross(aState, aNow, aEffects);
+  SyncWithOtherCentres(aState, aNow, aEffects);
 }
 
-std::string OperationId(Dissemination& aState)
+std::string NewOperationId(Dissemination& aState)
 {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string id;
@@ -550,34 +555,35 @@
 }
 
 // An unconditional write: the row is a report of its only regular writer, nothing relies on it.
-TransactCall WriteRow(Dissemination& aState, std::string aKey, std::string aValue)
+TransactCall MakeRowWrite(Dissemination& aState, std::string aKey, std::string aValue)
 {
   TransactCall call;
-  call.transaction_.operationId_ = OperationId(aState);
+  call.transaction_.operationId_ = NewOperationId(aState);
   call.transaction_.writes_.push_back({ std::move(aKey), std::move(aValue) });
   return call;
 }
 
 void StartFetch(Dissemination& aState, DisseminationEffects& aEffects)
 {
-  const auto floor = aState.head_ - aState.head_ % kSnapshotInterval;
-  const bool far = aState.head_ - aState.version_ > kSnapshotInterval && floor > aState.version_;
+  const auto floor = aState.latestVersion_ - aState.latestVersion_ % kSnapshotInterval;
+  const bool far =
+    aState.latestVersion_ - aState.version_ > kSnapshotInterval && floor > aState.version_;
   if (far && !aState.snapshotTried_) {
     aState.snapshotTried_ = true;
     StartCall(aState, VersionCallKind::kSnapshot, GetObjectCall{ SnapshotName(floor) }, aEffects);
   } else {
-    ReadRangeCall call{ "config/change/", ChangeRowKey(aState.version_), kChangeRows };
+    ReadRangeCall call{ "config/change/", ChangeRowKey(aState.version_), kMaxChangeRows };
     StartCall(aState, VersionCallKind::kChanges, std::move(call), aEffects);
   }
 }
 
 void Poll(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
-  const bool due = aNow >= aState.nextPoll_ && (IsDelegate(aState) || aState.fetch_);
+  const bool due = aNow >= aState.nextPollAt_ && (IsDelegate(aState) || aState.fetchNeeded_);
   if (!due || aState.call_) {
     return;
   }
-  aState.nextPoll_ = aNow + aState.settings_.pollInterval_;
+  aState.nextPollAt_ = aNow + aState.settings_.pollInterval_;
   StartCall(aState, VersionCallKind::kHead, ReadRowCall{ std::string(kHeadRowKey) }, aEffects);
 }
 
@@ -588,10 +594,10 @@
   if (report.nodes_ < aState.ranking_->members_.size()) {
     return std::nullopt;
   }
-  aState.watermark_ = report.least_;
+  aState.watermark_ = report.minVersion_;
   Watermark watermark;
   watermark.dataCentre_ = aState.dataCentre_;
-  watermark.version_ = report.least_;
+  watermark.version_ = report.minVersion_;
   watermark.nodes_ = report.nodes_;
   for (const auto& host : report.lagging_) {
     watermark.lagging_.push_back(host.value_);
@@ -607,11 +613,11 @@
                     std::uint64_t aWallMs,
                     DisseminationEffects& aEffects)
 {
-  if (aNow < aState.nextWatermark_ || aState.call_ || !aState.platformReachable_ ||
+  if (aNow < aState.nextWatermarkAt_ || aState.call_ || !aState.platformReachable_ ||
       !IsRoot(aState)) {
     return;
   }
-  aState.nextWatermark_ = aNow + aState.settings_.watermarkInterval_;
+  aState.nextWatermarkAt_ = aNow + aState.settings_.watermarkInterval_;
   auto watermark = MakeWatermark(aState, aNow);
   if (!watermark) {
     return;
@@ -622,7 +628,8 @@
   }
   aState.writtenWatermark_ = std::move(content);
   watermark->writtenMs_ = aWallMs;
-  auto call = WriteRow(aState, WatermarkRowKey(aState.dataCentre_), EncodeWatermark(*watermark));
+  auto call =
+    MakeRowWrite(aState, WatermarkRowKey(aState.dataCentre_), EncodeWatermark(*watermark));
   StartCall(aState, VersionCallKind::kWatermark, std::move(call), aEffects);
 }
 
@@ -630,7 +637,7 @@
 {
   Json addresses = Json::array();
   for (const auto& member : aState.ranking_->members_) {
-    if (addresses.size() < kContacts) {
+    if (addresses.size() < kMaxContactAddresses) {
       addresses.push_back(member.address_.ip_ + ":" + std::to_string(member.address_.port_));
     }
   }
@@ -683,28 +690,28 @@
     return;
   }
   const bool alone = aState.ranking_->members_.size() < 2;
-  if (aNow >= aState.nextContactRead_) {
-    aState.nextContactRead_ =
-      aNow + (alone ? aState.settings_.aloneInterval_ : aState.settings_.contactInterval_);
+  if (aNow >= aState.nextContactReadAt_) {
+    aState.nextContactReadAt_ =
+      aNow + (alone ? aState.settings_.contactIntervalAlone_ : aState.settings_.contactInterval_);
     StartCall(aState,
               VersionCallKind::kReadContacts,
-              ReadRangeCall{ std::string(kContactPrefix), {}, kChangeRows },
+              ReadRangeCall{ std::string(kContactPrefix), {}, kMaxChangeRows },
               aEffects);
     return;
   }
-  const bool mayWrite = !alone || aNow - aState.aloneSince_ >= kAloneBeforeContacts;
-  if (!IsRoot(aState) || !mayWrite || aNow < aState.nextContactWrite_) {
+  const bool mayWrite = !alone || aNow - aState.aloneSince_ >= kContactReplacementDelay;
+  if (!IsRoot(aState) || !mayWrite || aNow < aState.nextContactWriteAt_) {
     return;
   }
   auto content = EncodeContacts(aState, 0);
   if (content == aState.writtenContacts_) {
     return;
   }
-  aState.nextContactWrite_ = aNow + aState.settings_.contactInterval_;
+  aState.nextContactWriteAt_ = aNow + aState.settings_.contactInterval_;
   aState.writtenContacts_ = std::move(content);
-  auto call = WriteRow(aState,
-                       std::string(kContactPrefix) + aState.dataCentre_.value_,
-                       EncodeContacts(aState, aWallMs));
+  auto call = MakeRowWrite(aState,
+                           std::string(kContactPrefix) + aState.dataCentre_.value_,
+                           EncodeContacts(aState, aWallMs));
   StartCall(aState, VersionCallKind::kWriteContacts, std::move(call), aEffects);
 }
 
@@ -717,20 +724,20 @@
   StartCall(aState, VersionCallKind::kPutSnapshot, std::move(call), aEffects);
 }
 
-void CheckFreshness(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
+void LogFreshnessChange(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
   const auto until = FreshUntil(aState);
-  const bool fresh = until && aNow - *until < aState.bound_;
-  if (fresh != aState.fresh_) {
-    aState.fresh_ = fresh;
+  const bool fresh = until && aNow - *until < aState.freshnessBound_;
+  if (fresh != aState.loggedFresh_) {
+    aState.loggedFresh_ = fresh;
     aEffects.events_.push_back(
       { fresh ? EventKind::kFreshnessRegained : EventKind::kFreshnessLost, {} });
   }
 }
 
-void NotePlatform(Dissemination& aState,
-                  const PlatformAnswer& aAnswer,
-                  DisseminationEffects& aEffects)
+void RecordPlatformState(Dissemination& aState,
+                         const PlatformAnswer& aAnswer,
+                         DisseminationEffects& aEffects)
 {
   const bool reachable =
     !aAnswer.error_ || (aAnswer.error_->code_ != ErrorCode::kPlatformUnavailable &&
@@ -747,11 +754,11 @@
                 const PlatformAnswer& aAnswer,
                 DisseminationEffects& aEffects)
 {
-  aState.pollFailed_.reset();
+  aState.failedPollStartedAt_.reset();
   if (aAnswer.error_) {
     const auto code = aAnswer.error_->code_;
     if (code == ErrorCode::kPlatformUnavailable || code == ErrorCode::kPlatformUnknown) {
-      aState.pollFailed_ = aAnswer.startedAt_;
+      aState.failedPollStartedAt_ = aAnswer.startedAt_;
     }
     return;
   }
@@ -764,11 +771,11 @@
     }
     head = decoded.assume_value();
   }
-  AddProof(aState, { head, aAnswer.startedAt_ }, aEffects);
+  ApplyProof(aState, { head, aAnswer.startedAt_ }, aEffects);
   if (aState.version_ < head) {
     StartFetch(aState, aEffects);
   } else {
-    aState.fetch_ = false;
+    aState.fetchNeeded_ = false;
     aState.snapshotTried_ = false;
   }
 }
@@ -792,8 +799,8 @@
   const auto before = aState.version_;
   ApplyChanges(aState, changes, aEffects);
   StartPush(aState, true, aEffects);
-  if (aState.version_ >= aState.head_) {
-    aState.fetch_ = false;
+  if (aState.version_ >= aState.latestVersion_) {
+    aState.fetchNeeded_ = false;
     aState.snapshotTried_ = false;
   } else if (aState.version_ > before) {
     StartFetch(aState, aEffects);
@@ -820,7 +827,7 @@
                     aEffects);
     }
   }
-  if (aState.version_ < aState.head_) {
+  if (aState.version_ < aState.latestVersion_) {
     StartFetch(aState, aEffects);
   }
 }
@@ -843,9 +850,9 @@
   // Random, so that a late reply to an earlier process of this host matches no request of this one.
   state.nextNonce_ = NextRandom(state.random_);
   // Spread over the interval, which also staggers the polls of the two delegates.
-  state.nextPoll_ = aNow + jitter(aSettings.pollInterval_);
-  state.nextSync_ = aNow + jitter(aSettings.syncInterval_) / 2;
-  state.parentHeard_ = aNow;
+  state.nextPollAt_ = aNow + jitter(aSettings.pollInterval_);
+  state.nextSyncAt_ = aNow + jitter(aSettings.syncInterval_) / 2;
+  state.lastParentReplyAt_ = aNow;
   state.aloneSince_ = aNow;
   return state;
 }
@@ -858,7 +865,7 @@
   aState.ranking_ = std::move(aRanking);
   if (wasAlone && aState.ranking_->members_.size() > 1) {
     // The first members became known: learn the configuration now.
-    aState.nextSync_ = aNow;
+    aState.nextSyncAt_ = aNow;
   }
   if (!wasAlone && aState.ranking_->members_.size() < 2) {
     aState.aloneSince_ = aNow;
@@ -873,15 +880,15 @@
   if (aState.ranking_ == nullptr) {
     return;
   }
-  std::erase_if(aState.reports_, [&](const auto& aReport) {
-    return aNow - aReport.second.received_ > aState.settings_.reportLifetime_;
+  std::erase_if(aState.subtreeReports_, [&](const auto& aReport) {
+    return aNow - aReport.second.receivedAt_ > aState.settings_.reportLifetime_;
   });
   Sync(aState, aNow, aEffects);
   Poll(aState, aNow, aEffects);
   WriteSnapshot(aState, aEffects);
   WriteWatermark(aState, aNow, aWallMs, aEffects);
   ExchangeContacts(aState, aNow, aWallMs, aEffects);
-  CheckFreshness(aState, aNow, aEffects);
+  LogFreshnessChange(aState, aNow, aEffects);
 }
 
 void HandleVersionMessage(Dissemination& aState,
@@ -899,7 +906,7 @@
     HandlePush(aState, *push, aNow, aEffects);
   } else if (const auto* summary = std::get_if<Summary>(&aMessage)) {
     if (summary->platformReachable_) {
-      aState.evidence_.erase(summary->dataCentre_);
+      aState.centreOutages_.erase(summary->dataCentre_);
     }
   }
 }
@@ -914,7 +921,7 @@
   }
   const auto kind = *aState.call_;
   aState.call_.reset();
-  NotePlatform(aState, aAnswer, aEffects);
+  RecordPlatformState(aState, aAnswer, aEffects);
   switch (kind) {
     case VersionCallKind::kHead:
       HandleHead(aState, aAnswer, aEffects);
@@ -948,27 +955,27 @@
       }
       break;
   }
-  CheckFreshness(aState, aNow, aEffects);
+  LogFreshnessChange(aState, aNow, aEffects);
 }
 
 void FillSummary(const Dissemination& aState, Summary& aSummary, TimePoint aNow)
 {
   aSummary.version_ = aState.inForce_;
-  aSummary.ageMs_ = AgeMs(aState.proof_, aNow);
+  aSummary.ageMs_ = AgeMs(aState.provenUntil_, aNow);
   aSummary.platformReachable_ = aState.platformReachable_;
 }
 
 std::optional<TimePoint> FreshUntil(const Dissemination& aState)
 {
-  if (!aState.proof_ || !aState.extension_) {
-    return aState.proof_ ? aState.proof_ : aState.extension_;
+  if (!aState.provenUntil_ || !aState.extendedUntil_) {
+    return aState.provenUntil_ ? aState.provenUntil_ : aState.extendedUntil_;
   }
-  return std::max(*aState.proof_, *aState.extension_);
+  return std::max(*aState.provenUntil_, *aState.extendedUntil_);
 }
 
 bool IsDelegate(const Dissemination& aState)
 {
-  return aState.ranking_ != nullptr && OwnPosition(aState) < aState.settings_.delegates_;
+  return aState.ranking_ != nullptr && OwnPosition(aState) < aState.settings_.delegateCount_;
 }
 
 std::vector<RankedMember> PushOrder(const MemberRanking& aRanking,
@@ -998,18 +1005,20 @@
 SubtreeReport AggregateReports(const Dissemination& aState, TimePoint aNow)
 {
   SubtreeReport total;
-  total.received_ = aNow;
+  total.receivedAt_ = aNow;
   total.nodes_ = 1;
-  total.least_ = aState.inForce_;
-  for (const auto& [host, report] : aState.reports_) {
+  total.minVersion_ = aState.inForce_;
+  for (const auto& [host, report] : aState.subtreeReports_) {
     total.nodes_ += report.nodes_;
-    if (report.least_ != 0 && (total.least_ == 0 || report.least_ < total.least_)) {
-      total.least_ = report.least_;
+    if (report.minVersion_ != 0 &&
+        (total.minVersion_ == 0 || report.minVersion_ < total.minVersion_)) {
+      total.minVersion_ = report.minVersion_;
     }
   }
   // Hosts are named only where they hold back a subtree below a node that is further.
-  for (const auto& [host, report] : aState.reports_) {
-    if (report.least_ == 0 || report.least_ != total.least_ || report.least_ >= aState.inForce_) {
+  for (const auto& [host, report] : aState.subtreeReports_) {
+    if (report.minVersion_ == 0 || report.minVersion_ != total.minVersion_ ||
+        report.minVersion_ >= aState.inForce_) {
       continue;
     }
     auto named = report.lagging_;
@@ -1017,7 +1026,7 @@
       named.push_back(host);
     }
     for (const auto& lagging : named) {
-      if (total.lagging_.size() < aState.settings_.lagging_) {
+      if (total.lagging_.size() < aState.settings_.maxLaggingHosts_) {
         total.lagging_.push_back(lagging);
       }
     }
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -35,21 +35,21 @@
   Duration reportLifetime_ = seconds(3); ///< A child that didn't sync for this long isn't counted.
   Duration replyTimeout_ =
     milliseconds(2500); ///< A parent that didn't reply for this long is silent.
-  Duration staleAge_ =
+  Duration maxProofAge_ =
     seconds(2); ///< A delegate whose proof is older asks the delegates of other data centres.
   Duration contactInterval_ = seconds(10); ///< Contact rows are read this often, and written on
                                            ///< change at most this often.
-  Duration aloneInterval_ =
+  Duration contactIntervalAlone_ =
     seconds(2); ///< Contact rows are read this often while no member is known.
   Duration watermarkInterval_ = seconds(1);
   std::size_t arity_ = 8; ///< Children of each node in the trees.
-  std::size_t delegates_ = 2;
-  std::size_t recentVersions_ = kSnapshotInterval; ///< Changes kept for nodes with a gap.
-  std::size_t recentBytes_ = std::size_t{ 2 } << 20U;
-  std::size_t replyBytes_ = 65536;      ///< Most bytes of changes in one reply.
-  std::size_t snapshotBytes_ = 900'000; ///< A larger snapshot doesn't fit in a frame and is read
-                                        ///< from the object store.
-  std::size_t lagging_ = 8;             ///< Most lagging hosts named.
+  std::size_t delegateCount_ = 2;
+  std::size_t maxRecentVersions_ = kSnapshotInterval; ///< Changes kept for nodes with a gap.
+  std::size_t maxRecentBytes_ = std::size_t{ 2 } << 20U;
+  std::size_t maxReplyBytes_ = 65536;      ///< Most bytes of changes in one reply.
+  std::size_t maxSnapshotBytes_ = 900'000; ///< A larger snapshot doesn't fit in a frame and is read
+                                           ///< from the object store.
+  std::size_t maxLaggingHosts_ = 8;                ///< Most lagging hosts named.
   bool operator==(const DisseminationSettings&) const = default;
 };
 
@@ -64,10 +64,10 @@
 /// What a child reported of its subtree.
 struct SubtreeReport
 {
-  Version least_ = 0; ///< Least version in force; 0 if no node of it has a configuration.
+  Version minVersion_ = 0; ///< Least version in force; 0 if no node of it has a configuration.
   std::uint32_t nodes_ = 0;
   std::vector<HostId> lagging_;
-  TimePoint received_{};
+  TimePoint receivedAt_{};
 };
 
 /// A sync request without a reply yet.
@@ -75,7 +75,7 @@
 {
   DataCentreId dataCentre_;
   HostId host_;
-  TimePoint sent_{};
+  TimePoint sentAt_{};
 };
 
 /// Proof that a delegate or a whole data centre didn't reach the platform.
@@ -110,35 +110,37 @@
   ConfigCache compiled_; ///< What was parsed of entities_; it follows every edit of them.
   Version version_ = 0;  ///< Changes are applied up to here.
   Version inForce_ = 0;  ///< Compiled and published; less than version_ if a version was rejected.
-  Version head_ = 0;     ///< Latest version heard of.
+  Version latestVersion_ = 0; ///< Latest version heard of.
   std::deque<Change> recent_; ///< Consecutive, ends with version_.
   std::size_t recentBytes_ = 0;
-  Duration bound_ = seconds(10); ///< Freshness bound of the configuration in force.
-  std::set<DataCentreId> sites_; ///< Data centres of the configuration in force.
-
-  std::optional<TimePoint> proof_;     ///< Proven by the platform; inForce_ was the latest then.
-  std::optional<TimePoint> extension_; ///< By evidence that no data centre reaches the platform.
-  std::optional<FreshnessProof> pendingProof_;  ///< Of a version that isn't in force here yet.
-  std::optional<TimePoint> pollFailed_;         ///< Start of the last poll, if it failed.
-  std::optional<OutageEvidence> otherDelegate_; ///< What the other delegate said of its polls.
-  std::map<DataCentreId, OutageEvidence> evidence_;
-  bool fresh_ = false; ///< As last reported to the log.
-
-  Version pushed_ = 0; ///< Latest version sent down the tree.
+  Duration freshnessBound_ = seconds(10); ///< Freshness bound of the configuration in force.
+  std::set<DataCentreId> sites_;          ///< Data centres of the configuration in force.
+
+  std::optional<TimePoint> provenUntil_; ///< Proven by the platform; inForce_ was the latest then.
+  std::optional<TimePoint>
+    extendedUntil_; ///< By evidence that no data centre reaches the platform.
+  std::optional<FreshnessProof> pendingProof_;   ///< Of a version that isn't in force here yet.
+  std::optional<TimePoint> failedPollStartedAt_; ///< Start of the last poll, if it failed.
+  std::optional<OutageEvidence>
+    otherDelegateOutage_; ///< What the other delegate said of its polls.
+  std::map<DataCentreId, OutageEvidence> centreOutages_;
+  bool loggedFresh_ = false; ///< As last reported to the log.
+
+  Version pushedVersion_ = 0; ///< Latest version sent down the tree.
   std::uint64_t nextNonce_ = 1;
   std::map<std::uint64_t, SentSync> sentSyncs_;
-  std::map<HostId, SubtreeReport> reports_;
-  TimePoint parentHeard_{};
+  std::map<HostId, SubtreeReport> subtreeReports_;
+  TimePoint lastParentReplyAt_{};
   HostId parent_;
-  std::uint64_t syncs_ = 0;
-  TimePoint nextSync_{};
+  std::uint64_t syncCount_ = 0;
+  TimePoint nextSyncAt_{};
 
   std::optional<VersionCallKind> call_; ///< The platform call under way.
-  TimePoint nextPoll_{};
-  TimePoint nextWatermark_{};
-  TimePoint nextContactRead_{};
-  TimePoint nextContactWrite_{};
-  bool fetch_ = false;         ///< No parent can close the gap: read the platform.
+  TimePoint nextPollAt_{};
+  TimePoint nextWatermarkAt_{};
+  TimePoint nextContactReadAt_{};
+  TimePoint nextContactWriteAt_{};
+  bool fetchNeeded_ = false;   ///< No parent can close the gap: read the platform.
   bool snapshotTried_ = false; ///< The snapshot is missing: read the changes instead.
   Version snapshotDue_ = 0;    ///< Version of the snapshot to write next; 0 for none.
   std::string snapshotBody_;   ///< Its text, encoded when the version was applied.
--- a/peridotquay/version/Membership.cpp
+++ b/peridotquay/version/Membership.cpp
@@ -14,10 +14,10 @@
 
 // A step that comes this late means that the process was paused; the silence of others then proves
 // nothing.
-constexpr Duration kPauseGap = milliseconds(700);
+constexpr Duration kMinPauseGap = milliseconds(700);
 
 // A delegate that heard from a data centre this lately contradicts that it is unreachable.
-constexpr Duration kHeardLately = seconds(2);
+constexpr Duration kRecentSummaryAge = seconds(2);
 
 // A delegate whose statement was contradicted trusts the other delegate for this long, so that a
 // partial cut doesn't make the data centre flap.
@@ -31,7 +31,7 @@
   return aState == MemberState::kAlive || aState == MemberState::kSuspect;
 }
 
-bool IsOwn(const Membership& aState, const MemberEntry& aEntry)
+bool IsOwnCentre(const Membership& aState, const MemberEntry& aEntry)
 {
   return aEntry.dataCentre_ == aState.self_.dataCentre_;
 }
@@ -72,9 +72,9 @@
 
 // Tells other data centres of a change of an own member with the next summaries. Only delegates
 // send summaries, so only they keep the queue.
-void QueueForCentres(Membership& aState, const HostId& aHost)
+void QueueForSummaries(Membership& aState, const HostId& aHost)
 {
-  if (!aState.delegate_) {
+  if (!aState.isDelegate_) {
     return;
   }
   for (auto& [id, centre] : aState.centres_) {
@@ -87,18 +87,18 @@
 void QueueAllMembers(Membership& aState, RemoteCentre& aCentre)
 {
   for (const auto& [host, member] : aState.members_) {
-    if (IsOwn(aState, member.entry_) && aCentre.pendingSet_.insert(host).second) {
+    if (IsOwnCentre(aState, member.entry_) && aCentre.pendingSet_.insert(host).second) {
       aCentre.pending_.push_back(host);
     }
   }
 }
 
-void NoteChange(Membership& aState, const MemberEntry& aEntry)
+void RecordChange(Membership& aState, const MemberEntry& aEntry)
 {
   ++aState.revision_;
   QueueUpdate(aState, aEntry.host_);
-  if (IsOwn(aState, aEntry)) {
-    QueueForCentres(aState, aEntry.host_);
+  if (IsOwnCentre(aState, aEntry)) {
+    QueueForSummaries(aState, aEntry.host_);
   }
 }
 
@@ -107,18 +107,18 @@
   MemberEntry entry;
   entry.host_.value_ = std::string(kWholeDataCentre);
   entry.dataCentre_ = aId;
-  entry.incarnation_ = aCentre.statement_;
+  entry.incarnation_ = aCentre.statementNumber_;
   entry.state_ = aCentre.reachable_ ? MemberState::kAlive : MemberState::kUnreachable;
   return entry;
 }
 
 // Takes the news for one datagram: statements about data centres, then members in turn.
-std::vector<MemberEntry> TakeUpdates(Membership& aState)
+std::vector<MemberEntry> CollectUpdates(Membership& aState)
 {
   std::vector<MemberEntry> updates;
   for (auto& [id, centre] : aState.centres_) {
-    if (centre.repeats_ > 0 && updates.size() < aState.settings_.updatesPerDatagram_) {
-      --centre.repeats_;
+    if (centre.statementSendsLeft_ > 0 && updates.size() < aState.settings_.updatesPerDatagram_) {
+      --centre.statementSendsLeft_;
       updates.push_back(CentreStatement(id, centre));
     }
   }
@@ -150,7 +150,7 @@
                std::uint64_t aSequence,
                MembershipEffects& aEffects)
 {
-  Probe probe{ aSequence, aState.self_, TakeUpdates(aState) };
+  Probe probe{ aSequence, aState.self_, CollectUpdates(aState) };
   // A member that is thought ill of learns it from the probe and can refute.
   if (aMember.entry_.state_ == MemberState::kSuspect ||
       aMember.entry_.state_ == MemberState::kDead) {
@@ -162,8 +162,8 @@
 void SetState(Membership& aState, Member& aMember, MemberState aNew, TimePoint aNow)
 {
   aMember.entry_.state_ = aNew;
-  aMember.since_ = aNow;
-  NoteChange(aState, aMember.entry_);
+  aMember.stateChangedAt_ = aNow;
+  RecordChange(aState, aMember.entry_);
 }
 
 // Raises the own incarnation above a statement that isn't true of this process.
@@ -171,7 +171,7 @@
 {
   aState.self_.incarnation_ = std::max(aState.self_.incarnation_, aAbove) + 1;
   ++aState.revision_;
-  QueueForCentres(aState, aState.self_.host_);
+  QueueForSummaries(aState, aState.self_.host_);
 }
 
 void MergeSelf(Membership& aState, const MemberEntry& aEntry)
@@ -187,10 +187,10 @@
 
 void BeginConfirmation(Membership& aState, const DataCentreId& aCentre, TimePoint aNow)
 {
-  const auto spread = static_cast<std::uint64_t>(aState.settings_.confirmSpread_.count());
+  const auto spread = static_cast<std::uint64_t>(aState.settings_.confirmationPeriod_.count());
   for (auto& [host, member] : aState.members_) {
     if (member.entry_.dataCentre_ == aCentre && IsLiving(member.entry_.state_)) {
-      member.awaiting_ = true;
+      member.awaitingConfirmation_ = true;
       member.confirmAt_ =
         aNow + Duration(static_cast<Duration::rep>(NextRandom(aState.random_) % spread));
     }
@@ -204,7 +204,7 @@
                   MembershipEffects& aEffects)
 {
   auto& centre = aState.centres_[aId];
-  centre.repeats_ = SendLimit(aState);
+  centre.statementSendsLeft_ = SendLimit(aState);
   if (centre.reachable_ == aReachable) {
     return;
   }
@@ -223,22 +223,23 @@
                  TimePoint aNow,
                  MembershipEffects& aEffects)
 {
-  if (IsOwn(aState, aEntry)) {
+  if (IsOwnCentre(aState, aEntry)) {
     return;
   }
   auto& centre = aState.centres_[aEntry.dataCentre_];
-  if (aEntry.incarnation_ <= centre.statement_) {
+  if (aEntry.incarnation_ <= centre.statementNumber_) {
     return;
   }
-  centre.statement_ = aEntry.incarnation_;
+  centre.statementNumber_ = aEntry.incarnation_;
   const bool reachable = aEntry.state_ == MemberState::kAlive;
-  const bool contradicts = !reachable && aState.delegate_ && aNow - centre.heard_ < kHeardLately;
+  const bool contradicts =
+    !reachable && aState.isDelegate_ && aNow - centre.lastSummaryAt_ < kRecentSummaryAge;
   if (contradicts) {
-    ++centre.statement_;
-    centre.repeats_ = SendLimit(aState);
+    ++centre.statementNumber_;
+    centre.statementSendsLeft_ = SendLimit(aState);
     return;
   }
-  if (reachable && aState.delegate_ && aNow - centre.heard_ >= kHeardLately) {
+  if (reachable && aState.isDelegate_ && aNow - centre.lastSummaryAt_ >= kRecentSummaryAge) {
     centre.holdUntil_ = aNow + kContradictionHold;
   }
   SetReachable(aState, aEntry.dataCentre_, reachable, aNow, aEffects);
@@ -253,15 +254,16 @@
 // Makes room in a full table: another data centre's member with the least weight goes, but never a
 // delegate of its data centre. A newcomer of less weight than all of the sample is turned away
 // without a search, because a full table hears of members outside its sample in every summary.
-bool MakeRoom(Membership& aState, const MemberEntry& aNewcomer)
+bool EvictSampledMember(Membership& aState, const MemberEntry& aNewcomer)
 {
-  if (!IsOwn(aState, aNewcomer) && SampleWeight(aState, aNewcomer) <= aState.sampleLeast_) {
+  if (!IsOwnCentre(aState, aNewcomer) &&
+      SampleWeight(aState, aNewcomer) <= aState.minSampleWeight_) {
     return false;
   }
   std::set<HostId> kept;
   for (const auto& [id, centre] : aState.centres_) {
     const auto ranked = RankMembers(aState, kDelegateRole, id);
-    for (std::size_t i = 0; i < std::min(ranked.size(), aState.settings_.delegates_); ++i) {
+    for (std::size_t i = 0; i < std::min(ranked.size(), aState.settings_.delegateCount_); ++i) {
       kept.insert(ranked[i].host_);
     }
   }
@@ -269,7 +271,7 @@
   std::uint64_t least = ~std::uint64_t{ 0 };
   for (auto it = aState.members_.begin(); it != aState.members_.end(); ++it) {
     const auto& entry = it->second.entry_;
-    if (IsOwn(aState, entry) || kept.count(it->first) != 0) {
+    if (IsOwnCentre(aState, entry) || kept.count(it->first) != 0) {
       continue;
     }
     const auto weight = SampleWeight(aState, entry);
@@ -281,8 +283,8 @@
   if (victim == aState.members_.end()) {
     return false;
   }
-  aState.sampleLeast_ = least;
-  if (!IsOwn(aState, aNewcomer) && SampleWeight(aState, aNewcomer) <= least) {
+  aState.minSampleWeight_ = least;
+  if (!IsOwnCentre(aState, aNewcomer) && SampleWeight(aState, aNewcomer) <= least) {
     return false;
   }
   aState.members_.erase(victim);
@@ -304,23 +306,25 @@
   if (!IsLiving(aEntry.state_) && !IsAlone(aState)) {
     return;
   }
-  if (aState.members_.size() >= aState.settings_.maxMembers_ && !MakeRoom(aState, aEntry)) {
+  if (aState.members_.size() >= aState.settings_.maxMembers_ &&
+      !EvictSampledMember(aState, aEntry)) {
     return;
   }
   Member member;
   member.entry_ = aEntry;
-  member.since_ = aNow;
+  member.stateChangedAt_ = aNow;
   member.readySince_ = aNow;
   aState.members_.emplace(aEntry.host_, member);
-  if (!IsOwn(aState, aEntry) && aState.centres_.find(aEntry.dataCentre_) == aState.centres_.end()) {
+  if (!IsOwnCentre(aState, aEntry) &&
+      aState.centres_.find(aEntry.dataCentre_) == aState.centres_.end()) {
     // A data centre first heard of gets the full time before it counts as silent.
     auto& centre = aState.centres_[aEntry.dataCentre_];
-    centre.heard_ = aNow;
-    if (aState.delegate_) {
+    centre.lastSummaryAt_ = aNow;
+    if (aState.isDelegate_) {
       QueueAllMembers(aState, centre);
     }
   }
-  NoteChange(aState, aEntry);
+  RecordChange(aState, aEntry);
   if (IsLiving(aEntry.state_)) {
     aEffects.events_.push_back({ MembershipEventKind::kJoined, aEntry.host_.value_ });
   }
@@ -394,29 +398,29 @@
     member.readySince_ = aNow;
   }
   if (member.entry_.state_ != aEntry.state_) {
-    member.since_ = aNow;
+    member.stateChangedAt_ = aNow;
   }
   member.entry_ = aEntry;
-  NoteChange(aState, aEntry);
+  RecordChange(aState, aEntry);
 }
 
 // First-hand proof of life: an unreachable member is back, and a member of a data centre that is
 // back is confirmed.
-void NoteHeard(Membership& aState, const HostId& aHost, TimePoint aNow)
+void RecordProofOfLife(Membership& aState, const HostId& aHost, TimePoint aNow)
 {
   const auto found = aState.members_.find(aHost);
   if (found == aState.members_.end()) {
     return;
   }
   auto& member = found->second;
-  if (member.awaiting_) {
-    member.awaiting_ = false;
+  if (member.awaitingConfirmation_) {
+    member.awaitingConfirmation_ = false;
     member.readySince_ = aNow;
     ++aState.revision_;
   }
   if (member.entry_.state_ == MemberState::kUnreachable) {
     member.entry_.state_ = MemberState::kAlive;
-    member.since_ = aNow;
+    member.stateChangedAt_ = aNow;
     member.readySince_ = aNow;
     ++aState.revision_;
   }
@@ -440,8 +444,8 @@
 {
   MergeEntry(aState, aProbe.sender_, aNow, aEffects);
   MergeAll(aState, aProbe.updates_, aNow, aEffects);
-  NoteHeard(aState, aProbe.sender_.host_, aNow);
-  ProbeAck ack{ aProbe.sequence_, aState.self_, TakeUpdates(aState) };
+  RecordProofOfLife(aState, aProbe.sender_.host_, aNow);
+  ProbeAck ack{ aProbe.sequence_, aState.self_, CollectUpdates(aState) };
   const auto known = aState.members_.find(aProbe.sender_.host_);
   if (known != aState.members_.end() && known->second.entry_.state_ != MemberState::kAlive) {
     ack.updates_.push_back(known->second.entry_);
@@ -460,12 +464,12 @@
       aState.probe_->host_ == aAck.sender_.host_) {
     aState.probe_->acked_ = true;
   }
-  NoteHeard(aState, aAck.sender_.host_, aNow);
-  const auto relayed = aState.relayed_.find(aAck.sequence_);
-  if (relayed != aState.relayed_.end()) {
+  RecordProofOfLife(aState, aAck.sender_.host_, aNow);
+  const auto relayed = aState.relayedProbes_.find(aAck.sequence_);
+  if (relayed != aState.relayedProbes_.end()) {
     ProbeAck ack{ relayed->second.sequence_, aAck.sender_, {} };
-    aEffects.messages_.push_back({ relayed->second.asker_, std::move(ack), true });
-    aState.relayed_.erase(relayed);
+    aEffects.messages_.push_back({ relayed->second.requester_, std::move(ack), true });
+    aState.relayedProbes_.erase(relayed);
   }
 }
 
@@ -477,19 +481,19 @@
 {
   MergeEntry(aState, aRequest.sender_, aNow, aEffects);
   MergeAll(aState, aRequest.updates_, aNow, aEffects);
-  NoteHeard(aState, aRequest.sender_.host_, aNow);
+  RecordProofOfLife(aState, aRequest.sender_.host_, aNow);
   const auto sequence = aState.nextSequence_++;
-  aState.relayed_[sequence] = { aFrom, aRequest.sequence_, aNow };
-  Probe probe{ sequence, aState.self_, TakeUpdates(aState) };
+  aState.relayedProbes_[sequence] = { aFrom, aRequest.sequence_, aNow };
+  Probe probe{ sequence, aState.self_, CollectUpdates(aState) };
   aEffects.messages_.push_back({ aRequest.subjectAddress_, std::move(probe), true });
 }
 
 // The whole table, or for another data centre only what it can't learn elsewhere: own members.
-std::vector<MemberEntry> TableFor(const Membership& aState, const DataCentreId& aAsker)
+std::vector<MemberEntry> MakeMemberTable(const Membership& aState, const DataCentreId& aAsker)
 {
   std::vector<MemberEntry> entries{ aState.self_ };
   for (const auto& [host, member] : aState.members_) {
-    const bool own = IsOwn(aState, member.entry_);
+    const bool own = IsOwnCentre(aState, member.entry_);
     if (own || aAsker == aState.self_.dataCentre_) {
       entries.push_back(member.entry_);
     }
@@ -509,7 +513,8 @@
     const Address to = named ? aTable.members_.front().peer_ : aFrom;
     const DataCentreId asker =
       named ? aTable.members_.front().dataCentre_ : aState.self_.dataCentre_;
-    aEffects.messages_.push_back({ to, MemberTable{ false, TableFor(aState, asker) }, false });
+    aEffects.messages_.push_back(
+      { to, MemberTable{ false, MakeMemberTable(aState, asker) }, false });
   }
 }
 
@@ -523,20 +528,20 @@
   }
   MergeAll(aState, aSummary.members_, aNow, aEffects);
   auto& centre = aState.centres_[aSummary.dataCentre_];
-  centre.heard_ = aNow;
+  centre.lastSummaryAt_ = aNow;
   if (!centre.reachable_) {
-    ++centre.statement_;
+    ++centre.statementNumber_;
     SetReachable(aState, aSummary.dataCentre_, true, aNow, aEffects);
   }
 }
 
-std::vector<HostId> OwnHosts(const Membership& aState, bool aLivingOnly)
+std::vector<HostId> OwnCentreHosts(const Membership& aState, bool aLivingOnly)
 {
   std::vector<HostId> hosts;
   for (const auto& [host, member] : aState.members_) {
     const auto state = member.entry_.state_;
     const bool probed = IsLiving(state) || (!aLivingOnly && state == MemberState::kUnreachable);
-    if (IsOwn(aState, member.entry_) && probed) {
+    if (IsOwnCentre(aState, member.entry_) && probed) {
       hosts.push_back(host);
     }
   }
@@ -569,7 +574,7 @@
 {
   while (true) {
     if (aState.probeOrder_.empty()) {
-      aState.probeOrder_ = OwnHosts(aState, false);
+      aState.probeOrder_ = OwnCentreHosts(aState, false);
       Shuffle(aState.probeOrder_, aState.random_);
       if (aState.probeOrder_.empty()) {
         return;
@@ -594,34 +599,35 @@
 {
   std::vector<HostId> suspects;
   for (const auto& [host, member] : aState.members_) {
-    if (IsOwn(aState, member.entry_) && member.entry_.state_ == MemberState::kSuspect) {
+    if (IsOwnCentre(aState, member.entry_) && member.entry_.state_ == MemberState::kSuspect) {
       suspects.push_back(host);
     }
   }
   Shuffle(suspects, aState.random_);
-  suspects.resize(std::min<std::size_t>(suspects.size(), aState.settings_.suspectProbes_));
+  suspects.resize(
+    std::min<std::size_t>(suspects.size(), aState.settings_.suspectProbesPerInterval_));
   for (const auto& host : suspects) {
     SendProbe(aState, aState.members_.at(host), aState.nextSequence_++, aEffects);
   }
 }
 
-void AskIndirectly(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
+void SendIndirectProbes(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
   auto& probe = aState.probe_;
-  if (!probe || probe->acked_ || probe->indirect_ ||
-      aNow - probe->sent_ < aState.settings_.indirectAfter_) {
+  if (!probe || probe->acked_ || probe->indirectSent_ ||
+      aNow - probe->sentAt_ < aState.settings_.indirectProbeDelay_) {
     return;
   }
-  probe->indirect_ = true;
+  probe->indirectSent_ = true;
   const auto subject = aState.members_.find(probe->host_);
   if (subject == aState.members_.end()) {
     return;
   }
-  auto helpers = OwnHosts(aState, true);
+  auto helpers = OwnCentreHosts(aState, true);
   Shuffle(helpers, aState.random_);
   std::uint32_t asked = 0;
   for (const auto& host : helpers) {
-    if (host == probe->host_ || asked == aState.settings_.indirectProbes_) {
+    if (host == probe->host_ || asked == aState.settings_.indirectProbeCount_) {
       continue;
     }
     ++asked;
@@ -629,7 +635,7 @@
                           aState.self_,
                           probe->host_,
                           subject->second.entry_.peer_,
-                          TakeUpdates(aState) };
+                          CollectUpdates(aState) };
     aEffects.messages_.push_back(
       { aState.members_.at(host).entry_.peer_, std::move(request), true });
   }
@@ -642,7 +648,7 @@
   std::size_t known = 0;
   for (const auto& [host, member] : aState.members_) {
     const auto state = member.entry_.state_;
-    if (!IsOwn(aState, member.entry_) || state == MemberState::kLeft ||
+    if (!IsOwnCentre(aState, member.entry_) || state == MemberState::kLeft ||
         state == MemberState::kDead) {
       continue;
     }
@@ -659,13 +665,13 @@
   for (auto it = aState.members_.begin(); it != aState.members_.end();) {
     auto& member = it->second;
     const auto state = member.entry_.state_;
-    const auto age = aNow - member.since_;
-    const bool own = IsOwn(aState, member.entry_);
-    if (own && state == MemberState::kSuspect && age >= aState.settings_.deadAfter_) {
+    const auto age = aNow - member.stateChangedAt_;
+    const bool own = IsOwnCentre(aState, member.entry_);
+    if (own && state == MemberState::kSuspect && age >= aState.settings_.suspicionTimeout_) {
       if (AllOthersSilent(aState)) {
         // Known here only: the members behind the cut are as sure of their own lives.
         member.entry_.state_ = MemberState::kUnreachable;
-        member.since_ = aNow;
+        member.stateChangedAt_ = aNow;
         ++aState.revision_;
       } else {
         SetState(aState, member, MemberState::kDead, aNow);
@@ -673,7 +679,7 @@
       }
     }
     const bool ended = state == MemberState::kDead || state == MemberState::kLeft;
-    if (ended && age >= aState.settings_.tombstone_) {
+    if (ended && age >= aState.settings_.tombstoneLifetime_) {
       ++aState.revision_;
       it = aState.members_.erase(it);
     } else {
@@ -683,22 +689,22 @@
 }
 
 // Time that passed while this process was paused counts for no one.
-void ForgivePause(Membership& aState, TimePoint aNow)
+void DiscountPause(Membership& aState, TimePoint aNow)
 {
-  const auto gap = aNow - aState.lastStep_;
-  if (gap < kPauseGap) {
+  const auto gap = aNow - aState.lastStepAt_;
+  if (gap < kMinPauseGap) {
     return;
   }
   aState.probe_.reset();
   for (auto& [host, member] : aState.members_) {
     if (member.entry_.state_ == MemberState::kSuspect) {
-      member.since_ += gap;
+      member.stateChangedAt_ += gap;
     }
   }
   for (auto& [id, centre] : aState.centres_) {
-    centre.heard_ += gap;
+    centre.lastSummaryAt_ += gap;
   }
-  aState.nextProbe_ = std::max(aState.nextProbe_, aNow);
+  aState.nextProbeAt_ = std::max(aState.nextProbeAt_, aNow);
 }
 
 bool IsKnownAddress(const Membership& aState, const Address& aAddress)
@@ -708,13 +714,13 @@
   });
 }
 
-void Join(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
+void ContactSeeds(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  if (aNow < aState.nextJoin_) {
+  if (aNow < aState.nextJoinAt_) {
     return;
   }
   const bool alone = IsAlone(aState);
-  aState.nextJoin_ =
+  aState.nextJoinAt_ =
     aNow + (alone ? aState.settings_.joinInterval_ : aState.settings_.seedInterval_);
   for (const auto& seed : aState.seeds_) {
     if (seed != aState.self_.peer_ && !IsKnownAddress(aState, seed)) {
@@ -726,12 +732,12 @@
 // Sends news that waits because many members changed at once, to a random member.
 void SendBacklog(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  if (aNow < aState.nextBacklog_ ||
+  if (aNow < aState.nextBacklogAt_ ||
       aState.updates_.size() <= aState.settings_.updatesPerDatagram_) {
     return;
   }
-  aState.nextBacklog_ = aNow + aState.settings_.backlogInterval_;
-  const auto hosts = OwnHosts(aState, true);
+  aState.nextBacklogAt_ = aNow + aState.settings_.backlogInterval_;
+  const auto hosts = OwnCentreHosts(aState, true);
   if (!hosts.empty()) {
     const auto& member = aState.members_.at(hosts[NextRandom(aState.random_) % hosts.size()]);
     SendProbe(aState, member, aState.nextSequence_++, aEffects);
@@ -749,28 +755,28 @@
   // Soon after the start and then more rarely: nodes that start together miss each other's news.
   const auto interval =
     std::max(settings.antiEntropyInterval_, settings.antiEntropyIntervalPerMember_ * members);
-  aState.tableWait_ = std::min(interval, 2 * aState.tableWait_);
-  aState.nextAntiEntropyAt_ = aNow + aState.tableWait_;
-  const auto hosts = OwnHosts(aState, true);
+  aState.antiEntropyDelay_ = std::min(interval, 2 * aState.antiEntropyDelay_);
+  aState.nextAntiEntropyAt_ = aNow + aState.antiEntropyDelay_;
+  const auto hosts = OwnCentreHosts(aState, true);
   if (hosts.empty()) {
     return;
   }
   const auto& peer = aState.members_.at(hosts[NextRandom(aState.random_) % hosts.size()]).entry_;
   aEffects.messages_.push_back(
-    { peer.peer_, MemberTable{ true, TableFor(aState, aState.self_.dataCentre_) }, false });
+    { peer.peer_, MemberTable{ true, MakeMemberTable(aState, aState.self_.dataCentre_) }, false });
 }
 
 // Probes one member that is thought dead, because after a cut both sides think the other dead and
 // nobody else would start talking.
-void Revive(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
+void ProbeDeadMember(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  if (aNow < aState.nextRevive_) {
+  if (aNow < aState.nextReviveAt_) {
     return;
   }
-  aState.nextRevive_ = aNow + aState.settings_.reviveInterval_;
+  aState.nextReviveAt_ = aNow + aState.settings_.reviveInterval_;
   std::vector<const Member*> dead;
   for (const auto& [host, member] : aState.members_) {
-    if (IsOwn(aState, member.entry_) && member.entry_.state_ == MemberState::kDead) {
+    if (IsOwnCentre(aState, member.entry_) && member.entry_.state_ == MemberState::kDead) {
       dead.push_back(&member);
     }
   }
@@ -784,7 +790,7 @@
 {
   std::map<DataCentreId, std::size_t> awaiting;
   for (const auto& [host, member] : aState.members_) {
-    if (member.awaiting_) {
+    if (member.awaitingConfirmation_) {
       ++awaiting[member.entry_.dataCentre_];
     }
   }
@@ -792,11 +798,11 @@
     return;
   }
   for (auto& [host, member] : aState.members_) {
-    if (!member.awaiting_ || member.confirmAt_ > aNow) {
+    if (!member.awaitingConfirmation_ || member.confirmAt_ > aNow) {
       continue;
     }
-    if (awaiting[member.entry_.dataCentre_] > aState.settings_.probedConfirmations_) {
-      member.awaiting_ = false;
+    if (awaiting[member.entry_.dataCentre_] > aState.settings_.maxProbedConfirmations_) {
+      member.awaitingConfirmation_ = false;
       member.readySince_ = aNow;
       ++aState.revision_;
     } else {
@@ -811,7 +817,7 @@
 {
   std::vector<MemberEntry> entries{ aState.self_ };
   std::set<HostId> chosen;
-  while (!aCentre.pending_.empty() && chosen.size() < aState.settings_.summaryChanges_) {
+  while (!aCentre.pending_.empty() && chosen.size() < aState.settings_.maxSummaryChanges_) {
     const HostId host = aCentre.pending_.front();
     aCentre.pending_.pop_front();
     aCentre.pendingSet_.erase(host);
@@ -823,12 +829,12 @@
   auto it = aState.members_.upper_bound(aState.refreshCursor_);
   std::size_t refreshed = 0;
   for (std::size_t i = 0;
-       i < aState.members_.size() && refreshed < aState.settings_.summaryRefresh_;
+       i < aState.members_.size() && refreshed < aState.settings_.summaryRefreshCount_;
        ++i) {
     if (it == aState.members_.end()) {
       it = aState.members_.begin();
     }
-    if (IsOwn(aState, it->second.entry_)) {
+    if (IsOwnCentre(aState, it->second.entry_)) {
       ++refreshed;
       aState.refreshCursor_ = it->first;
       if (chosen.insert(it->first).second) {
@@ -848,14 +854,14 @@
     ++rank;
   }
   const bool delegate =
-    rank < aState.settings_.delegates_ && aState.self_.state_ != MemberState::kLeft;
-  if (delegate && !aState.delegate_) {
+    rank < aState.settings_.delegateCount_ && aState.self_.state_ != MemberState::kLeft;
+  if (delegate && !aState.isDelegate_) {
     aState.delegateSince_ = aNow;
     for (auto& [id, centre] : aState.centres_) {
       QueueAllMembers(aState, centre);
     }
   }
-  aState.delegate_ = delegate;
+  aState.isDelegate_ = delegate;
   if (!delegate) {
     for (auto& [id, centre] : aState.centres_) {
       centre.pending_.clear();
@@ -866,7 +872,7 @@
   ++aState.summaries_;
   for (auto& [id, centre] : aState.centres_) {
     const auto remote = RankMembers(aState, kDelegateRole, id);
-    const auto delegates = std::min(remote.size(), aState.settings_.delegates_);
+    const auto delegates = std::min(remote.size(), aState.settings_.delegateCount_);
     if (delegates == 0) {
       continue;
     }
@@ -879,15 +885,15 @@
   }
 }
 
-void JudgeCentres(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
+void DetectSilentCentres(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  const auto silence = aState.settings_.centreSilence_;
-  if (!aState.delegate_ || aNow - aState.delegateSince_ < silence) {
+  const auto silence = aState.settings_.centreTimeout_;
+  if (!aState.isDelegate_ || aNow - aState.delegateSince_ < silence) {
     return;
   }
   for (auto& [id, centre] : aState.centres_) {
-    if (centre.reachable_ && aNow - centre.heard_ >= silence && aNow >= centre.holdUntil_) {
-      ++centre.statement_;
+    if (centre.reachable_ && aNow - centre.lastSummaryAt_ >= silence && aNow >= centre.holdUntil_) {
+      ++centre.statementNumber_;
       SetReachable(aState, id, false, aNow, aEffects);
     }
   }
@@ -929,43 +935,45 @@
   state.seeds_ = std::move(aSeeds);
   state.random_ = aSeed;
   state.selfReadySince_ = aNow;
-  state.lastStep_ = aNow;
-  state.nextProbe_ = aNow;
-  state.nextJoin_ = aNow;
+  state.lastStepAt_ = aNow;
+  state.nextProbeAt_ = aNow;
+  state.nextJoinAt_ = aNow;
   // Spread over the interval, so that nodes that start together don't act together.
   const auto jitter = [&](Duration aInterval) {
     return Duration(static_cast<Duration::rep>(NextRandom(state.random_) %
                                                static_cast<std::uint64_t>(aInterval.count())));
   };
-  state.tableWait_ = aSettings.firstTable_;
-  state.nextAntiEntropyAt_ = aNow + aSettings.firstTable_ / 2 + jitter(aSettings.firstTable_);
-  state.nextRevive_ = aNow + jitter(aSettings.reviveInterval_);
-  state.nextSummary_ = aNow + jitter(aSettings.probeInterval_);
+  state.antiEntropyDelay_ = aSettings.firstAntiEntropyDelay_;
+  state.nextAntiEntropyAt_ =
+    aNow + aSettings.firstAntiEntropyDelay_ / 2 + jitter(aSettings.firstAntiEntropyDelay_);
+  state.nextReviveAt_ = aNow + jitter(aSettings.reviveInterval_);
+  state.nextSummaryAt_ = aNow + jitter(aSettings.probeInterval_);
   return state;
 }
 
 void StepMembership(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  ForgivePause(aState, aNow);
-  aState.lastStep_ = aNow;
-  Join(aState, aNow, aEffects);
-  AskIndirectly(aState, aNow, aEffects);
-  if (aNow >= aState.nextProbe_) {
-    aState.nextProbe_ = aNow + aState.settings_.probeInterval_;
+  DiscountPause(aState, aNow);
+  aState.lastStepAt_ = aNow;
+  ContactSeeds(aState, aNow, aEffects);
+  SendIndirectProbes(aState, aNow, aEffects);
+  if (aNow >= aState.nextProbeAt_) {
+    aState.nextProbeAt_ = aNow + aState.settings_.probeInterval_;
     FinishProbe(aState, aNow, aEffects);
     ExpireStates(aState, aNow, aEffects);
     StartProbe(aState, aNow, aEffects);
     ProbeSuspects(aState, aEffects);
-    std::erase_if(aState.relayed_,
-                  [&](const auto& aRelay) { return aNow - aRelay.second.sent_ > kRelayLifetime; });
+    std::erase_if(aState.relayedProbes_, [&](const auto& aRelay) {
+      return aNow - aRelay.second.sentAt_ > kRelayLifetime;
+    });
   }
   SendBacklog(aState, aNow, aEffects);
   CompareTables(aState, aNow, aEffects);
-  Revive(aState, aNow, aEffects);
-  if (aNow >= aState.nextSummary_) {
-    aState.nextSummary_ = aNow + aState.settings_.probeInterval_;
+  ProbeDeadMember(aState, aNow, aEffects);
+  if (aNow >= aState.nextSummaryAt_) {
+    aState.nextSummaryAt_ = aNow + aState.settings_.probeInterval_;
     SendSummaries(aState, aNow, aEffects);
-    JudgeCentres(aState, aNow, aEffects);
+    DetectSilentCentres(aState, aNow, aEffects);
   }
   ConfirmMembers(aState, aNow, aEffects);
   assert(aState.members_.find(aState.self_.host_) == aState.members_.end());
@@ -1010,7 +1018,7 @@
   self.slots_ = aSlots;
   ++self.incarnation_;
   ++aState.revision_;
-  QueueForCentres(aState, self.host_);
+  QueueForSummaries(aState, self.host_);
 }
 
 void AnnounceDeparture(Membership& aState, const HostId& aSuccessor, MembershipEffects& aEffects)
@@ -1023,7 +1031,7 @@
   self.successor_ = aSuccessor;
   ++self.incarnation_;
   ++aState.revision_;
-  auto hosts = OwnHosts(aState, true);
+  auto hosts = OwnCentreHosts(aState, true);
   Shuffle(hosts, aState.random_);
   hosts.resize(std::min(hosts.size(), kCopies));
   for (const auto& host : hosts) {
@@ -1044,7 +1052,7 @@
 bool IsAlone(const Membership& aState)
 {
   return std::none_of(aState.members_.begin(), aState.members_.end(), [&](const auto& aMember) {
-    return IsOwn(aState, aMember.second.entry_);
+    return IsOwnCentre(aState, aMember.second.entry_);
   });
 }
 
@@ -1062,7 +1070,7 @@
   };
   const auto& self = aState.self_;
   for (const auto& [host, member] : aState.members_) {
-    if (!member.awaiting_ && IsReachableCentre(aState, member.entry_)) {
+    if (!member.awaitingConfirmation_ && IsReachableCentre(aState, member.entry_)) {
       add(member.entry_, member.readySince_);
     }
   }
@@ -1123,7 +1131,7 @@
     auto& delegates = ranking.delegates_[id];
     if (centre.reachable_) {
       delegates = RankMembers(aState, kDelegateRole, id);
-      delegates.resize(std::min(delegates.size(), aState.settings_.delegates_));
+      delegates.resize(std::min(delegates.size(), aState.settings_.delegateCount_));
     }
   }
   for (const auto& [host, member] : aState.members_) {
@@ -1131,7 +1139,7 @@
     if (IsLiving(state)) {
       ranking.addresses_[host] = member.entry_.peer_;
     }
-    if (IsOwn(aState, member.entry_) && state != MemberState::kAlive &&
+    if (IsOwnCentre(aState, member.entry_) && state != MemberState::kAlive &&
         state != MemberState::kLeft) {
       ranking.unreachable_.push_back(host);
     }
--- a/peridotquay/version/Membership.h
+++ b/peridotquay/version/Membership.h
@@ -27,34 +27,37 @@
 struct MembershipSettings
 {
   Duration probeInterval_ = seconds(1);
-  Duration indirectAfter_ = milliseconds(300); ///< Without an ack, other members are asked.
-  Duration suspectAfter_ = seconds(1);         ///< Without an ack, the member is suspected.
-  Duration deadAfter_ = seconds(3);            ///< Time that a suspected member has to refute.
-  std::uint32_t indirectProbes_ = 3;
-  std::uint32_t suspectProbes_ = 2; ///< Suspected members that are probed again each interval, so
-                                    ///< that they learn of it and can refute in time.
+  Duration indirectProbeDelay_ = milliseconds(300); ///< Without an ack, other members are asked.
+  Duration ackTimeout_ = seconds(1);                ///< Without an ack, the member is suspected.
+  Duration suspicionTimeout_ = seconds(3);          ///< Time that a suspected member has to refute.
+  std::uint32_t indirectProbeCount_ = 3;
+  std::uint32_t suspectProbesPerInterval_ =
+    2; ///< Suspected members that are probed again each interval, so
+       ///< that they learn of it and can refute in time.
   Duration backlogInterval_ =
     milliseconds(250); ///< While more news waits than one datagram holds, it is sent this often.
   std::size_t updatesPerDatagram_ = 6; ///< Keeps a datagram below 1,200 bytes, one IP packet.
-  Duration tombstone_ = seconds(600);  ///< Dead and left members are kept this long.
+  Duration tombstoneLifetime_ = seconds(600); ///< Dead and left members are kept this long.
   Duration reviveInterval_ =
     seconds(5);                         ///< A dead member is probed this often, in case it was cut.
   Duration joinInterval_ = seconds(1);  ///< Seeds are asked this often until one answers.
   Duration seedInterval_ = seconds(10); ///< A seed that isn't a known member is asked this often.
-  Duration firstTable_ = seconds(2); ///< Whole tables are compared this soon after the start, then
-                                     ///< after twice the time, up to the next two settings.
+  Duration firstAntiEntropyDelay_ =
+    seconds(2); ///< Whole tables are compared this soon after the start, then
+                ///< after twice the time, up to the next two settings.
   Duration antiEntropyInterval_ =
     seconds(30); ///< Whole tables are compared this often, and more rarely in large data centres.
   Duration antiEntropyIntervalPerMember_ =
     milliseconds(200); ///< Bounds table traffic to about 500 bytes
                        ///< a second for any number of members.
-  Duration centreSilence_ =
+  Duration centreTimeout_ =
     seconds(4); ///< A data centre that sent no summary for this long is unreachable.
-  Duration confirmSpread_ = seconds(5); ///< Members of a data centre that is back are spread so.
-  std::size_t delegates_ = 2;
-  std::size_t summaryChanges_ = 64; ///< Most changed members in one summary.
-  std::size_t summaryRefresh_ = 2;  ///< Unchanged members repeated in each summary.
-  std::size_t probedConfirmations_ =
+  Duration confirmationPeriod_ =
+    seconds(5); ///< Members of a data centre that is back are spread so.
+  std::size_t delegateCount_ = 2;
+  std::size_t maxSummaryChanges_ = 64;  ///< Most changed members in one summary.
+  std::size_t summaryRefreshCount_ = 2; ///< Unchanged members repeated in each summary.
+  std::size_t maxProbedConfirmations_ =
     64; ///< Data centres with more members come back without a probe from each node.
   std::size_t maxMembers_ = 4096;
   bool operator==(const MembershipSettings&) const = default;
@@ -64,21 +67,21 @@
 struct Member
 {
   MemberEntry entry_;
-  TimePoint since_{};      ///< Of the present state.
-  TimePoint readySince_{}; ///< Of the present usable time of its target.
-  TimePoint confirmAt_{};  ///< With awaiting_: when it is probed or taken as usable.
-  bool awaiting_ = false;  ///< Its data centre is back and it isn't confirmed yet.
+  TimePoint stateChangedAt_{}; ///< Of the present state.
+  TimePoint readySince_{};     ///< Of the present usable time of its target.
+  TimePoint confirmAt_{}; ///< With awaitingConfirmation_: when it is probed or taken as usable.
+  bool awaitingConfirmation_ = false; ///< Its data centre is back and it isn't confirmed yet.
 };
 
 /// Another data centre as this node sees it.
 struct RemoteCentre
 {
-  std::uint64_t statement_ = 0; ///< Number of the last statement about it.
+  std::uint64_t statementNumber_ = 0; ///< Number of the last statement about it.
   bool reachable_ = true;
-  TimePoint heard_{};          ///< When a summary arrived here last.
-  TimePoint holdUntil_{};      ///< After a contradiction no statement of unreachability until then.
-  std::uint32_t repeats_ = 0;  ///< How often the statement is still sent.
-  std::deque<HostId> pending_; ///< Own members whose change it hasn't been told.
+  TimePoint lastSummaryAt_{}; ///< When a summary arrived here last.
+  TimePoint holdUntil_{};     ///< After a contradiction no statement of unreachability until then.
+  std::uint32_t statementSendsLeft_ = 0; ///< How often the statement is still sent.
+  std::deque<HostId> pending_;           ///< Own members whose change it hasn't been told.
   std::set<HostId> pendingSet_;
 };
 
@@ -87,17 +90,17 @@
 {
   HostId host_;
   std::uint64_t sequence_ = 0;
-  TimePoint sent_{};
-  bool indirect_ = false;
+  TimePoint sentAt_{};
+  bool indirectSent_ = false;
   bool acked_ = false;
 };
 
 /// A probe sent for another member.
 struct RelayedProbe
 {
-  Address asker_;
+  Address requester_;
   std::uint64_t sequence_ = 0; ///< Sequence of the asker.
-  TimePoint sent_{};
+  TimePoint sentAt_{};
 };
 
 /// What happened to a member, for the log.
@@ -132,24 +135,25 @@
   std::map<HostId, std::uint32_t> sendsLeft_;
   std::vector<HostId> probeOrder_; ///< Shuffled; the back is probed next.
   std::optional<PendingProbe> probe_;
-  std::map<std::uint64_t, RelayedProbe> relayed_;
+  std::map<std::uint64_t, RelayedProbe> relayedProbes_;
   std::uint64_t nextSequence_ = 1;
   std::uint64_t summaries_ = 0;
   HostId refreshCursor_;
-  TimePoint lastStep_{};
-  TimePoint nextProbe_{};
-  TimePoint nextJoin_{};
+  TimePoint lastStepAt_{};
+  TimePoint nextProbeAt_{};
+  TimePoint nextJoinAt_{};
   TimePoint nextAntiEntropyAt_{};
-  Duration tableWait_{}; ///< Between the last two comparisons of tables.
-  TimePoint nextBacklog_{};
-  TimePoint nextRevive_{};
-  TimePoint nextSummary_{};
+  Duration antiEntropyDelay_{}; ///< Between the last two comparisons of tables.
+  TimePoint nextBacklogAt_{};
+  TimePoint nextReviveAt_{};
+  TimePoint nextSummaryAt_{};
   TimePoint delegateSince_{};
-  bool delegate_ = false;
+  bool isDelegate_ = false;
   TimePoint selfReadySince_{};
-  std::uint64_t sampleLeast_ = 0; ///< Least weight in a full table's sample of other data centres.
-  bool loadChanged_ = false;      ///< A load changed since the owner last cleared this.
-  std::uint64_t revision_ = 0;    ///< Grows with each change that members or views can show.
+  std::uint64_t minSampleWeight_ =
+    0;                         ///< Least weight in a full table's sample of other data centres.
+  bool loadChanged_ = false;   ///< A load changed since the owner last cleared this.
+  std::uint64_t revision_ = 0; ///< Grows with each change that members or views can show.
 };
 
 /// What the owner has to do after a step.
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -27,9 +27,10 @@
   bool stopped_ = false;
   std::uint64_t revision_ = ~std::uint64_t{ 0 };
   Version lastVersion_ = 0;
-  std::optional<TimePoint> lastFresh_;
+  std::optional<TimePoint> lastFreshUntil_;
   std::uint64_t messages_ = 0; ///< Sent.
-  std::uint64_t life_ = 0;     ///< Distinguishes processes: platform answers reach only the caller.
+  std::uint64_t processNumber_ =
+    0; ///< Distinguishes processes: platform answers reach only the caller.
 };
 
 struct NetworkSettings
@@ -37,8 +38,8 @@
   std::size_t nodes_ = 16;
   std::size_t centres_ = 1;
   double loss_ = 0;
-  Duration leastDelay_ = milliseconds(1);
-  Duration mostDelay_ = milliseconds(5);
+  Duration minDelay_ = milliseconds(1);
+  Duration maxDelay_ = milliseconds(5);
   std::uint64_t seed_ = 1;
 };
 
@@ -50,9 +51,9 @@
     , random_(aSettings.seed_)
   {
     for (std::size_t i = 0; i < aSettings.nodes_; ++i) {
-      nodes_.push_back(Make(i, 1));
-      const auto life = nodes_[i].life_;
-      At(now_ + Random(milliseconds(100)), [this, i, life] { Step(i, life); });
+      nodes_.push_back(MakeNode(i, 1));
+      const auto life = nodes_[i].processNumber_;
+      ScheduleAt(now_ + Random(milliseconds(100)), [this, i, life] { Step(i, life); });
     }
   }
 
@@ -106,9 +107,9 @@
   /// A new process on the same host.
   void Restart(std::size_t aNode, Incarnation aIncarnation)
   {
-    nodes_[aNode] = Make(aNode, aIncarnation);
-    const auto life = nodes_[aNode].life_;
-    At(now_, [this, aNode, life] { Step(aNode, life); });
+    nodes_[aNode] = MakeNode(aNode, aIncarnation);
+    const auto life = nodes_[aNode].processNumber_;
+    ScheduleAt(now_, [this, aNode, life] { Step(aNode, life); });
   }
 
   void Pause(std::size_t aNode, Duration aLength) { nodes_[aNode].pausedUntil_ = now_ + aLength; }
@@ -144,7 +145,7 @@
     }
   };
 
-  void At(TimePoint aTime, std::function<void()> aAction)
+  void ScheduleAt(TimePoint aTime, std::function<void()> aAction)
   {
     queue_.push({ aTime, nextEvent_++, std::move(aAction) });
   }
@@ -156,11 +157,11 @@
       static_cast<std::uint64_t>(std::max<Duration::rep>(1, aBelow.count()))));
   }
 
-  NetworkNode Make(std::size_t aNode, Incarnation aIncarnation)
+  NetworkNode MakeNode(std::size_t aNode, Incarnation aIncarnation)
   {
     NetworkNode node;
     node.offset_ = Random(seconds(50000));
-    node.life_ = ++lives_;
+    node.processNumber_ = ++processCount_;
     MemberEntry self;
     self.host_.value_ = "h" + std::to_string(aNode);
     self.incarnation_ = aIncarnation;
@@ -182,14 +183,14 @@
   void Step(std::size_t aNode, std::uint64_t aLife)
   {
     auto& node = nodes_[aNode];
-    if (node.stopped_ || node.life_ != aLife) {
+    if (node.stopped_ || node.processNumber_ != aLife) {
       return;
     }
     if (node.pausedUntil_ > now_) {
-      At(node.pausedUntil_, [=, this] { Step(aNode, aLife); });
+      ScheduleAt(node.pausedUntil_, [=, this] { Step(aNode, aLife); });
       return;
     }
-    At(now_ + milliseconds(100), [=, this] { Step(aNode, aLife); });
+    ScheduleAt(now_ + milliseconds(100), [=, this] { Step(aNode, aLife); });
     MembershipEffects effects;
     StepMembership(node.membership_, Local(aNode), effects);
     CarryOut(aNode, effects);
@@ -224,7 +225,7 @@
     if (aEffects.call_) {
       CallPlatform(aNode, std::move(*aEffects.call_));
     }
-    Check(aNode);
+    CheckInvariants(aNode);
   }
 
   void Send(std::size_t aFrom, ControlMessage aMessage)
@@ -236,9 +237,9 @@
     if (to >= nodes_.size() || lost || (cut_ && cut_(aFrom, to))) {
       return;
     }
-    const auto delay = settings_.leastDelay_ + Random(settings_.mostDelay_ - settings_.leastDelay_);
+    const auto delay = settings_.minDelay_ + Random(settings_.maxDelay_ - settings_.minDelay_);
     const auto host = nodes_[aFrom].membership_.self_;
-    At(now_ + delay, [this, to, host, message = std::move(aMessage.message_)] {
+    ScheduleAt(now_ + delay, [this, to, host, message = std::move(aMessage.message_)] {
       Arrive(to,
              { kPeerProtocolVersion, host.host_, host.incarnation_, host.dataCentre_ },
              host.peer_,
@@ -256,7 +257,7 @@
       return;
     }
     if (node.pausedUntil_ > now_) {
-      At(node.pausedUntil_, [=, this] { Arrive(aNode, aFrom, aPeer, aMessage); });
+      ScheduleAt(node.pausedUntil_, [=, this] { Arrive(aNode, aFrom, aPeer, aMessage); });
       return;
     }
     MembershipEffects effects;
@@ -271,10 +272,10 @@
   void CallPlatform(std::size_t aNode, PlatformCall aCall)
   {
     const auto started = Local(aNode);
-    const auto life = nodes_[aNode].life_;
-    const auto there = settings_.leastDelay_ + Random(settings_.mostDelay_);
-    const auto back = settings_.leastDelay_ + Random(settings_.mostDelay_);
-    At(now_ + there, [=, this] {
+    const auto life = nodes_[aNode].processNumber_;
+    const auto there = settings_.minDelay_ + Random(settings_.maxDelay_);
+    const auto back = settings_.minDelay_ + Random(settings_.maxDelay_);
+    ScheduleAt(now_ + there, [=, this] {
       PlatformAnswer answer;
       if (platformCut_.count(CentreOf(aNode)) != 0) {
         answer.error_ = Error{ ErrorCode::kPlatformUnavailable, {}, {}, {} };
@@ -282,18 +283,18 @@
         answer = RunPlatformCall(platform_, aCall);
       }
       answer.startedAt_ = started;
-      At(now_ + back, [=, this] { Answer(aNode, life, answer); });
+      ScheduleAt(now_ + back, [=, this] { Answer(aNode, life, answer); });
     });
   }
 
   void Answer(std::size_t aNode, std::uint64_t aLife, PlatformAnswer aAnswer)
   {
     auto& node = nodes_[aNode];
-    if (node.stopped_ || node.life_ != aLife) {
+    if (node.stopped_ || node.processNumber_ != aLife) {
       return;
     }
     if (node.pausedUntil_ > now_) {
-      At(node.pausedUntil_, [=, this] { Answer(aNode, aLife, aAnswer); });
+      ScheduleAt(node.pausedUntil_, [=, this] { Answer(aNode, aLife, aAnswer); });
       return;
     }
     aAnswer.finishedAt_ = Local(aNode);
@@ -303,16 +304,17 @@
   }
 
   // What must hold at each node after each step.
-  void Check(std::size_t aNode)
+  void CheckInvariants(std::size_t aNode)
   {
     auto& node = nodes_[aNode];
     const auto& versions = node.versions_;
     const auto fresh = FreshUntil(versions);
-    if (versions.inForce_ < node.lastVersion_ || (node.lastFresh_ && *fresh < *node.lastFresh_)) {
-      Violate("a version or freshness decreased at node " + std::to_string(aNode));
+    if (versions.inForce_ < node.lastVersion_ ||
+        (node.lastFreshUntil_ && *fresh < *node.lastFreshUntil_)) {
+      RecordViolation("a version or freshness decreased at node " + std::to_string(aNode));
     }
     node.lastVersion_ = versions.inForce_;
-    node.lastFresh_ = fresh;
+    node.lastFreshUntil_ = fresh;
     if (!fresh) {
       return;
     }
@@ -322,13 +324,13 @@
       ++latest;
     }
     if (trueTime > now_ || versions.inForce_ < latest) {
-      Violate("node " + std::to_string(aNode) + " claims freshness with version " +
-              std::to_string(versions.inForce_) + " when " + std::to_string(latest) +
-              " had been accepted");
+      RecordViolation("node " + std::to_string(aNode) + " claims freshness with version " +
+                      std::to_string(versions.inForce_) + " when " + std::to_string(latest) +
+                      " had been accepted");
     }
   }
 
-  void Violate(const std::string& aText)
+  void RecordViolation(const std::string& aText)
   {
     if (!violated_) {
       violated_ = true;
@@ -339,7 +341,7 @@
   NetworkSettings settings_;
   std::uint64_t random_;
   std::uint64_t nextEvent_ = 0;
-  std::uint64_t lives_ = 0;
+  std::uint64_t processCount_ = 0;
   std::priority_queue<Event> queue_;
 };
 
--- a/tests/version/ControlNetworkTest.cpp
+++ b/tests/version/ControlNetworkTest.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Members that are in use at a node. A suspected one is, until it is declared dead.
-std::size_t LivingAt(const NetworkNode& aNode)
+std::size_t CountLivingHosts(const NetworkNode& aNode)
 {
   return MakeTargetView(aNode.membership_).hosts_.size();
 }
@@ -18,11 +18,11 @@
 bool AllKnowAll(const ControlNetwork& aNetwork)
 {
   return std::all_of(aNetwork.nodes_.begin(), aNetwork.nodes_.end(), [&](const auto& aNode) {
-    return LivingAt(aNode) == aNetwork.nodes_.size();
+    return CountLivingHosts(aNode) == aNetwork.nodes_.size();
   });
 }
 
-Version LeastVersion(const ControlNetwork& aNetwork)
+Version MinVersionInForce(const ControlNetwork& aNetwork)
 {
   Version least = ~Version{ 0 };
   for (const auto& node : aNetwork.nodes_) {
@@ -33,7 +33,7 @@
   return least;
 }
 
-Duration OldestFreshness(const ControlNetwork& aNetwork, const std::string& aCentre = {})
+Duration MaxFreshnessAge(const ControlNetwork& aNetwork, const std::string& aCentre = {})
 {
   Duration oldest{};
   for (std::size_t i = 0; i < aNetwork.nodes_.size(); ++i) {
@@ -58,7 +58,7 @@
 }
 
 // A network that has come up with version 1 in force.
-std::unique_ptr<ControlNetwork> Settled(NetworkSettings aSettings)
+std::unique_ptr<ControlNetwork> MakeSettledNetwork(NetworkSettings aSettings)
 {
   auto network = std::make_unique<ControlNetwork>(aSettings);
   network->Accept(FirstChange(aSettings.centres_));
@@ -72,11 +72,11 @@
 TEST_CASE("64 members join by one seed", "[network]")
 {
   const double loss = GENERATE(0.0, 0.1);
-  auto network = Settled({ 64, 1, loss });
+  auto network = MakeSettledNetwork({ 64, 1, loss });
   CHECK(AllKnowAll(*network));
-  CHECK(LeastVersion(*network) == 1);
+  CHECK(MinVersionInForce(*network) == 1);
   // Below the default of keys.freshness_bound.
-  CHECK(OldestFreshness(*network) < seconds(10));
+  CHECK(MaxFreshnessAge(*network) < seconds(10));
   CHECK_FALSE(network->violated_);
 }
 
@@ -84,7 +84,7 @@
 // known to all, and against a restarted host that stays dead.
 TEST_CASE("a dead member is noticed by all and comes back", "[network]")
 {
-  auto network = Settled({ 32, 1, 0.05 });
+  auto network = MakeSettledNetwork({ 32, 1, 0.05 });
   REQUIRE(AllKnowAll(*network));
   network->Stop(5);
   network->Run(seconds(12));
@@ -100,7 +100,7 @@
 // Guards against a paused node that is never taken back, or that itself declares the others dead.
 TEST_CASE("a paused member refutes its death", "[network]")
 {
-  auto network = Settled({ 16, 1, 0 });
+  auto network = MakeSettledNetwork({ 16, 1, 0 });
   network->Pause(3, seconds(20));
   network->Run(seconds(19));
   CHECK(network->CountSeeing(3, MemberState::kDead) == 15);
@@ -112,7 +112,7 @@
 // Guards against two halves of a data centre that never find each other again after a cut.
 TEST_CASE("halves of a data centre find each other after a cut", "[network]")
 {
-  auto network = Settled({ 16, 1, 0 });
+  auto network = MakeSettledNetwork({ 16, 1, 0 });
   network->cut_ = [](std::size_t aLeft, std::size_t aRight) { return (aLeft < 8) != (aRight < 8); };
   network->Run(seconds(40));
   CHECK_FALSE(AllKnowAll(*network));
@@ -124,11 +124,11 @@
 // Guards against a change that takes longer than a second to be in force on 64 hosts.
 TEST_CASE("a change is in force everywhere within a second", "[network]")
 {
-  auto network = Settled({ 64, 1, 0 });
+  auto network = MakeSettledNetwork({ 64, 1, 0 });
   for (int i = 0; i < 20; ++i) {
     network->AcceptAccount(10 + i);
     network->Run(seconds(1));
-    CHECK(LeastVersion(*network) == network->accepted_.size());
+    CHECK(MinVersionInForce(*network) == network->accepted_.size());
   }
   CHECK_FALSE(network->violated_);
 }
@@ -137,7 +137,7 @@
 // can't close a gap of more than the kept changes.
 TEST_CASE("gaps are closed by sync and by snapshot", "[network]")
 {
-  auto network = Settled({ 16, 1, 0.2 });
+  auto network = MakeSettledNetwork({ 16, 1, 0.2 });
   network->Stop(7);
   for (int i = 0; i < 300; ++i) {
     network->AcceptAccount(10 + i);
@@ -146,7 +146,7 @@
   network->Restart(7, 1000);
   network->Run(seconds(20));
   CHECK(network->nodes_[7].versions_.inForce_ == 301);
-  CHECK(LeastVersion(*network) == 301);
+  CHECK(MinVersionInForce(*network) == 301);
   CHECK(network->platform_.objects_.count("config/snapshot/256") == 1);
   CHECK_FALSE(network->violated_);
 }
@@ -154,7 +154,7 @@
 // Guards against a watermark that runs ahead of a host, or that names no host that lags.
 TEST_CASE("the watermark waits for every reachable host", "[network]")
 {
-  auto network = Settled({ 16, 1, 0 });
+  auto network = MakeSettledNetwork({ 16, 1, 0 });
   const auto row = [&] {
     const auto found = network->platform_.rows_.find("watermark/a");
     REQUIRE(found != network->platform_.rows_.end());
@@ -166,7 +166,7 @@
   network->AcceptAccount(6);
   for (int i = 0; i < 25; ++i) {
     network->Run(milliseconds(100));
-    CHECK(row().version_ <= LeastVersion(*network));
+    CHECK(row().version_ <= MinVersionInForce(*network));
   }
   network->Run(seconds(10));
   CHECK(row().version_ == 2);
@@ -180,7 +180,7 @@
 // members not coming back.
 TEST_CASE("a data centre behind a cut is unreachable, not dead", "[network]")
 {
-  auto network = Settled({ 16, 4, 0 });
+  auto network = MakeSettledNetwork({ 16, 4, 0 });
   REQUIRE(AllKnowAll(*network));
   const auto targets = [&](std::size_t aNode) {
     return MakeTargetView(network->nodes_[aNode].membership_).targets_.at(ServiceId{ "s" }).size();
@@ -195,7 +195,7 @@
   }
   CHECK(network->CountSeeing(3, MemberState::kDead) == 0);
   // The data centre still reaches the platform and stays fresh.
-  CHECK(OldestFreshness(*network) < seconds(4));
+  CHECK(MaxFreshnessAge(*network) < seconds(4));
   network->cut_ = nullptr;
   network->Run(seconds(20));
   for (std::size_t node = 0; node < 16; ++node) {
@@ -207,25 +207,25 @@
 // all data centres during an outage, and against a fully isolated one that goes on.
 TEST_CASE("freshness during cuts from the platform and outages", "[network]")
 {
-  auto network = Settled({ 16, 4, 0 });
+  auto network = MakeSettledNetwork({ 16, 4, 0 });
   SECTION("one data centre without the platform")
   {
     network->platformCut_ = { "b" };
     network->Run(seconds(60));
-    CHECK(OldestFreshness(*network) < seconds(8));
+    CHECK(MaxFreshnessAge(*network) < seconds(8));
     network->AcceptAccount(7);
     network->Run(seconds(5));
-    CHECK(LeastVersion(*network) == 2);
+    CHECK(MinVersionInForce(*network) == 2);
   }
   SECTION("an outage of the whole platform")
   {
     network->platform_.down_ = true;
     network->Run(seconds(300));
-    CHECK(OldestFreshness(*network) < seconds(10));
+    CHECK(MaxFreshnessAge(*network) < seconds(10));
     network->platform_.down_ = false;
     network->AcceptAccount(7);
     network->Run(seconds(5));
-    CHECK(LeastVersion(*network) == 2);
+    CHECK(MinVersionInForce(*network) == 2);
   }
   SECTION("an isolated data centre without the platform")
   {
@@ -234,8 +234,8 @@
       return (network->CentreOf(aLeft) == "d") != (network->CentreOf(aRight) == "d");
     };
     network->Run(seconds(60));
-    CHECK(OldestFreshness(*network, "d") > seconds(50));
-    CHECK(OldestFreshness(*network, "a") < seconds(4));
+    CHECK(MaxFreshnessAge(*network, "d") > seconds(50));
+    CHECK(MaxFreshnessAge(*network, "a") < seconds(4));
   }
   SECTION("an isolated data centre during an outage")
   {
@@ -244,8 +244,8 @@
       return (network->CentreOf(aLeft) == "d") != (network->CentreOf(aRight) == "d");
     };
     network->Run(seconds(60));
-    CHECK(OldestFreshness(*network, "d") > seconds(50));
-    CHECK(OldestFreshness(*network, "a") > seconds(50));
+    CHECK(MaxFreshnessAge(*network, "d") > seconds(50));
+    CHECK(MaxFreshnessAge(*network, "a") > seconds(50));
   }
   CHECK_FALSE(network->violated_);
 }
@@ -259,7 +259,7 @@
     settings.nodes_ = *rc::gen::inRange<std::size_t>(3, 16);
     settings.centres_ = *rc::gen::inRange<std::size_t>(1, 4);
     settings.loss_ = *rc::gen::element(0.0, 0.05, 0.3);
-    settings.mostDelay_ = milliseconds(*rc::gen::element(5, 50, 1500, 4000));
+    settings.maxDelay_ = milliseconds(*rc::gen::element(5, 50, 1500, 4000));
     settings.seed_ = *rc::gen::arbitrary<std::uint64_t>();
     ControlNetwork network(settings);
     network.Accept(FirstChange(settings.centres_));
@@ -299,8 +299,8 @@
     network.cut_ = nullptr;
     network.platformCut_.clear();
     network.Run(seconds(90));
-    if (settings.loss_ < 0.3 && settings.mostDelay_ < seconds(1)) {
-      RC_ASSERT(LeastVersion(network) == network.accepted_.size());
+    if (settings.loss_ < 0.3 && settings.maxDelay_ < seconds(1)) {
+      RC_ASSERT(MinVersionInForce(network) == network.accepted_.size());
     }
     RC_ASSERT(!network.violated_);
   }));
--- a/tests/version/MembershipTest.cpp
+++ b/tests/version/MembershipTest.cpp
@@ -25,19 +25,19 @@
   return entry;
 }
 
-Membership Start(const std::string& aHost = "h0")
+Membership MakeTestMembership(const std::string& aHost = "h0")
 {
   return MakeMembership({}, Entry(aHost), {}, 7, kStart);
 }
 
-void Tell(Membership& aState, std::vector<MemberEntry> aEntries, TimePoint aNow = kStart)
+void ReceiveEntries(Membership& aState, std::vector<MemberEntry> aEntries, TimePoint aNow = kStart)
 {
   MembershipEffects effects;
   HandleMembershipMessage(aState, {}, MemberTable{ false, std::move(aEntries) }, aNow, effects);
 }
 
 // Steps every 100 ms without any answer from others.
-MembershipEffects RunAlone(Membership& aState, TimePoint aFrom, Duration aLength)
+MembershipEffects RunWithoutAnswers(Membership& aState, TimePoint aFrom, Duration aLength)
 {
   MembershipEffects effects;
   for (auto now = aFrom; now <= aFrom + aLength; now += milliseconds(100)) {
@@ -51,40 +51,40 @@
 // Guards against a restarted member that stays dead because of its old tombstone.
 TEST_CASE("a higher incarnation overrides a tombstone and a lower one doesn't", "[membership]")
 {
-  auto state = Start();
+  auto state = MakeTestMembership();
   auto entry = Entry("h1");
-  Tell(state, { entry });
+  ReceiveEntries(state, { entry });
   entry.state_ = MemberState::kDead;
-  Tell(state, { entry });
+  ReceiveEntries(state, { entry });
   CHECK(state.members_.at(entry.host_).entry_.state_ == MemberState::kDead);
   entry.state_ = MemberState::kAlive;
-  Tell(state, { entry });
+  ReceiveEntries(state, { entry });
   CHECK(state.members_.at(entry.host_).entry_.state_ == MemberState::kDead);
   ++entry.incarnation_;
-  Tell(state, { entry });
+  ReceiveEntries(state, { entry });
   CHECK(state.members_.at(entry.host_).entry_.state_ == MemberState::kAlive);
 }
 
 // Guards against a member that accepts being called dead.
 TEST_CASE("a node refutes what is said of it", "[membership]")
 {
-  auto state = Start();
+  auto state = MakeTestMembership();
   auto entry = Entry("h0");
   entry.state_ = MemberState::kSuspect;
   entry.incarnation_ = 105;
-  Tell(state, { entry });
+  ReceiveEntries(state, { entry });
   CHECK(state.self_.incarnation_ == 106);
   CHECK(state.self_.state_ == MemberState::kAlive);
   entry.incarnation_ = 105;
-  Tell(state, { entry });
+  ReceiveEntries(state, { entry });
   CHECK(state.self_.incarnation_ == 106);
 }
 
 // Guards against wrong times of indirect probes, suspicion and death.
 TEST_CASE("a silent member is probed indirectly, suspected and declared dead", "[membership]")
 {
-  auto state = Start();
-  Tell(state, { Entry("h1"), Entry("h2"), Entry("h3") });
+  auto state = MakeTestMembership();
+  ReceiveEntries(state, { Entry("h1"), Entry("h2"), Entry("h3") });
   MembershipEffects effects;
   StepMembership(state, kStart, effects);
   REQUIRE(state.probe_);
@@ -118,8 +118,8 @@
 // Guards against a relayed ack that doesn't save the member.
 TEST_CASE("an indirect ack counts", "[membership]")
 {
-  auto asker = Start();
-  Tell(asker, { Entry("h1"), Entry("h2") });
+  auto asker = MakeTestMembership();
+  ReceiveEntries(asker, { Entry("h1"), Entry("h2") });
   MembershipEffects effects;
   StepMembership(asker, kStart, effects);
   const auto subject = asker.members_.at(asker.probe_->host_).entry_;
@@ -128,7 +128,7 @@
   REQUIRE(effects.messages_.size() == 1);
   const auto request = effects.messages_.front().message_;
   const auto helperName = subject.host_.value_ == "h1" ? "h2" : "h1";
-  auto helper = Start(helperName);
+  auto helper = MakeTestMembership(helperName);
   MembershipEffects helped;
   HandleMembershipMessage(helper, asker.self_.peer_, request, kStart, helped);
   REQUIRE(helped.messages_.size() == 1);
@@ -151,16 +151,16 @@
 // everybody.
 TEST_CASE("a cut node finds others unreachable and a paused node suspects nobody", "[membership]")
 {
-  auto cut = Start();
-  Tell(cut, { Entry("h1"), Entry("h2"), Entry("h3") });
-  RunAlone(cut, kStart, seconds(20));
+  auto cut = MakeTestMembership();
+  ReceiveEntries(cut, { Entry("h1"), Entry("h2"), Entry("h3") });
+  RunWithoutAnswers(cut, kStart, seconds(20));
   for (const auto& [host, member] : cut.members_) {
     CHECK(member.entry_.state_ != MemberState::kAlive);
     CHECK(member.entry_.state_ != MemberState::kDead);
   }
   CHECK(MakeTargetView(cut).targets_.at(ServiceId{ "s" }).size() == 1);
-  auto paused = Start();
-  Tell(paused, { Entry("h1"), Entry("h2") });
+  auto paused = MakeTestMembership();
+  ReceiveEntries(paused, { Entry("h1"), Entry("h2") });
   MembershipEffects effects;
   StepMembership(paused, kStart, effects);
   StepMembership(paused, kStart + seconds(30), effects);
@@ -173,7 +173,7 @@
 // being lost although it named a successor.
 TEST_CASE("the target view holds usable targets and successors", "[membership]")
 {
-  auto state = Start();
+  auto state = MakeTestMembership();
   auto left = Entry("h1");
   left.state_ = MemberState::kLeft;
   left.successor_.value_ = "h2";
@@ -181,7 +181,7 @@
   dead.state_ = MemberState::kDead;
   auto draining = Entry("h4");
   draining.targetState_ = TargetState::kDraining;
-  Tell(state, { left, Entry("h2"), dead, draining });
+  ReceiveEntries(state, { left, Entry("h2"), dead, draining });
   const auto view = MakeTargetView(state);
   const auto& targets = view.targets_.at(ServiceId{ "s" });
   REQUIRE(targets.size() == 3);
@@ -195,7 +195,7 @@
 // Guards against a datagram too large for one packet and a table beyond its bound.
 TEST_CASE("datagrams and the table are bounded", "[membership]")
 {
-  auto state = Start();
+  auto state = MakeTestMembership();
   state.settings_.maxMembers_ = 50;
   std::vector<MemberEntry> entries;
   for (int i = 1; i < 40; ++i) {
@@ -204,10 +204,10 @@
   for (int i = 40; i < 200; ++i) {
     entries.push_back(Entry("h" + std::to_string(i), "b"));
   }
-  Tell(state, entries);
+  ReceiveEntries(state, entries);
   CHECK(state.members_.size() == 50);
   CHECK(state.members_.count(HostId{ "h39" }) == 1);
-  const auto effects = RunAlone(state, kStart, seconds(3));
+  const auto effects = RunWithoutAnswers(state, kStart, seconds(3));
   for (const auto& message : effects.messages_) {
     if (const auto* probe = std::get_if<Probe>(&message.message_)) {
       CHECK(probe->updates_.size() <= state.settings_.updatesPerDatagram_ + 1);
@@ -232,10 +232,10 @@
       statements.push_back(entry);
     }
     const auto apply = [](const std::vector<MemberEntry>& aStatements) {
-      auto state = Start();
-      Tell(state, { Entry("h1") });
+      auto state = MakeTestMembership();
+      ReceiveEntries(state, { Entry("h1") });
       for (const auto& statement : aStatements) {
-        Tell(state, { statement });
+        ReceiveEntries(state, { statement });
       }
       return state.members_.at(HostId{ "h1" }).entry_;
     };
