--- a/peridotquay/version/Membership.cpp
+++ b/peridotquay/version/Membership.cpp
@@ -1,5 +1,5 @@
-// SWIM with incarnations, suspicion, indirect probes and refutation, and summaries between data
-// centres.
+// SWIM failure detection with incarnations, suspicion, indirect probes and refutation, anti-entropy
+// within a data centre and summaries between data centres.
 #include "peridotquay/version/Membership.h"
 
 #include "peridotquay/version/MembershipRank.h"
@@ -12,18 +12,18 @@
 
 namespace {
 
-// A step that comes this late means that the process was paused; the silence of others then proves
-// nothing.
+// Steps this far apart mean that the process was paused. Missing messages then say nothing about
+// the other members.
 constexpr Duration kMinPauseGap = milliseconds(700);
 
-// A delegate that heard from a data centre this lately contradicts that it is unreachable.
+// A delegate contradicts that a data centre is unreachable if its last summary is more recent.
 constexpr Duration kRecentSummaryAge = seconds(2);
 
-// A delegate whose statement was contradicted trusts the other delegate for this long, so that a
-// partial cut doesn't make the data centre flap.
+// A delegate that was contradicted declares the data centre unreachable only after this time, so
+// that a partial network partition doesn't make its state flap.
 constexpr Duration kContradictionHold = seconds(30);
 
-// Relayed probes are forgotten after this; the asker has given up by then.
+// Relayed probes are removed after this time. The requester has stopped waiting by then.
 constexpr Duration kRelayLifetime = seconds(2);
 
 bool IsLiving(MemberState aState)
@@ -36,7 +36,8 @@
   return aEntry.dataCentre_ == aState.self_.dataCentre_;
 }
 
-// Order of statements with the same incarnation: the later one in life wins.
+// Order of statements with the same incarnation: the later state of a member's life replaces the
+// earlier one.
 int Precedence(MemberState aState)
 {
   switch (aState) {
@@ -54,8 +55,8 @@
   return 0;
 }
 
-// News is sent to this many members by each node. Twice the logarithm reached all of 64 members in
-// every test run with a tenth of the messages lost; whole tables cover the rest.
+// Number of datagrams in which each node repeats an update. Twice the logarithm of the members
+// reaches all of 64 members with a tenth of the messages lost; anti-entropy covers the rest.
 std::uint32_t SendLimit(const Membership& aState)
 {
   const auto members = static_cast<double>(aState.members_.size() + 2);
@@ -70,8 +71,8 @@
   aState.sendsLeft_[aHost] = SendLimit(aState);
 }
 
-// Tells other data centres of a change of an own member with the next summaries. Only delegates
-// send summaries, so only they keep the queue.
+// Queues a changed member of the own data centre for the next summaries. Only delegates send
+// summaries, so only they keep the queues.
 void QueueForSummaries(Membership& aState, const HostId& aHost)
 {
   if (!aState.isDelegate_) {
@@ -112,7 +113,8 @@
   return entry;
 }
 
-// Takes the news for one datagram: statements about data centres, then members in turn.
+// Collects the updates for one datagram: first statements about data centres, then changed members
+// in turn.
 std::vector<MemberEntry> CollectUpdates(Membership& aState)
 {
   std::vector<MemberEntry> updates;
@@ -122,22 +124,23 @@
       updates.push_back(CentreStatement(id, centre));
     }
   }
-  const std::size_t turns = aState.updates_.size();
-  for (std::size_t i = 0; i < turns && updates.size() < aState.settings_.updatesPerDatagram_; ++i) {
+  const std::size_t queued = aState.updates_.size();
+  for (std::size_t i = 0; i < queued && updates.size() < aState.settings_.updatesPerDatagram_;
+       ++i) {
     const HostId host = aState.updates_.front();
     aState.updates_.pop_front();
-    const auto left = aState.sendsLeft_.find(host);
+    const auto sendsLeft = aState.sendsLeft_.find(host);
     const auto member = aState.members_.find(host);
-    if (left == aState.sendsLeft_.end()) {
+    if (sendsLeft == aState.sendsLeft_.end()) {
       continue;
     }
-    // What is unreachable from here only isn't news to others.
+    // kUnreachable holds for this node only, so other members don't receive it.
     if (member != aState.members_.end() &&
         member->second.entry_.state_ != MemberState::kUnreachable) {
       updates.push_back(member->second.entry_);
     }
-    if (--left->second == 0) {
-      aState.sendsLeft_.erase(left);
+    if (--sendsLeft->second == 0) {
+      aState.sendsLeft_.erase(sendsLeft);
     } else {
       aState.updates_.push_back(host);
     }
@@ -151,7 +154,7 @@
                MembershipEffects& aEffects)
 {
   Probe probe{ aSequence, aState.self_, CollectUpdates(aState) };
-  // A member that is thought ill of learns it from the probe and can refute.
+  // A member that is considered suspect or dead learns it from the probe and can refute it.
   if (aMember.entry_.state_ == MemberState::kSuspect ||
       aMember.entry_.state_ == MemberState::kDead) {
     probe.updates_.push_back(aMember.entry_);
@@ -166,7 +169,7 @@
   RecordChange(aState, aMember.entry_);
 }
 
-// Raises the own incarnation above a statement that isn't true of this process.
+// Raises the own incarnation above that of a false statement about this process.
 void Refute(Membership& aState, Incarnation aAbove)
 {
   aState.self_.incarnation_ = std::max(aState.self_.incarnation_, aAbove) + 1;
@@ -177,10 +180,10 @@
 void MergeSelf(Membership& aState, const MemberEntry& aEntry)
 {
   const bool leaving = aState.self_.state_ == MemberState::kLeft;
-  const bool ill = aEntry.state_ != MemberState::kAlive;
-  const bool accused = ill && aEntry.incarnation_ >= aState.self_.incarnation_;
-  const bool overtaken = aEntry.incarnation_ > aState.self_.incarnation_;
-  if (!leaving && (accused || overtaken)) {
+  const bool notAlive = aEntry.state_ != MemberState::kAlive;
+  const bool mustRefute = notAlive && aEntry.incarnation_ >= aState.self_.incarnation_;
+  const bool isOutdated = aEntry.incarnation_ > aState.self_.incarnation_;
+  if (!leaving && (mustRefute || isOutdated)) {
     Refute(aState, aEntry.incarnation_);
   }
 }
@@ -245,49 +248,51 @@
   SetReachable(aState, aEntry.dataCentre_, reachable, aNow, aEffects);
 }
 
-// Weight of another data centre's member for this node, so that nodes keep different samples.
+// Weight of a member of another data centre. It depends on this node too, so that nodes keep
+// different samples in a full table.
 std::uint64_t SampleWeight(const Membership& aState, const MemberEntry& aEntry)
 {
   return RankWeight("sample/" + aState.self_.host_.value_, aEntry.dataCentre_, aEntry.host_);
 }
 
-// Makes room in a full table: another data centre's member with the least weight goes, but never a
-// delegate of its data centre. A newcomer of less weight than all of the sample is turned away
-// without a search, because a full table hears of members outside its sample in every summary.
+// Removes the member of another data centre with the least weight from a full table, but never a
+// delegate of its data centre. Returns false if the newcomer isn't to be added. A newcomer below
+// the least weight of the sample is rejected without a search, because each summary contains
+// members outside the sample.
 bool EvictSampledMember(Membership& aState, const MemberEntry& aNewcomer)
 {
   if (!IsOwnCentre(aState, aNewcomer) &&
       SampleWeight(aState, aNewcomer) <= aState.minSampleWeight_) {
     return false;
   }
-  std::set<HostId> kept;
+  std::set<HostId> protectedHosts;
   for (const auto& [id, centre] : aState.centres_) {
     const auto ranked = RankMembers(aState, kDelegateRole, id);
     for (std::size_t i = 0; i < std::min(ranked.size(), aState.settings_.delegateCount_); ++i) {
-      kept.insert(ranked[i].host_);
+      protectedHosts.insert(ranked[i].host_);
     }
   }
-  auto victim = aState.members_.end();
-  std::uint64_t least = ~std::uint64_t{ 0 };
+  auto evicted = aState.members_.end();
+  std::uint64_t minWeight = ~std::uint64_t{ 0 };
   for (auto it = aState.members_.begin(); it != aState.members_.end(); ++it) {
     const auto& entry = it->second.entry_;
-    if (IsOwnCentre(aState, entry) || kept.count(it->first) != 0) {
+    if (IsOwnCentre(aState, entry) || protectedHosts.count(it->first) != 0) {
       continue;
     }
     const auto weight = SampleWeight(aState, entry);
-    if (weight < least) {
-      least = weight;
-      victim = it;
+    if (weight < minWeight) {
+      minWeight = weight;
+      evicted = it;
     }
   }
-  if (victim == aState.members_.end()) {
+  if (evicted == aState.members_.end()) {
     return false;
   }
-  aState.minSampleWeight_ = least;
-  if (!IsOwnCentre(aState, aNewcomer) && SampleWeight(aState, aNewcomer) <= least) {
+  aState.minSampleWeight_ = minWeight;
+  if (!IsOwnCentre(aState, aNewcomer) && SampleWeight(aState, aNewcomer) <= minWeight) {
     return false;
   }
-  aState.members_.erase(victim);
+  aState.members_.erase(evicted);
   return true;
 }
 
@@ -301,8 +306,8 @@
                TimePoint aNow,
                MembershipEffects& aEffects)
 {
-  // Tombstones of unknown members are taken only while joining. Otherwise nodes whose tombstones
-  // expire at different times would hand them back to each other for ever.
+  // Tombstones of unknown members are accepted only while joining. Otherwise nodes whose tombstones
+  // expire at different times would restore them at each other without end.
   if (!IsLiving(aEntry.state_) && !IsAlone(aState)) {
     return;
   }
@@ -317,7 +322,7 @@
   aState.members_.emplace(aEntry.host_, member);
   if (!IsOwnCentre(aState, aEntry) &&
       aState.centres_.find(aEntry.dataCentre_) == aState.centres_.end()) {
-    // A data centre first heard of gets the full time before it counts as silent.
+    // A newly known data centre gets the full timeout before it is declared unreachable.
     auto& centre = aState.centres_[aEntry.dataCentre_];
     centre.lastSummaryAt_ = aNow;
     if (aState.isDelegate_) {
@@ -330,7 +335,7 @@
   }
 }
 
-// True if the statement replaces what is known.
+// True if a new statement replaces the known one.
 bool IsNewer(const MemberEntry& aKnown, const MemberEntry& aNew)
 {
   if (aNew.incarnation_ != aKnown.incarnation_) {
@@ -361,9 +366,9 @@
                 TimePoint aNow,
                 MembershipEffects& aEffects)
 {
-  // That a single member is unreachable is the finding of one node, not a statement to adopt.
-  const bool whole = aEntry.host_.value_ == kWholeDataCentre;
-  if (aEntry.host_.value_.empty() || (!whole && aEntry.state_ == MemberState::kUnreachable)) {
+  // That a single member is unreachable holds only for the node that found it and isn't adopted.
+  const bool isCentre = aEntry.host_.value_ == kWholeDataCentre;
+  if (aEntry.host_.value_.empty() || (!isCentre && aEntry.state_ == MemberState::kUnreachable)) {
     return;
   }
   if (aEntry.host_.value_ == kWholeDataCentre) {
@@ -381,7 +386,7 @@
   }
   auto& member = found->second;
   if (!IsNewer(member.entry_, aEntry)) {
-    // Load isn't ordered by the incarnation: the latest that arrives is kept.
+    // Load doesn't raise the incarnation, so the last received value is kept.
     if (aEntry.incarnation_ == member.entry_.incarnation_ && member.entry_.load_ != aEntry.load_) {
       aState.loadChanged_ = true;
       member.entry_.load_ = aEntry.load_;
@@ -404,8 +409,8 @@
   RecordChange(aState, aEntry);
 }
 
-// First-hand proof of life: an unreachable member is back, and a member of a data centre that is
-// back is confirmed.
+// Handles a message that came from the member itself: an unreachable member is alive again, and a
+// member that awaits confirmation is confirmed.
 void RecordProofOfLife(Membership& aState, const HostId& aHost, TimePoint aNow)
 {
   const auto found = aState.members_.find(aHost);
@@ -488,13 +493,15 @@
   aEffects.messages_.push_back({ aRequest.subjectAddress_, std::move(probe), true });
 }
 
-// The whole table, or for another data centre only what it can't learn elsewhere: own members.
-std::vector<MemberEntry> MakeMemberTable(const Membership& aState, const DataCentreId& aAsker)
+// The whole table for a member of the own data centre. A member of another one gets only the
+// members of this data centre, which nobody else can tell it.
+std::vector<MemberEntry> MakeMemberTable(const Membership& aState,
+                                         const DataCentreId& aRequesterCentre)
 {
   std::vector<MemberEntry> entries{ aState.self_ };
   for (const auto& [host, member] : aState.members_) {
     const bool own = IsOwnCentre(aState, member.entry_);
-    if (own || aAsker == aState.self_.dataCentre_) {
+    if (own || aRequesterCentre == aState.self_.dataCentre_) {
       entries.push_back(member.entry_);
     }
   }
@@ -509,12 +516,12 @@
 {
   MergeAll(aState, aTable.members_, aNow, aEffects);
   if (aTable.request_) {
-    const bool named = !aTable.members_.empty();
-    const Address to = named ? aTable.members_.front().peer_ : aFrom;
-    const DataCentreId asker =
-      named ? aTable.members_.front().dataCentre_ : aState.self_.dataCentre_;
+    const bool hasSender = !aTable.members_.empty();
+    const Address to = hasSender ? aTable.members_.front().peer_ : aFrom;
+    const DataCentreId requesterCentre =
+      hasSender ? aTable.members_.front().dataCentre_ : aState.self_.dataCentre_;
     aEffects.messages_.push_back(
-      { to, MemberTable{ false, MakeMemberTable(aState, asker) }, false });
+      { to, MemberTable{ false, MakeMemberTable(aState, requesterCentre) }, false });
   }
 }
 
@@ -540,8 +547,8 @@
   std::vector<HostId> hosts;
   for (const auto& [host, member] : aState.members_) {
     const auto state = member.entry_.state_;
-    const bool probed = IsLiving(state) || (!aLivingOnly && state == MemberState::kUnreachable);
-    if (IsOwnCentre(aState, member.entry_) && probed) {
+    const bool isIncluded = IsLiving(state) || (!aLivingOnly && state == MemberState::kUnreachable);
+    if (IsOwnCentre(aState, member.entry_) && isIncluded) {
       hosts.push_back(host);
     }
   }
@@ -555,7 +562,7 @@
   }
 }
 
-// Ends the last probe: without an ack the member is suspected.
+// Ends the last probe. A member that didn't ack becomes suspected.
 void FinishProbe(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
   if (!aState.probe_) {
@@ -594,7 +601,7 @@
   }
 }
 
-// Tells some suspected members directly, in random order.
+// Probes some randomly chosen suspected members, so that they learn of the suspicion.
 void ProbeSuspects(Membership& aState, MembershipEffects& aEffects)
 {
   std::vector<HostId> suspects;
@@ -625,12 +632,12 @@
   }
   auto helpers = OwnCentreHosts(aState, true);
   Shuffle(helpers, aState.random_);
-  std::uint32_t asked = 0;
+  std::uint32_t sentCount = 0;
   for (const auto& host : helpers) {
-    if (host == probe->host_ || asked == aState.settings_.indirectProbeCount_) {
+    if (host == probe->host_ || sentCount == aState.settings_.indirectProbeCount_) {
       continue;
     }
-    ++asked;
+    ++sentCount;
     ProbeRequest request{ probe->sequence_,
                           aState.self_,
                           probe->host_,
@@ -641,11 +648,11 @@
   }
 }
 
-// True if no other own member is alive, which is a cut of this node and not the death of all
-// others.
+// True if no other member of the own data centre is alive. The likely cause is that this node is
+// partitioned from the network, not that all others died.
 bool AllOthersSilent(const Membership& aState)
 {
-  std::size_t known = 0;
+  std::size_t silentCount = 0;
   for (const auto& [host, member] : aState.members_) {
     const auto state = member.entry_.state_;
     if (!IsOwnCentre(aState, member.entry_) || state == MemberState::kLeft ||
@@ -655,9 +662,9 @@
     if (state == MemberState::kAlive) {
       return false;
     }
-    ++known;
+    ++silentCount;
   }
-  return known >= 2;
+  return silentCount >= 2;
 }
 
 void ExpireStates(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
@@ -669,7 +676,7 @@
     const bool own = IsOwnCentre(aState, member.entry_);
     if (own && state == MemberState::kSuspect && age >= aState.settings_.suspicionTimeout_) {
       if (AllOthersSilent(aState)) {
-        // Known here only: the members behind the cut are as sure of their own lives.
+        // Not announced to others: the members on the far side of the partition are alive.
         member.entry_.state_ = MemberState::kUnreachable;
         member.stateChangedAt_ = aNow;
         ++aState.revision_;
@@ -678,8 +685,8 @@
         aEffects.events_.push_back({ MembershipEventKind::kDead, it->first.value_ });
       }
     }
-    const bool ended = state == MemberState::kDead || state == MemberState::kLeft;
-    if (ended && age >= aState.settings_.tombstoneLifetime_) {
+    const bool hasEnded = state == MemberState::kDead || state == MemberState::kLeft;
+    if (hasEnded && age >= aState.settings_.tombstoneLifetime_) {
       ++aState.revision_;
       it = aState.members_.erase(it);
     } else {
@@ -688,7 +695,7 @@
   }
 }
 
-// Time that passed while this process was paused counts for no one.
+// Extends the timeouts of other members by the time for which this process was paused.
 void DiscountPause(Membership& aState, TimePoint aNow)
 {
   const auto gap = aNow - aState.lastStepAt_;
@@ -729,7 +736,7 @@
   }
 }
 
-// Sends news that waits because many members changed at once, to a random member.
+// Sends queued updates to a random member when many members changed at once.
 void SendBacklog(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
   if (aNow < aState.nextBacklogAt_ ||
@@ -744,7 +751,7 @@
   }
 }
 
-// Compares whole tables with one member now and then, for news that probes lost.
+// Exchanges whole tables with a random member, because updates in lost datagrams may be missing.
 void CompareTables(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
   if (aNow < aState.nextAntiEntropyAt_) {
@@ -752,7 +759,7 @@
   }
   const auto& settings = aState.settings_;
   const auto members = static_cast<Duration::rep>(aState.members_.size());
-  // Soon after the start and then more rarely: nodes that start together miss each other's news.
+  // More often after the start, because nodes that start together miss each other's updates.
   const auto interval =
     std::max(settings.antiEntropyInterval_, settings.antiEntropyIntervalPerMember_ * members);
   aState.antiEntropyDelay_ = std::min(interval, 2 * aState.antiEntropyDelay_);
@@ -766,8 +773,8 @@
     { peer.peer_, MemberTable{ true, MakeMemberTable(aState, aState.self_.dataCentre_) }, false });
 }
 
-// Probes one member that is thought dead, because after a cut both sides think the other dead and
-// nobody else would start talking.
+// Probes a random dead member. After a network partition each side considers the other dead, and no
+// other message would reconnect them.
 void ProbeDeadMember(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
   if (aNow < aState.nextReviveAt_) {
@@ -812,7 +819,7 @@
   }
 }
 
-// Members for one summary: those that changed, then some unchanged ones in turn.
+// Members for one summary: this node, changed members, then some unchanged ones in turn.
 std::vector<MemberEntry> SummaryMembers(Membership& aState, RemoteCentre& aCentre)
 {
   std::vector<MemberEntry> entries{ aState.self_ };
@@ -876,7 +883,8 @@
     if (delegates == 0) {
       continue;
     }
-    // Both delegates together reach both remote delegates each second.
+    // The rank offsets the turns, so that both delegates together reach both remote delegates in
+    // each round.
     const auto& peer = remote[(aState.summaries_ + rank) % delegates];
     Summary summary;
     summary.dataCentre_ = aState.self_.dataCentre_;
@@ -887,12 +895,12 @@
 
 void DetectSilentCentres(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  const auto silence = aState.settings_.centreTimeout_;
-  if (!aState.isDelegate_ || aNow - aState.delegateSince_ < silence) {
+  const auto timeout = aState.settings_.centreTimeout_;
+  if (!aState.isDelegate_ || aNow - aState.delegateSince_ < timeout) {
     return;
   }
   for (auto& [id, centre] : aState.centres_) {
-    if (centre.reachable_ && aNow - centre.lastSummaryAt_ >= silence && aNow >= centre.holdUntil_) {
+    if (centre.reachable_ && aNow - centre.lastSummaryAt_ >= timeout && aNow >= centre.holdUntil_) {
       ++centre.statementNumber_;
       SetReachable(aState, id, false, aNow, aEffects);
     }
@@ -938,7 +946,7 @@
   state.lastStepAt_ = aNow;
   state.nextProbeAt_ = aNow;
   state.nextJoinAt_ = aNow;
-  // Spread over the interval, so that nodes that start together don't act together.
+  // Random first times, so that nodes that start together don't send at the same moments.
   const auto jitter = [&](Duration aInterval) {
     return Duration(static_cast<Duration::rep>(NextRandom(state.random_) %
                                                static_cast<std::uint64_t>(aInterval.count())));
@@ -1023,7 +1031,7 @@
 
 void AnnounceDeparture(Membership& aState, const HostId& aSuccessor, MembershipEffects& aEffects)
 {
-  // Several datagrams, because this process won't be there to repeat a lost one.
+  // Several copies, because this process can't repeat a lost datagram.
   constexpr std::size_t kCopies = 8;
   auto& self = aState.self_;
   self.state_ = MemberState::kLeft;
@@ -1080,7 +1088,7 @@
       return aLeft.host_ < aRight.host_;
     });
   }
-  // Calls by ids of a host that left go to the host that took its records over.
+  // Calls that carry request ids of a host that left go to the successor that has its records.
   for (const auto& [host, member] : aState.members_) {
     const auto successor = view.hosts_.find(member.entry_.successor_);
     if (member.entry_.state_ == MemberState::kLeft && successor != view.hosts_.end()) {
--- a/peridotquay/version/Membership.h
+++ b/peridotquay/version/Membership.h
@@ -1,7 +1,9 @@
-// Membership of a data centre: who is alive, by SWIM probes, and what other data centres tell.
+// Cluster membership: failure detection within a data centre by the SWIM protocol, and summaries
+// exchanged between data centres.
 //
-// Free functions over one plain struct. The owner calls StepMembership about every 100 ms, passes
-// in each message that arrives, and carries out the effects.
+// The module is a struct and free functions without input or output. The owner calls StepMembership
+// every 100 ms, passes each received message to HandleMembershipMessage and carries out the effects
+// of both.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -19,47 +21,49 @@
 
 namespace peridotquay {
 
-/// Host name in a MemberEntry that stands for a whole data centre. Its state is kAlive or
-/// kUnreachable and its incarnation orders the statements about the data centre.
+/// Host name of a MemberEntry that describes a whole data centre. Its state is kAlive or
+/// kUnreachable, and a higher incarnation replaces an earlier statement about that data centre.
 inline constexpr std::string_view kWholeDataCentre = "*";
 
 /// Settings of membership.
 struct MembershipSettings
 {
-  Duration probeInterval_ = seconds(1);
-  Duration indirectProbeDelay_ = milliseconds(300); ///< Without an ack, other members are asked.
-  Duration ackTimeout_ = seconds(1);                ///< Without an ack, the member is suspected.
-  Duration suspicionTimeout_ = seconds(3);          ///< Time that a suspected member has to refute.
-  std::uint32_t indirectProbeCount_ = 3;
+  Duration probeInterval_ = seconds(1); ///< Between probes, and between summaries of a delegate.
+  Duration indirectProbeDelay_ =
+    milliseconds(300); ///< Time without an ack until other members are asked to probe.
+  Duration ackTimeout_ = seconds(1); ///< Not read: a probe without an ack fails when the next one
+                                     ///< is due, after probeInterval_.
+  Duration suspicionTimeout_ = seconds(3); ///< Time in which a suspected member can refute.
+  std::uint32_t indirectProbeCount_ = 3;   ///< Members that are asked for an indirect probe.
   std::uint32_t suspectProbesPerInterval_ =
-    2; ///< Suspected members that are probed again each interval, so
-       ///< that they learn of it and can refute in time.
-  Duration backlogInterval_ =
-    milliseconds(250); ///< While more news waits than one datagram holds, it is sent this often.
+    2; ///< Suspected members that are probed in addition in each probeInterval_, so that they learn
+       ///< of the suspicion and refute it in time.
+  Duration backlogInterval_ = milliseconds(250); ///< Between extra probes that carry updates while
+                                                 ///< more are queued than one datagram holds.
   std::size_t updatesPerDatagram_ = 6; ///< Keeps a datagram below 1,200 bytes, one IP packet.
-  Duration tombstoneLifetime_ = seconds(600); ///< Dead and left members are kept this long.
-  Duration reviveInterval_ =
-    seconds(5);                         ///< A dead member is probed this often, in case it was cut.
-  Duration joinInterval_ = seconds(1);  ///< Seeds are asked this often until one answers.
-  Duration seedInterval_ = seconds(10); ///< A seed that isn't a known member is asked this often.
+  Duration tombstoneLifetime_ = seconds(600); ///< How long dead and left members are kept.
+  Duration reviveInterval_ = seconds(5); ///< Between probes of dead members, which may only have
+                                         ///< been separated by a network partition.
+  Duration joinInterval_ = seconds(1);   ///< Between requests to the seeds until one answers.
+  Duration seedInterval_ = seconds(10);  ///< Between later requests to seeds that aren't members.
   Duration firstAntiEntropyDelay_ =
-    seconds(2); ///< Whole tables are compared this soon after the start, then
-                ///< after twice the time, up to the next two settings.
-  Duration antiEntropyInterval_ =
-    seconds(30); ///< Whole tables are compared this often, and more rarely in large data centres.
+    seconds(2); ///< From the start to the first exchange of whole tables. The delay then doubles up
+                ///< to the greater of the limits from the next two settings.
+  Duration antiEntropyInterval_ = seconds(30); ///< Limit of the doubling in small data centres.
   Duration antiEntropyIntervalPerMember_ =
-    milliseconds(200); ///< Bounds table traffic to about 500 bytes
-                       ///< a second for any number of members.
+    milliseconds(200); ///< Times the number of members: the limit in large data centres. Bounds the
+                       ///< traffic to about 500 bytes a second for any number of members.
   Duration centreTimeout_ =
-    seconds(4); ///< A data centre that sent no summary for this long is unreachable.
-  Duration confirmationPeriod_ =
-    seconds(5); ///< Members of a data centre that is back are spread so.
-  std::size_t delegateCount_ = 2;
-  std::size_t maxSummaryChanges_ = 64;  ///< Most changed members in one summary.
-  std::size_t summaryRefreshCount_ = 2; ///< Unchanged members repeated in each summary.
+    seconds(4); ///< A data centre without a summary for this long is unreachable.
+  Duration confirmationPeriod_ = seconds(5); ///< Members of a data centre that is reachable again
+                                             ///< are confirmed at random times within this period.
+  std::size_t delegateCount_ = 2;            ///< Delegates of each data centre.
+  std::size_t maxSummaryChanges_ = 64;       ///< Changed members in one summary.
+  std::size_t summaryRefreshCount_ = 2;      ///< Unchanged members repeated in each summary.
   std::size_t maxProbedConfirmations_ =
-    64; ///< Data centres with more members come back without a probe from each node.
-  std::size_t maxMembers_ = 4096;
+    64; ///< If more members of a data centre await confirmation, they are used without a probe,
+        ///< because each node would probe them all.
+  std::size_t maxMembers_ = 4096; ///< Entries in the member table.
   bool operator==(const MembershipSettings&) const = default;
 };
 
@@ -67,25 +71,27 @@
 struct Member
 {
   MemberEntry entry_;
-  TimePoint stateChangedAt_{}; ///< Of the present state.
-  TimePoint readySince_{};     ///< Of the present usable time of its target.
-  TimePoint confirmAt_{}; ///< With awaitingConfirmation_: when it is probed or taken as usable.
-  bool awaitingConfirmation_ = false; ///< Its data centre is back and it isn't confirmed yet.
+  TimePoint stateChangedAt_{}; ///< When entry_.state_ last changed.
+  TimePoint readySince_{};     ///< When the target last became usable.
+  TimePoint confirmAt_{};      ///< When an unconfirmed member is probed or used without a probe.
+  bool awaitingConfirmation_ = false; ///< The data centre is reachable again and this member hasn't
+                                      ///< answered since; no calls are sent to it.
 };
 
 /// Another data centre as this node sees it.
 struct RemoteCentre
 {
-  std::uint64_t statementNumber_ = 0; ///< Number of the last statement about it.
+  std::uint64_t statementNumber_ = 0; ///< Orders the statements on whether it is reachable.
   bool reachable_ = true;
-  TimePoint lastSummaryAt_{}; ///< When a summary arrived here last.
-  TimePoint holdUntil_{};     ///< After a contradiction no statement of unreachability until then.
-  std::uint32_t statementSendsLeft_ = 0; ///< How often the statement is still sent.
-  std::deque<HostId> pending_;           ///< Own members whose change it hasn't been told.
-  std::set<HostId> pendingSet_;
+  TimePoint lastSummaryAt_{}; ///< When this node last received a summary from it.
+  TimePoint holdUntil_{};     ///< Until then this node doesn't declare it unreachable, because
+                              ///< another delegate contradicted that.
+  std::uint32_t statementSendsLeft_ = 0; ///< Datagrams that still carry the statement.
+  std::deque<HostId> pending_;  ///< Changed own members that the next summaries to it contain.
+  std::set<HostId> pendingSet_; ///< The hosts of pending_, to queue each once.
 };
 
-/// A probe under way.
+/// The probe that waits for an ack.
 struct PendingProbe
 {
   HostId host_;
@@ -95,15 +101,15 @@
   bool acked_ = false;
 };
 
-/// A probe sent for another member.
+/// An indirect probe that this node sent at the request of another member.
 struct RelayedProbe
 {
   Address requester_;
-  std::uint64_t sequence_ = 0; ///< Sequence of the asker.
+  std::uint64_t sequence_ = 0; ///< Number of the probe at the requester.
   TimePoint sentAt_{};
 };
 
-/// What happened to a member, for the log.
+/// A change of a member or data centre that the owner logs.
 enum class MembershipEventKind : std::uint8_t
 {
   kJoined,
@@ -117,93 +123,94 @@
 struct MembershipEvent
 {
   MembershipEventKind kind_ = MembershipEventKind::kJoined;
-  std::string subject_; ///< Host, or data centre.
+  std::string subject_; ///< Host or data centre that changed.
   bool operator==(const MembershipEvent&) const = default;
 };
 
-/// State of membership at one node. Changed only through the functions below.
+/// State of membership at one node. Only the functions below change it.
 /// Invariants: self_ is never in members_; members_ holds at most maxMembers_ entries.
 struct Membership
 {
   MembershipSettings settings_;
   MemberEntry self_;
   std::vector<Address> seeds_;
-  std::uint64_t random_ = 1;
+  std::uint64_t random_ = 1; ///< State of NextRandom.
   std::map<HostId, Member> members_;
-  std::map<DataCentreId, RemoteCentre> centres_;
-  std::deque<HostId> updates_; ///< Members whose news still travels, each once.
-  std::map<HostId, std::uint32_t> sendsLeft_;
-  std::vector<HostId> probeOrder_; ///< Shuffled; the back is probed next.
+  std::map<DataCentreId, RemoteCentre> centres_; ///< All data centres but the own one.
+  std::deque<HostId> updates_; ///< Changed members that probes and acks still carry, each once.
+  std::map<HostId, std::uint32_t> sendsLeft_; ///< Datagrams that still carry each of updates_.
+  std::vector<HostId> probeOrder_;            ///< Shuffled; the last one is probed next.
   std::optional<PendingProbe> probe_;
-  std::map<std::uint64_t, RelayedProbe> relayedProbes_;
-  std::uint64_t nextSequence_ = 1;
-  std::uint64_t summaries_ = 0;
-  HostId refreshCursor_;
+  std::map<std::uint64_t, RelayedProbe> relayedProbes_; ///< By the number of the relayed probe.
+  std::uint64_t nextSequence_ = 1;                      ///< Number of the next probe.
+  std::uint64_t summaries_ = 0; ///< Rounds of summaries; alternates the receiving delegates.
+  HostId refreshCursor_;        ///< The last unchanged member that a summary repeated.
   TimePoint lastStepAt_{};
   TimePoint nextProbeAt_{};
   TimePoint nextJoinAt_{};
   TimePoint nextAntiEntropyAt_{};
-  Duration antiEntropyDelay_{}; ///< Between the last two comparisons of tables.
+  Duration antiEntropyDelay_{}; ///< Between the last two exchanges of whole tables.
   TimePoint nextBacklogAt_{};
   TimePoint nextReviveAt_{};
   TimePoint nextSummaryAt_{};
-  TimePoint delegateSince_{};
+  TimePoint delegateSince_{}; ///< When this node last became a delegate.
   bool isDelegate_ = false;
-  TimePoint selfReadySince_{};
+  TimePoint selfReadySince_{}; ///< When the local target last started.
   std::uint64_t minSampleWeight_ =
-    0;                         ///< Least weight in a full table's sample of other data centres.
-  bool loadChanged_ = false;   ///< A load changed since the owner last cleared this.
-  std::uint64_t revision_ = 0; ///< Grows with each change that members or views can show.
+    0; ///< Least weight among the members of other data centres that a full table keeps.
+  bool loadChanged_ = false;   ///< A load changed since the owner last cleared this flag.
+  std::uint64_t revision_ = 0; ///< Grows with each change that affects a view or a ranking.
 };
 
-/// What the owner has to do after a step.
+/// What the owner has to do after a step or a message.
 struct MembershipEffects
 {
   std::vector<ControlMessage> messages_;
-  /// Summaries without version and freshness, which dissemination adds before they are sent.
+  /// Summaries without version and freshness; FillSummary adds them before the owner sends them.
   std::vector<ControlMessage> summaries_;
   std::vector<MembershipEvent> events_;
 };
 
-/// Starts with no members but this node.
+/// Creates the state of a node that knows no other member. aSeed seeds the random numbers.
 Membership MakeMembership(MembershipSettings aSettings,
                           MemberEntry aSelf,
                           std::vector<Address> aSeeds,
                           std::uint64_t aSeed,
                           TimePoint aNow);
 
-/// Does what is due: joining, probes, suspicion, tombstones, summaries.
+/// Does the work that is due: joining, probes, suspicion, tombstones, anti-entropy, summaries.
 void StepMembership(Membership& aState, TimePoint aNow, MembershipEffects& aEffects);
 
-/// Handles Probe, ProbeAck, ProbeRequest, MemberTable and Summary; other messages do nothing. aFrom
-/// is the address that answers reach.
+/// Handles Probe, ProbeAck, ProbeRequest, MemberTable and Summary, and ignores other messages.
+/// aFrom is the address that replies are sent to.
 void HandleMembershipMessage(Membership& aState,
                              const Address& aFrom,
                              const PeerMessage& aMessage,
                              TimePoint aNow,
                              MembershipEffects& aEffects);
 
-/// Announces the local target. A change of state or slots raises the incarnation, because members
-/// order statements about this node by it; load alone travels with the next probes.
+/// Announces the local target. A change of state or slots raises the incarnation, by which other
+/// members order the statements about this node. A change of load alone doesn't: the next probes
+/// carry it.
 void AnnounceTargetState(Membership& aState,
                          TargetState aTargetState,
                          std::uint32_t aSlots,
                          double aLoad,
                          TimePoint aNow);
 
-/// Announces at once that this node left, to some members by datagram.
+/// Announces that this node leaves, by datagrams to several members. aSuccessor takes its records.
 void AnnounceDeparture(Membership& aState, const HostId& aSuccessor, MembershipEffects& aEffects);
 
-/// Addresses from contact rows, which are asked like seeds.
+/// Adds addresses from contact rows of the platform to the seeds.
 void AddContacts(Membership& aState, const std::vector<Address>& aContacts);
 
-/// True if no member of the own data centre has answered yet.
+/// True if no other member of the own data centre is known.
 bool IsAlone(const Membership& aState);
 
-/// The usable targets and living hosts.
+/// Builds the view of usable targets and reachable hosts that routing uses.
 TargetView MakeTargetView(const Membership& aState);
 
-/// A member in the order of a role.
+/// A member in the rank order of a role.
 struct RankedMember
 {
   HostId host_;
@@ -211,27 +218,27 @@
   bool operator==(const RankedMember&) const = default;
 };
 
-/// Alive and suspected members of a data centre, this node included, best rank first.
+/// Alive and suspected members of a data centre, including this node, in order of RankWeight.
 std::vector<RankedMember> RankMembers(const Membership& aState,
                                       std::string_view aRole,
                                       const DataCentreId& aDataCentre);
 
-/// What dissemination and shares need to know of membership. Immutable once published.
+/// The part of membership that dissemination and shares use. Immutable once published.
 struct MemberRanking
 {
   HostId self_;
   DataCentreId dataCentre_;
-  std::vector<RankedMember> members_; ///< Own data centre in the order of kDelegateRole.
+  std::vector<RankedMember> members_; ///< Own data centre, ranked for kDelegateRole.
   RankedMember shareLeader_;
-  /// The delegates of each other data centre that can be reached; empty if it can't.
+  /// Delegates of each other data centre; empty for an unreachable one.
   std::map<DataCentreId, std::vector<RankedMember>> delegates_;
   /// Members of the own data centre that are suspected, unreachable or dead.
   std::vector<HostId> unreachable_;
-  std::map<HostId, Address> addresses_; ///< Of every living member, to answer by host.
+  std::map<HostId, Address> addresses_; ///< Of every alive or suspected member.
   bool operator==(const MemberRanking&) const = default;
 };
 
-/// Builds the ranking.
+/// Builds the ranking from the present members.
 MemberRanking MakeMemberRanking(const Membership& aState);
 
 } // namespace peridotquay
