--- a/peridotquay/version/ControlMessage.h
+++ b/peridotquay/version/ControlMessage.h
@@ -1,4 +1,4 @@
-// A message that a control module wants sent.
+// A message that a control module (membership, dissemination or shares) asks its owner to send.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -6,12 +6,12 @@
 
 namespace peridotquay {
 
-/// One message to one peer address. It may be lost.
+/// One message to one peer address. Delivery isn't guaranteed.
 struct ControlMessage
 {
   Address to_;
   PeerMessage message_;
-  bool datagram_ = false; ///< True: UDP; false: a frame over TCP.
+  bool datagram_ = false; ///< True: as a UDP datagram; false: as a frame over TCP.
   bool operator==(const ControlMessage&) const = default;
 };
 
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -1,4 +1,4 @@
-// Push tree, sync, freshness by evidence, watermark and contact rows.
+// Push tree, sync, freshness by proofs and outage evidence, watermark and contact rows.
 #include "peridotquay/version/Dissemination.h"
 
 #include "peridotquay/version/ConfigCompiler.h"
@@ -13,14 +13,14 @@
 
 namespace {
 
-// Most rows of one read of changes; with the largest changes that is 4 MiB.
+// Rows in one read of changes or contacts; with the largest changes that is 4 MiB.
 constexpr std::uint32_t kMaxChangeRows = 64;
 
-// Most addresses in a contact row: enough that some of them live after a rack failed.
+// Addresses in a contact row: enough that some are still alive after a rack failed.
 constexpr std::size_t kMaxContactAddresses = 4;
 
-// A node that knows no other member waits this long before it replaces a contact row, so that it
-// first tries the contacts in it.
+// A node that knows no other member waits this long before it replaces its contact row, so that it
+// first tries the addresses in the row.
 constexpr Duration kContactReplacementDelay = seconds(3);
 
 constexpr std::string_view kContactPrefix = "contacts/";
@@ -64,7 +64,7 @@
   }
 }
 
-// Takes a proof. One of a version that isn't in force here yet counts once that version is.
+// Applies a proof. If its version isn't in force here yet, it is kept until that version is.
 void ApplyProof(Dissemination& aState, FreshnessProof aProof, DisseminationEffects& aEffects)
 {
   aState.latestVersion_ = std::max(aState.latestVersion_, aProof.version_);
@@ -101,8 +101,8 @@
   }
 }
 
-// Compiles what was applied and puts it in force. A version that can't be compiled is skipped: the
-// one in force stays until a later version compiles.
+// Compiles the applied version and puts it in force. If it can't be compiled, the version in force
+// stays until a later one compiles.
 void PutInForce(Dissemination& aState, DisseminationEffects& aEffects)
 {
   const auto version = aState.version_;
@@ -124,25 +124,25 @@
   ApplyPendingProof(aState, aEffects);
 }
 
-// Applies the changes that follow the present version; false if there is a gap before one of them.
+// Applies the changes that follow version_ without a gap. Returns false at the first gap.
 bool ApplyChanges(Dissemination& aState,
                   const std::vector<Change>& aChanges,
                   DisseminationEffects& aEffects)
 {
   const auto before = aState.version_;
-  bool connected = true;
+  bool contiguous = true;
   for (const auto& change : aChanges) {
     aState.latestVersion_ = std::max(aState.latestVersion_, change.version_);
     if (change.version_ <= aState.version_) {
       continue;
     }
     if (change.version_ != aState.version_ + 1) {
-      connected = false;
+      contiguous = false;
       break;
     }
     const auto applied = ApplyChange(aState.entities_, change);
     if (applied.has_error()) {
-      // The change stays part of the stream as an empty one; every node treats it alike.
+      // An invalid change counts as a version without edits, alike at every node.
       aEffects.events_.push_back({ EventKind::kVersionRejected, Describe(applied.assume_error()) });
     } else {
       MarkEntitiesChanged(aState.compiled_, change.edits_);
@@ -158,7 +158,7 @@
   if (aState.version_ > before) {
     PutInForce(aState, aEffects);
   }
-  return connected;
+  return contiguous;
 }
 
 void ApplySnapshot(Dissemination& aState,
@@ -191,7 +191,7 @@
   ApplySnapshot(aState, aChange.version_, std::move(entities), aEffects);
 }
 
-// Sends changes to the children of this node in the push tree of the last of them.
+// Sends changes to the children of this node in the push tree of the last version among them.
 void PushToChildren(Dissemination& aState,
                     const std::vector<Change>& aChanges,
                     DisseminationEffects& aEffects)
@@ -215,7 +215,7 @@
   }
 }
 
-// Changes after a version that fit into one message; the last one alone if none else fits.
+// Recent changes after a version that fit into one message, at least one if there is any.
 std::vector<Change> RecentChangesAfter(const Dissemination& aState, Version aVersion)
 {
   std::vector<Change> changes;
@@ -233,7 +233,8 @@
   return changes;
 }
 
-// Starts the push of what the root has and hasn't pushed, or hands it to the root.
+// Pushes the changes that weren't pushed yet, at the root. Another node that read them from the
+// platform sends them to the root.
 void StartPush(Dissemination& aState, bool aFromPlatform, DisseminationEffects& aEffects)
 {
   if (aState.ranking_ == nullptr || aState.version_ <= aState.pushedVersion_ ||
@@ -242,7 +243,7 @@
   }
   auto changes = RecentChangesAfter(aState, aState.pushedVersion_);
   if (changes.empty() || changes.back().version_ != aState.version_) {
-    // Too much for one message: the last change tells the children to sync for the rest.
+    // Too much for one message: the last change shows the children a gap, and they sync.
     changes = { aState.recent_.back() };
   }
   if (IsRoot(aState)) {
@@ -253,7 +254,7 @@
   }
 }
 
-// Ceiling, so that rounding can only make the proof look older.
+// Rounds up, so that a proof never seems more recent than it is.
 std::uint64_t AgeMs(const std::optional<TimePoint>& aTime, TimePoint aNow)
 {
   if (!aTime) {
@@ -262,7 +263,7 @@
   return static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *aTime).count());
 }
 
-// A whole configuration as one change, or none if it doesn't fit into a frame.
+// The whole configuration as one change; empty if that doesn't fit into a frame.
 std::vector<Change> SnapshotChange(const Dissemination& aState)
 {
   Change change;
@@ -288,8 +289,8 @@
   return &members[1 - position];
 }
 
-// Since when this data centre surely doesn't reach the platform: both delegates' last polls failed.
-// A delegate that is silent might reach it, so it must have said that it doesn't.
+// Evidence that this data centre doesn't reach the platform: the last polls of both delegates
+// failed. A delegate that sent nothing may still reach the platform, so its own report is required.
 std::optional<OutageEvidence> OwnOutage(const Dissemination& aState, TimePoint aNow)
 {
   if (!IsDelegate(aState) || !aState.failedPollStartedAt_ || aState.pendingProof_ ||
@@ -324,8 +325,8 @@
   SyncReply reply;
   reply.nonce_ = aRequest.nonce_;
   reply.version_ = aState.inForce_;
-  // Another data centre gets only what the platform proved. Passing extensions on would hide from
-  // it that the platform isn't reached here.
+  // Extensions aren't reported to other data centres, because they would hide that this one doesn't
+  // reach the platform.
   reply.ageMs_ = AgeMs(own ? FreshUntil(aState) : aState.provenUntil_, aNow);
   if (!own) {
     if (const auto outage = OwnOutage(aState, aNow)) {
@@ -347,7 +348,7 @@
   aEffects.messages_.push_back({ aFrom, std::move(reply), false });
 }
 
-// Data centres whose evidence is needed for an extension: all but this one.
+// Data centres whose outage evidence an extension requires: all but this one.
 std::set<DataCentreId> OtherCentres(const Dissemination& aState)
 {
   auto centres = aState.sites_;
@@ -360,8 +361,9 @@
   return centres;
 }
 
-// Extends freshness if this and every other data centre showed lately that they don't reach the
-// platform. Without another data centre there is no such evidence and no extension.
+// Extends freshness to the oldest outage evidence if this and every other data centre recently
+// failed to reach the platform. Without another data centre there is no such evidence and no
+// extension.
 void ExtendFreshness(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
   const auto others = OtherCentres(aState);
@@ -386,8 +388,8 @@
   PublishFreshness(aState, before, aEffects);
 }
 
-// The time that an age in a reply stands for: counted from before the question was sent, so that
-// transit and pauses can only make it earlier.
+// Converts an age in a reply to a time of the local clock. The age is counted back from when the
+// request was sent, so that transit and pauses can only make the time earlier.
 std::optional<TimePoint> ProvenTime(TimePoint aSent, std::uint64_t aAgeMs)
 {
   const auto since = std::chrono::duration_cast<milliseconds>(aSent.time_since_epoch());
@@ -419,7 +421,7 @@
     aState.nextPollAt_ = aNow;
   } else {
     ApplyChanges(aState, aReply.changes_, aEffects);
-    // More is to come: the rest didn't fit into the reply.
+    // The reply didn't hold all changes: request the rest now.
     if (!aReply.changes_.empty() && aState.version_ < aReply.version_) {
       aState.nextSyncAt_ = aNow;
     }
@@ -450,9 +452,9 @@
                 TimePoint aNow,
                 DisseminationEffects& aEffects)
 {
-  const bool connected = ApplyChanges(aState, aPush.changes_, aEffects);
+  const bool contiguous = ApplyChanges(aState, aPush.changes_, aEffects);
   PushToChildren(aState, aPush.changes_, aEffects);
-  if (!connected) {
+  if (!contiguous) {
     aState.nextSyncAt_ = aNow;
   }
 }
@@ -472,7 +474,8 @@
       false });
 }
 
-// Parent in the unrotated tree. The root syncs with the second delegate.
+// The member to sync with: the parent in the tree without rotation, the second delegate for the
+// root and for nodes whose parent is silent.
 const RankedMember* FindParent(const Dissemination& aState, TimePoint aNow)
 {
   const auto& members = aState.ranking_->members_;
@@ -491,7 +494,7 @@
   return &members[parent];
 }
 
-// Sync with other data centres at delegates that have no proof of their own.
+// Syncs with other data centres if this node is a delegate without a recent proof.
 void SyncWithOtherCentres(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
   const bool proven = aState.provenUntil_ &&
@@ -523,7 +526,7 @@
       aState.parent_ = parent->host_;
       aState.lastParentReplyAt_ = aNow;
     }
-    // The root reports to no one; its sync with the second delegate must not be counted there.
+    // The root sends no report, because the second delegate would count it as a child.
     const auto report = IsRoot(aState) ? SubtreeReport{} : AggregateReports(aState, aNow);
     SendSync(aState, *parent, aState.dataCentre_, report, aNow, aEffects);
   }
@@ -554,7 +557,8 @@
   aEffects.call_ = std::move(aCall);
 }
 
-// An unconditional write: the row is a report of its only regular writer, nothing relies on it.
+// A write without conditions: each row has one regular writer, and no decision depends on its old
+// content.
 TransactCall MakeRowWrite(Dissemination& aState, std::string aKey, std::string aValue)
 {
   TransactCall call;
@@ -565,12 +569,13 @@
 
 void StartFetch(Dissemination& aState, DisseminationEffects& aEffects)
 {
-  const auto floor = aState.latestVersion_ - aState.latestVersion_ % kSnapshotInterval;
-  const bool far =
-    aState.latestVersion_ - aState.version_ > kSnapshotInterval && floor > aState.version_;
-  if (far && !aState.snapshotTried_) {
+  const auto snapshotVersion = aState.latestVersion_ - aState.latestVersion_ % kSnapshotInterval;
+  const bool useSnapshot = aState.latestVersion_ - aState.version_ > kSnapshotInterval &&
+                           snapshotVersion > aState.version_;
+  if (useSnapshot && !aState.snapshotTried_) {
     aState.snapshotTried_ = true;
-    StartCall(aState, VersionCallKind::kSnapshot, GetObjectCall{ SnapshotName(floor) }, aEffects);
+    StartCall(
+      aState, VersionCallKind::kSnapshot, GetObjectCall{ SnapshotName(snapshotVersion) }, aEffects);
   } else {
     ReadRangeCall call{ "config/change/", ChangeRowKey(aState.version_), kMaxChangeRows };
     StartCall(aState, VersionCallKind::kChanges, std::move(call), aEffects);
@@ -587,7 +592,7 @@
   StartCall(aState, VersionCallKind::kHead, ReadRowCall{ std::string(kHeadRowKey) }, aEffects);
 }
 
-// The watermark with what it covers; empty while a living member hasn't reported.
+// Builds the watermark; empty while the report of an alive or suspected member is missing.
 std::optional<Watermark> MakeWatermark(Dissemination& aState, TimePoint aNow)
 {
   const auto report = AggregateReports(aState, aNow);
@@ -847,9 +852,9 @@
     return Duration(static_cast<Duration::rep>(NextRandom(state.random_) %
                                                static_cast<std::uint64_t>(aInterval.count())));
   };
-  // Random, so that a late reply to an earlier process of this host matches no request of this one.
+  // Random, so that a late reply to an earlier process on this host matches no request of this one.
   state.nextNonce_ = NextRandom(state.random_);
-  // Spread over the interval, which also staggers the polls of the two delegates.
+  // Random first times stagger the nodes, also the polls of the two delegates.
   state.nextPollAt_ = aNow + jitter(aSettings.pollInterval_);
   state.nextSyncAt_ = aNow + jitter(aSettings.syncInterval_) / 2;
   state.lastParentReplyAt_ = aNow;
@@ -864,7 +869,7 @@
   const bool wasAlone = aState.ranking_ == nullptr || aState.ranking_->members_.size() < 2;
   aState.ranking_ = std::move(aRanking);
   if (wasAlone && aState.ranking_->members_.size() > 1) {
-    // The first members became known: learn the configuration now.
+    // The first other members are known now: request the configuration from them.
     aState.nextSyncAt_ = aNow;
   }
   if (!wasAlone && aState.ranking_->members_.size() < 2) {
@@ -938,7 +943,7 @@
       }
       break;
     case VersionCallKind::kWatermark:
-      // After a failure or a lost answer the row is written again, whatever it holds.
+      // After a failure or a lost answer the row is written again even with the same content.
       if (aAnswer.error_) {
         aState.writtenWatermark_.clear();
       }
@@ -984,7 +989,7 @@
 {
   auto order = aRanking.members_;
   if (order.size() > 2) {
-    // One turn moves the inner nodes of one version to the leaves of the next.
+    // Rotating by the number of inner nodes makes those of one version leaves of the next.
     const auto others = order.size() - 1;
     const auto inner = (others + aArity - 1) / aArity;
     const auto offset = static_cast<std::ptrdiff_t>(aVersion * inner % others);
@@ -1015,7 +1020,7 @@
       total.minVersion_ = report.minVersion_;
     }
   }
-  // Hosts are named only where they hold back a subtree below a node that is further.
+  // A node names the hosts below it that are at the minimum, if its own version is higher.
   for (const auto& [host, report] : aState.subtreeReports_) {
     if (report.minVersion_ == 0 || report.minVersion_ != total.minVersion_ ||
         report.minVersion_ >= aState.inForce_) {
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -1,8 +1,11 @@
-// Dissemination of the version stream: polling by delegates, push tree, sync with the parent,
-// freshness and watermark.
+// Distributes configuration versions from the platform to all nodes: delegates poll the platform, a
+// tree pushes changes, and nodes sync with their parent to close gaps. Also tracks how recently the
+// configuration in force is known to have been the latest (freshness), and up to which version
+// every node of the data centre is (watermark).
 //
-// Free functions over one plain struct. The owner calls StepDissemination about every 100 ms,
-// passes in each message and platform answer, and carries out the effects.
+// The module is a struct and free functions without input or output. The owner calls
+// StepDissemination every 100 ms, passes in each message and platform answer, and carries out the
+// effects.
 #pragma once
 
 #include "peridotquay/process/PlatformCall.h"
@@ -24,36 +27,37 @@
 
 namespace peridotquay {
 
-/// SyncReply::ageMs_ and outageAgeMs_ without a proof.
+/// Value of SyncReply::ageMs_ and outageAgeMs_ if there is no proof.
 inline constexpr std::uint64_t kUnknownAgeMs = ~std::uint64_t{ 0 };
 
 /// Settings of dissemination.
 struct DisseminationSettings
 {
-  Duration pollInterval_ = milliseconds(500); ///< Of config/head, at each delegate.
-  Duration syncInterval_ = seconds(1);
-  Duration reportLifetime_ = seconds(3); ///< A child that didn't sync for this long isn't counted.
+  Duration pollInterval_ = milliseconds(500); ///< Between reads of config/head by a delegate.
+  Duration syncInterval_ = seconds(1);        ///< Between sync requests to the parent.
+  Duration reportLifetime_ = seconds(3); ///< Reports of a child that didn't sync for this long are
+                                         ///< not counted.
   Duration replyTimeout_ =
-    milliseconds(2500); ///< A parent that didn't reply for this long is silent.
-  Duration maxProofAge_ =
-    seconds(2); ///< A delegate whose proof is older asks the delegates of other data centres.
-  Duration contactInterval_ = seconds(10); ///< Contact rows are read this often, and written on
-                                           ///< change at most this often.
+    milliseconds(2500);               ///< A parent that didn't reply for this long is bypassed.
+  Duration maxProofAge_ = seconds(2); ///< With an older proof a delegate syncs with the
+                                      ///< delegates of other data centres.
+  Duration contactInterval_ = seconds(10); ///< Between reads of contact rows, and at least between
+                                           ///< writes of the own row.
   Duration contactIntervalAlone_ =
-    seconds(2); ///< Contact rows are read this often while no member is known.
-  Duration watermarkInterval_ = seconds(1);
-  std::size_t arity_ = 8; ///< Children of each node in the trees.
-  std::size_t delegateCount_ = 2;
-  std::size_t maxRecentVersions_ = kSnapshotInterval; ///< Changes kept for nodes with a gap.
-  std::size_t maxRecentBytes_ = std::size_t{ 2 } << 20U;
-  std::size_t maxReplyBytes_ = 65536;      ///< Most bytes of changes in one reply.
-  std::size_t maxSnapshotBytes_ = 900'000; ///< A larger snapshot doesn't fit in a frame and is read
-                                           ///< from the object store.
-  std::size_t maxLaggingHosts_ = 8;                ///< Most lagging hosts named.
+    seconds(2); ///< Between reads of contact rows while no other member is known.
+  Duration watermarkInterval_ = seconds(1);           ///< At least between writes of the watermark.
+  std::size_t arity_ = 8;                             ///< Children of each node in both trees.
+  std::size_t delegateCount_ = 2;                     ///< Delegates of each data centre.
+  std::size_t maxRecentVersions_ = kSnapshotInterval; ///< Recent changes kept for nodes with a gap.
+  std::size_t maxRecentBytes_ = std::size_t{ 2 } << 20U; ///< Size of these changes.
+  std::size_t maxReplyBytes_ = 65536;                    ///< Size of the changes in one message.
+  std::size_t maxSnapshotBytes_ = 900'000; ///< A larger snapshot doesn't fit into a frame; nodes
+                                           ///< read it from the object store.
+  std::size_t maxLaggingHosts_ = 8;        ///< Lagging hosts that a report names.
   bool operator==(const DisseminationSettings&) const = default;
 };
 
-/// Proof that no version beyond version_ had been accepted at time_.
+/// Proof that no version later than version_ had been accepted at time_.
 struct FreshnessProof
 {
   Version version_ = 0;
@@ -61,12 +65,12 @@
   bool operator==(const FreshnessProof&) const = default;
 };
 
-/// What a child reported of its subtree.
+/// Report of a child on its subtree.
 struct SubtreeReport
 {
-  Version minVersion_ = 0; ///< Least version in force; 0 if no node of it has a configuration.
+  Version minVersion_ = 0; ///< Minimum version in force; 0 if no node has a configuration.
   std::uint32_t nodes_ = 0;
-  std::vector<HostId> lagging_;
+  std::vector<HostId> lagging_; ///< Hosts at minVersion_ below the reporting node, limited.
   TimePoint receivedAt_{};
 };
 
@@ -82,10 +86,10 @@
 struct OutageEvidence
 {
   Version version_ = 0; ///< Version in force there.
-  TimePoint time_{};    ///< Not later than the start of the last poll, which failed.
+  TimePoint time_{};    ///< At or before the start of the last poll there, which failed.
 };
 
-/// What a platform call of this module is for.
+/// Purpose of a platform call of this module.
 enum class VersionCallKind : std::uint8_t
 {
   kHead,
@@ -97,62 +101,64 @@
   kWriteContacts
 };
 
-/// State of dissemination at one node. Changed only through the functions below.
+/// State of dissemination at one node. Only the functions below change it.
 /// Invariants: version_, inForce_ and freshness never decrease; inForce_ <= version_.
 struct Dissemination
 {
   DisseminationSettings settings_;
   DataCentreId dataCentre_;
-  std::uint64_t random_ = 1;
+  std::uint64_t random_ = 1; ///< State of NextRandom.
   std::shared_ptr<const MemberRanking> ranking_;
 
   Entities entities_;
-  ConfigCache compiled_; ///< What was parsed of entities_; it follows every edit of them.
-  Version version_ = 0;  ///< Changes are applied up to here.
-  Version inForce_ = 0;  ///< Compiled and published; less than version_ if a version was rejected.
-  Version latestVersion_ = 0; ///< Latest version heard of.
-  std::deque<Change> recent_; ///< Consecutive, ends with version_.
+  ConfigCache compiled_; ///< Parsed entities_; each edit of them invalidates its part.
+  Version version_ = 0;  ///< Last version whose change is applied to entities_.
+  Version inForce_ = 0;  ///< Last version compiled and published; less than version_ if later ones
+                         ///< were rejected.
+  Version latestVersion_ = 0; ///< Highest version known to exist.
+  std::deque<Change> recent_; ///< Consecutive changes; the last one is of version_.
   std::size_t recentBytes_ = 0;
-  Duration freshnessBound_ = seconds(10); ///< Freshness bound of the configuration in force.
-  std::set<DataCentreId> sites_;          ///< Data centres of the configuration in force.
+  Duration freshnessBound_ = seconds(10); ///< Of the configuration in force.
+  std::set<DataCentreId> sites_;          ///< Data centres in the configuration in force.
 
-  std::optional<TimePoint> provenUntil_; ///< Proven by the platform; inForce_ was the latest then.
   std::optional<TimePoint>
-    extendedUntil_; ///< By evidence that no data centre reaches the platform.
-  std::optional<FreshnessProof> pendingProof_;   ///< Of a version that isn't in force here yet.
+    provenUntil_; ///< inForce_ was the latest version then, by a poll or a sync reply.
+  std::optional<TimePoint>
+    extendedUntil_; ///< As provenUntil_, by evidence that no data centre reaches the platform.
+  std::optional<FreshnessProof> pendingProof_;   ///< Proof of a version not yet in force here.
   std::optional<TimePoint> failedPollStartedAt_; ///< Start of the last poll, if it failed.
   std::optional<OutageEvidence>
-    otherDelegateOutage_; ///< What the other delegate said of its polls.
-  std::map<DataCentreId, OutageEvidence> centreOutages_;
-  bool loggedFresh_ = false; ///< As last reported to the log.
+    otherDelegateOutage_; ///< Failed poll that the other delegate of this data centre reported.
+  std::map<DataCentreId, OutageEvidence> centreOutages_; ///< Reported by other data centres.
+  bool loggedFresh_ = false; ///< Whether the last logged event states that this node is fresh.
 
-  Version pushedVersion_ = 0; ///< Latest version sent down the tree.
-  std::uint64_t nextNonce_ = 1;
-  std::map<std::uint64_t, SentSync> sentSyncs_;
+  Version pushedVersion_ = 0;                   ///< Latest version pushed to the children.
+  std::uint64_t nextNonce_ = 1;                 ///< Matches the next sync request with its reply.
+  std::map<std::uint64_t, SentSync> sentSyncs_; ///< By nonce.
   std::map<HostId, SubtreeReport> subtreeReports_;
-  TimePoint lastParentReplyAt_{};
+  TimePoint lastParentReplyAt_{}; ///< Also set when the parent changes.
   HostId parent_;
-  std::uint64_t syncCount_ = 0;
+  std::uint64_t syncCount_ = 0; ///< Selects in turn the delegates of other data centres.
   TimePoint nextSyncAt_{};
 
-  std::optional<VersionCallKind> call_; ///< The platform call under way.
+  std::optional<VersionCallKind> call_; ///< The platform call without an answer yet.
   TimePoint nextPollAt_{};
   TimePoint nextWatermarkAt_{};
   TimePoint nextContactReadAt_{};
   TimePoint nextContactWriteAt_{};
-  bool fetchNeeded_ = false;   ///< No parent can close the gap: read the platform.
-  bool snapshotTried_ = false; ///< The snapshot is missing: read the changes instead.
+  bool fetchNeeded_ = false; ///< The parent's snapshot doesn't fit into a frame: read the platform.
+  bool snapshotTried_ = false; ///< A snapshot was requested: read the changes next.
   Version snapshotDue_ = 0;    ///< Version of the snapshot to write next; 0 for none.
   std::string snapshotBody_;   ///< Its text, encoded when the version was applied.
   bool platformReachable_ = false;
-  bool platformKnown_ = false; ///< A call of the platform has ended.
-  Version watermark_ = 0;
-  std::string writtenWatermark_; ///< Row text without the time, as written last.
-  std::string writtenContacts_;
-  TimePoint aloneSince_{};
+  bool platformKnown_ = false;   ///< At least one platform call ended.
+  Version watermark_ = 0;        ///< Minimum version in force in the own data centre.
+  std::string writtenWatermark_; ///< The last written row text without its time.
+  std::string writtenContacts_;  ///< The last written row text without its time.
+  TimePoint aloneSince_{};       ///< Since when no other member is known.
 };
 
-/// A log event with its subject.
+/// A change that the owner logs.
 struct DisseminationEvent
 {
   enum class Kind : std::uint8_t
@@ -165,42 +171,42 @@
     kPlatformReachable
   };
   Kind kind_ = Kind::kVersionInForce;
-  std::string subject_;
+  std::string subject_; ///< The version, or the reason of a rejection; else empty.
   bool operator==(const DisseminationEvent&) const = default;
 };
 
-/// What the owner has to do after a step.
+/// What the owner has to do after a step, a message or an answer.
 struct DisseminationEffects
 {
   std::vector<ControlMessage> messages_;
   std::optional<PlatformCall>
-    call_; ///< At most one at a time; answer through HandlePlatformAnswer.
-  std::shared_ptr<const Config> config_; ///< To publish.
+    call_; ///< To make, one at a time; the answer goes to HandlePlatformAnswer.
+  std::shared_ptr<const Config> config_; ///< To publish before freshUntil_.
   std::optional<TimePoint> freshUntil_;  ///< To publish.
-  std::vector<Address> contacts_;        ///< For membership.
+  std::vector<Address> contacts_;        ///< Addresses for AddContacts.
   std::vector<DisseminationEvent> events_;
 };
 
-/// Starts without a configuration.
+/// Creates the state of a node without a configuration. aSeed seeds the random numbers.
 Dissemination MakeDissemination(DisseminationSettings aSettings,
                                 DataCentreId aDataCentre,
                                 std::uint64_t aSeed,
                                 TimePoint aNow);
 
-/// Takes a new ranking of members.
+/// Replaces the ranking of members.
 void SetRanking(Dissemination& aState,
                 std::shared_ptr<const MemberRanking> aRanking,
                 TimePoint aNow);
 
-/// Does what is due: poll, sync, watermark, contacts. aWallMs is the wall clock, which is only
-/// written into rows for people.
+/// Does the work that is due: sync, poll, snapshot, watermark, contacts. aWallMs is the wall clock;
+/// it is only written into rows for operators to read.
 void StepDissemination(Dissemination& aState,
                        TimePoint aNow,
                        std::uint64_t aWallMs,
                        DisseminationEffects& aEffects);
 
-/// Handles SyncRequest, SyncReply, VersionPush and the platform part of Summary; other messages do
-/// nothing. aFrom is the address that answers reach.
+/// Handles SyncRequest, SyncReply, VersionPush and the platform state in Summary, and ignores other
+/// messages. aFrom is the address that replies are sent to.
 void HandleVersionMessage(Dissemination& aState,
                           const Hello& aSender,
                           const Address& aFrom,
@@ -214,25 +220,27 @@
                           TimePoint aNow,
                           DisseminationEffects& aEffects);
 
-/// Adds version, freshness and platform state to a summary.
+/// Sets version, freshness and platform state of a summary.
 void FillSummary(const Dissemination& aState, Summary& aSummary, TimePoint aNow);
 
-/// Up to when the configuration in force is known to have been the latest; empty without proof.
+/// The last time at which the configuration in force is known to have been the latest; empty
+/// without a proof.
 std::optional<TimePoint> FreshUntil(const Dissemination& aState);
 
 /// True if this node is a delegate.
 bool IsDelegate(const Dissemination& aState);
 
-/// Order of the push tree for a version: the root, then the other members rotated, so that the
-/// inner nodes differ from version to version.
+/// Members in the order of the push tree for a version: the root, then the others rotated by the
+/// version, so that the load of inner nodes moves from member to member.
 std::vector<RankedMember> PushOrder(const MemberRanking& aRanking,
                                     Version aVersion,
                                     std::size_t aArity);
 
-/// Positions of the children of a position in a tree of aSize nodes.
+/// Positions of the children of aPosition in a tree of aSize nodes.
 std::vector<std::size_t> TreeChildren(std::size_t aPosition, std::size_t aSize, std::size_t aArity);
 
-/// Least version, number of nodes and lagging hosts of the subtree below this node.
+/// Minimum version, number of nodes and lagging hosts of the subtree of this node, which is
+/// included.
 SubtreeReport AggregateReports(const Dissemination& aState, TimePoint aNow);
 
 } // namespace peridotquay
