--- a/peridotquay/version/ControlMessage.h
+++ b/peridotquay/version/ControlMessage.h
@@ -1,4 +1,4 @@
-// A message that a control module (membership, dissemination or shares) asks its owner to send.
+// A message that a control module (membership or dissemination) asks its owner to send.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -1,6 +1,6 @@
-// In-memory network of the pure control modules, with virtual time, loss, delays, pauses and cuts.
-// Every node has its own monotonic clock with a random offset, so that a time that travels
-// unchanged between nodes gives nonsense.
+// Simulated network of nodes that run membership and dissemination, in virtual time and with
+// message loss, delays, paused processes and network partitions. Each node's clock has a random
+// offset, so that tests fail if a node uses a time of another node's clock without conversion.
 #pragma once
 
 #include "peridotquay/version/Dissemination.h"
@@ -18,31 +18,33 @@
 
 namespace peridotquay {
 
+/// One simulated process.
 struct NetworkNode
 {
   Membership membership_;
   Dissemination versions_;
-  Duration offset_{}; ///< Own clock minus true time.
+  Duration offset_{}; ///< Clock of the node minus true time.
   TimePoint pausedUntil_{};
   bool stopped_ = false;
-  std::uint64_t revision_ = ~std::uint64_t{ 0 };
-  Version lastVersion_ = 0;
-  std::optional<TimePoint> lastFreshUntil_;
-  std::uint64_t messages_ = 0; ///< Sent.
-  std::uint64_t processNumber_ =
-    0; ///< Distinguishes processes: platform answers reach only the caller.
+  std::uint64_t revision_ = ~std::uint64_t{ 0 }; ///< Of membership, for the last ranking.
+  Version lastVersionInForce_ = 0;               ///< Version in force at the last check.
+  std::optional<TimePoint> lastFreshUntil_;      ///< Freshness at the last check.
+  std::uint64_t messages_ = 0;                   ///< Messages sent.
+  std::uint64_t processNumber_ = 0; ///< Platform answers reach only the process that called.
 };
 
+/// Size of the network and its faults.
 struct NetworkSettings
 {
   std::size_t nodes_ = 16;
-  std::size_t centres_ = 1;
-  double loss_ = 0;
+  std::size_t centres_ = 1; ///< Data centres; node i is in data centre i modulo this.
+  double loss_ = 0;         ///< Fraction of messages lost.
   Duration minDelay_ = milliseconds(1);
   Duration maxDelay_ = milliseconds(5);
   std::uint64_t seed_ = 1;
 };
 
+/// Nodes, a platform and the messages between them. Public members inject faults.
 class ControlNetwork
 {
 public:
@@ -59,14 +61,17 @@
 
   std::vector<NetworkNode> nodes_;
   FakePlatform platform_;
-  std::set<std::string> platformCut_; ///< Data centres that don't reach the platform.
-  std::function<bool(std::size_t, std::size_t)> cut_; ///< True: nothing passes between the two.
-  std::vector<TimePoint> accepted_; ///< True time at which version i + 1 was accepted.
-  bool violated_ = false; ///< A version decreased, or freshness was claimed later than is true.
-  std::string violation_;
+  std::set<std::string>
+    centresWithoutPlatform_; ///< Data centres without a connection to the platform.
+  std::function<bool(std::size_t, std::size_t)>
+    isPartitioned_; ///< True if no message passes from the first node to the second.
+  std::vector<TimePoint> acceptedAt_; ///< Element i: true time at which version i + 1 was accepted.
+  bool violated_ =
+    false; ///< A version or freshness decreased, or a node claimed to be fresher than it was.
+  std::string violation_; ///< Description of the first violation.
   TimePoint now_{ seconds(100000) };
 
-  /// Runs for a length of true time.
+  /// Runs all events of the next aLength of true time.
   void Run(Duration aLength)
   {
     const auto end = now_ + aLength;
@@ -79,10 +84,10 @@
     now_ = end;
   }
 
-  /// An operator's change takes effect in the platform now.
+  /// Writes an operator's change to the platform. It isn't accepted while the platform is down.
   void Accept(std::vector<EntityEdit> aEdits)
   {
-    const Version version = accepted_.size() + 1;
+    const Version version = acceptedAt_.size() + 1;
     Change change;
     change.version_ = version;
     change.edits_ = std::move(aEdits);
@@ -91,20 +96,23 @@
     transaction.writes_ = { { std::string(kHeadRowKey), EncodeHead(version) },
                             { ChangeRowKey(version), EncodeChange(change) } };
     if (platform_.Transact(transaction).has_value()) {
-      accepted_.push_back(now_);
+      acceptedAt_.push_back(now_);
     }
   }
 
+  /// Writes a change of the rate of a client account.
   void AcceptAccount(int aRate)
   {
     Accept({ { "account/mill", R"({"burst":10,"rate":)" + std::to_string(aRate) + "}" } });
   }
 
+  /// The present time on the clock of a node.
   TimePoint Local(std::size_t aNode) const { return now_ + nodes_[aNode].offset_; }
 
+  /// Ends the process without an announcement.
   void Stop(std::size_t aNode) { nodes_[aNode].stopped_ = true; }
 
-  /// A new process on the same host.
+  /// Replaces the process on a host by a new one.
   void Restart(std::size_t aNode, Incarnation aIncarnation)
   {
     nodes_[aNode] = MakeNode(aNode, aIncarnation);
@@ -112,14 +120,16 @@
     ScheduleAt(now_, [this, aNode, life] { Step(aNode, life); });
   }
 
+  /// Delays all steps and arrivals at a node, as for a suspended process.
   void Pause(std::size_t aNode, Duration aLength) { nodes_[aNode].pausedUntil_ = now_ + aLength; }
 
+  /// Name of the data centre of a node.
   std::string CentreOf(std::size_t aNode) const
   {
     return std::string(1, static_cast<char>('a' + aNode % settings_.centres_));
   }
 
-  /// Number of nodes that see the host in this state.
+  /// Number of running nodes whose table has the host in this state.
   std::size_t CountSeeing(std::size_t aSubject, MemberState aState) const
   {
     std::size_t count = 0;
@@ -169,7 +179,7 @@
     self.dataCentre_.value_ = CentreOf(aNode);
     self.service_.value_ = "s";
     self.targetState_ = TargetState::kReady;
-    // Seeds: the first node of each data centre.
+    // The seeds are the first node of each data centre.
     std::vector<Address> seeds;
     for (std::size_t i = 0; i < settings_.centres_; ++i) {
       seeds.push_back({ "127.0.0.1", static_cast<std::uint16_t>(i + 1) });
@@ -234,30 +244,30 @@
     const std::size_t to = aMessage.to_.port_ - 1U;
     const bool lost =
       static_cast<double>(NextRandom(random_) >> 11U) / 9007199254740992.0 < settings_.loss_;
-    if (to >= nodes_.size() || lost || (cut_ && cut_(aFrom, to))) {
+    if (to >= nodes_.size() || lost || (isPartitioned_ && isPartitioned_(aFrom, to))) {
       return;
     }
     const auto delay = settings_.minDelay_ + Random(settings_.maxDelay_ - settings_.minDelay_);
     const auto host = nodes_[aFrom].membership_.self_;
     ScheduleAt(now_ + delay, [this, to, host, message = std::move(aMessage.message_)] {
-      Arrive(to,
-             { kPeerProtocolVersion, host.host_, host.incarnation_, host.dataCentre_ },
-             host.peer_,
-             message);
+      Deliver(to,
+              { kPeerProtocolVersion, host.host_, host.incarnation_, host.dataCentre_ },
+              host.peer_,
+              message);
     });
   }
 
-  void Arrive(std::size_t aNode,
-              const Hello& aFrom,
-              const Address& aPeer,
-              const PeerMessage& aMessage)
+  void Deliver(std::size_t aNode,
+               const Hello& aFrom,
+               const Address& aPeer,
+               const PeerMessage& aMessage)
   {
     auto& node = nodes_[aNode];
     if (node.stopped_) {
       return;
     }
     if (node.pausedUntil_ > now_) {
-      ScheduleAt(node.pausedUntil_, [=, this] { Arrive(aNode, aFrom, aPeer, aMessage); });
+      ScheduleAt(node.pausedUntil_, [=, this] { Deliver(aNode, aFrom, aPeer, aMessage); });
       return;
     }
     MembershipEffects effects;
@@ -268,7 +278,7 @@
     CarryOut(aNode, versions);
   }
 
-  // The platform runs the call after one delay and the answer arrives after another.
+  // Runs a platform call after one random delay and delivers its answer after another.
   void CallPlatform(std::size_t aNode, PlatformCall aCall)
   {
     const auto started = Local(aNode);
@@ -277,24 +287,24 @@
     const auto back = settings_.minDelay_ + Random(settings_.maxDelay_);
     ScheduleAt(now_ + there, [=, this] {
       PlatformAnswer answer;
-      if (platformCut_.count(CentreOf(aNode)) != 0) {
+      if (centresWithoutPlatform_.count(CentreOf(aNode)) != 0) {
         answer.error_ = Error{ ErrorCode::kPlatformUnavailable, {}, {}, {} };
       } else {
         answer = RunPlatformCall(platform_, aCall);
       }
       answer.startedAt_ = started;
-      ScheduleAt(now_ + back, [=, this] { Answer(aNode, life, answer); });
+      ScheduleAt(now_ + back, [=, this] { DeliverAnswer(aNode, life, answer); });
     });
   }
 
-  void Answer(std::size_t aNode, std::uint64_t aLife, PlatformAnswer aAnswer)
+  void DeliverAnswer(std::size_t aNode, std::uint64_t aLife, PlatformAnswer aAnswer)
   {
     auto& node = nodes_[aNode];
     if (node.stopped_ || node.processNumber_ != aLife) {
       return;
     }
     if (node.pausedUntil_ > now_) {
-      ScheduleAt(node.pausedUntil_, [=, this] { Answer(aNode, aLife, aAnswer); });
+      ScheduleAt(node.pausedUntil_, [=, this] { DeliverAnswer(aNode, aLife, aAnswer); });
       return;
     }
     aAnswer.finishedAt_ = Local(aNode);
@@ -303,24 +313,25 @@
     CarryOut(aNode, effects);
   }
 
-  // What must hold at each node after each step.
+  // Checks at a node after each step that versions and freshness never decrease and that all
+  // changes accepted by the claimed time are in force.
   void CheckInvariants(std::size_t aNode)
   {
     auto& node = nodes_[aNode];
     const auto& versions = node.versions_;
     const auto fresh = FreshUntil(versions);
-    if (versions.inForce_ < node.lastVersion_ ||
+    if (versions.inForce_ < node.lastVersionInForce_ ||
         (node.lastFreshUntil_ && *fresh < *node.lastFreshUntil_)) {
       RecordViolation("a version or freshness decreased at node " + std::to_string(aNode));
     }
-    node.lastVersion_ = versions.inForce_;
+    node.lastVersionInForce_ = versions.inForce_;
     node.lastFreshUntil_ = fresh;
     if (!fresh) {
       return;
     }
     const auto trueTime = *fresh - node.offset_;
     Version latest = 0;
-    while (latest < accepted_.size() && accepted_[latest] <= trueTime) {
+    while (latest < acceptedAt_.size() && acceptedAt_[latest] <= trueTime) {
       ++latest;
     }
     if (trueTime > now_ || versions.inForce_ < latest) {
--- a/tests/version/ControlNetworkTest.cpp
+++ b/tests/version/ControlNetworkTest.cpp
@@ -1,4 +1,4 @@
-// Tests of membership and dissemination together in an in-memory network.
+// Tests of membership and dissemination together in a simulated network.
 #include "tests/version/ControlNetwork.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Members that are in use at a node. A suspected one is, until it is declared dead.
+// Hosts that a node can route to, itself included. A suspected host stays until it is declared
+// dead.
 std::size_t CountLivingHosts(const NetworkNode& aNode)
 {
   return MakeTargetView(aNode.membership_).hosts_.size();
@@ -47,7 +48,7 @@
   return oldest;
 }
 
-// Everything that operators may rely on: two sites, one account.
+// The first change: one client account and a site for each data centre.
 std::vector<EntityEdit> FirstChange(std::size_t aCentres)
 {
   std::vector<EntityEdit> edits{ { "account/mill", R"({"burst":10,"rate":5})" } };
@@ -57,7 +58,7 @@
   return edits;
 }
 
-// A network that has come up with version 1 in force.
+// A network after 30 s of joining, with version 1 accepted at its start.
 std::unique_ptr<ControlNetwork> MakeSettledNetwork(NetworkSettings aSettings)
 {
   auto network = std::make_unique<ControlNetwork>(aSettings);
@@ -69,7 +70,7 @@
 } // namespace
 
 // Guards against members that never learn of each other, also when a tenth of all messages is lost.
-TEST_CASE("64 members join by one seed", "[network]")
+TEST_CASE("64 members that share one seed all learn of each other", "[network]")
 {
   const double loss = GENERATE(0.0, 0.1);
   auto network = MakeSettledNetwork({ 64, 1, loss });
@@ -80,9 +81,9 @@
   CHECK_FALSE(network->violated_);
 }
 
-// Guards against false deaths under loss, against a death that isn't noticed within 10 s or isn't
-// known to all, and against a restarted host that stays dead.
-TEST_CASE("a dead member is noticed by all and comes back", "[network]")
+// Guards against live members that are declared dead because messages are lost, against a death
+// that isn't known to all members after 12 s, and against a restarted host that stays dead.
+TEST_CASE("all members detect a dead member and accept it after a restart", "[network]")
 {
   auto network = MakeSettledNetwork({ 32, 1, 0.05 });
   REQUIRE(AllKnowAll(*network));
@@ -97,7 +98,7 @@
   CHECK(AllKnowAll(*network));
 }
 
-// Guards against a paused node that is never taken back, or that itself declares the others dead.
+// Guards against a paused node that isn't accepted again, or that itself declares the others dead.
 TEST_CASE("a paused member refutes its death", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 1, 0 });
@@ -109,33 +110,36 @@
   CHECK_FALSE(network->violated_);
 }
 
-// Guards against two halves of a data centre that never find each other again after a cut.
-TEST_CASE("halves of a data centre find each other after a cut", "[network]")
+// Guards against two halves of a data centre that never reconnect after a network partition,
+// because each considers the other dead.
+TEST_CASE("halves of a data centre reconnect after a network partition", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 1, 0 });
-  network->cut_ = [](std::size_t aLeft, std::size_t aRight) { return (aLeft < 8) != (aRight < 8); };
+  network->isPartitioned_ = [](std::size_t aLeft, std::size_t aRight) {
+    return (aLeft < 8) != (aRight < 8);
+  };
   network->Run(seconds(40));
   CHECK_FALSE(AllKnowAll(*network));
-  network->cut_ = nullptr;
+  network->isPartitioned_ = nullptr;
   network->Run(seconds(40));
   CHECK(AllKnowAll(*network));
 }
 
-// Guards against a change that takes longer than a second to be in force on 64 hosts.
+// Guards against a change that isn't in force on all of 64 hosts after one second.
 TEST_CASE("a change is in force everywhere within a second", "[network]")
 {
   auto network = MakeSettledNetwork({ 64, 1, 0 });
   for (int i = 0; i < 20; ++i) {
     network->AcceptAccount(10 + i);
     network->Run(seconds(1));
-    CHECK(MinVersionInForce(*network) == network->accepted_.size());
+    CHECK(MinVersionInForce(*network) == network->acceptedAt_.size());
   }
   CHECK_FALSE(network->violated_);
 }
 
-// Guards against a node that is left behind when pushes are lost, and against a joining node that
-// can't close a gap of more than the kept changes.
-TEST_CASE("gaps are closed by sync and by snapshot", "[network]")
+// Guards against a node that keeps an old version when pushes are lost, and against a joining node
+// that can't close a gap wider than the recent changes of its peers.
+TEST_CASE("nodes close gaps by sync and by snapshot", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 1, 0.2 });
   network->Stop(7);
@@ -151,7 +155,8 @@
   CHECK_FALSE(network->violated_);
 }
 
-// Guards against a watermark that runs ahead of a host, or that names no host that lags.
+// Guards against a watermark higher than the version of a reachable host, and against one that
+// doesn't name a stopped host as unreachable.
 TEST_CASE("the watermark waits for every reachable host", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 1, 0 });
@@ -176,9 +181,9 @@
   CHECK(row().unreachable_ == std::vector<std::string>{ "h3" });
 }
 
-// Guards against traffic to a data centre behind a cut, its members being taken for dead, and its
-// members not coming back.
-TEST_CASE("a data centre behind a cut is unreachable, not dead", "[network]")
+// Guards against calls to a data centre behind a network partition, against its members being
+// declared dead, and against members that aren't used again afterwards.
+TEST_CASE("a partitioned data centre is unreachable and its members aren't dead", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 4, 0 });
   REQUIRE(AllKnowAll(*network));
@@ -186,7 +191,7 @@
     return MakeTargetView(network->nodes_[aNode].membership_).targets_.at(ServiceId{ "s" }).size();
   };
   CHECK(targets(0) == 16);
-  network->cut_ = [&](std::size_t aLeft, std::size_t aRight) {
+  network->isPartitioned_ = [&](std::size_t aLeft, std::size_t aRight) {
     return (network->CentreOf(aLeft) == "d") != (network->CentreOf(aRight) == "d");
   };
   network->Run(seconds(15));
@@ -196,21 +201,22 @@
   CHECK(network->CountSeeing(3, MemberState::kDead) == 0);
   // The data centre still reaches the platform and stays fresh.
   CHECK(MaxFreshnessAge(*network) < seconds(4));
-  network->cut_ = nullptr;
+  network->isPartitioned_ = nullptr;
   network->Run(seconds(20));
   for (std::size_t node = 0; node < 16; ++node) {
     CHECK(targets(node) == 16);
   }
 }
 
-// Guards against keyed routes that stop in a data centre that is cut from the platform only, or in
-// all data centres during an outage, and against a fully isolated one that goes on.
-TEST_CASE("freshness during cuts from the platform and outages", "[network]")
+// Guards against lost freshness, which stops keyed routes, in a data centre that is separated only
+// from the platform, or in all of them during a platform outage. Also guards against an isolated
+// data centre that stays fresh.
+TEST_CASE("freshness is kept during platform outages and lost in isolation", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 4, 0 });
   SECTION("one data centre without the platform")
   {
-    network->platformCut_ = { "b" };
+    network->centresWithoutPlatform_ = { "b" };
     network->Run(seconds(60));
     CHECK(MaxFreshnessAge(*network) < seconds(8));
     network->AcceptAccount(7);
@@ -229,8 +235,8 @@
   }
   SECTION("an isolated data centre without the platform")
   {
-    network->platformCut_ = { "d" };
-    network->cut_ = [&](std::size_t aLeft, std::size_t aRight) {
+    network->centresWithoutPlatform_ = { "d" };
+    network->isPartitioned_ = [&](std::size_t aLeft, std::size_t aRight) {
       return (network->CentreOf(aLeft) == "d") != (network->CentreOf(aRight) == "d");
     };
     network->Run(seconds(60));
@@ -240,7 +246,7 @@
   SECTION("an isolated data centre during an outage")
   {
     network->platform_.down_ = true;
-    network->cut_ = [&](std::size_t aLeft, std::size_t aRight) {
+    network->isPartitioned_ = [&](std::size_t aLeft, std::size_t aRight) {
       return (network->CentreOf(aLeft) == "d") != (network->CentreOf(aRight) == "d");
     };
     network->Run(seconds(60));
@@ -250,8 +256,8 @@
   CHECK_FALSE(network->violated_);
 }
 
-// Guards against freshness claimed later than the truth and versions that decrease, under random
-// loss, delays up to seconds, pauses, cuts and restarts.
+// Guards against a node that claims to be fresher than it is and against versions that decrease,
+// under random loss, delays of seconds, pauses, network partitions and restarts.
 TEST_CASE("freshness is never claimed later than the truth", "[network][property]")
 {
   CHECK(rc::check([] {
@@ -278,29 +284,29 @@
           network.Restart(node, 1000 + static_cast<Incarnation>(i));
           break;
         case 5:
-          network.platformCut_ = { network.CentreOf(node) };
+          network.centresWithoutPlatform_ = { network.CentreOf(node) };
           break;
         case 6: {
-          const auto cut = network.CentreOf(node);
-          network.cut_ = [&network, cut](std::size_t aLeft, std::size_t aRight) {
-            return (network.CentreOf(aLeft) == cut) != (network.CentreOf(aRight) == cut);
+          const auto isolated = network.CentreOf(node);
+          network.isPartitioned_ = [&network, isolated](std::size_t aLeft, std::size_t aRight) {
+            return (network.CentreOf(aLeft) == isolated) != (network.CentreOf(aRight) == isolated);
           };
           break;
         }
         default:
-          network.cut_ = nullptr;
-          network.platformCut_.clear();
+          network.isPartitioned_ = nullptr;
+          network.centresWithoutPlatform_.clear();
       }
       network.Run(milliseconds(*rc::gen::element(50, 400, 2000)));
     }
     RC_LOG() << network.violation_;
     RC_ASSERT(!network.violated_);
-    // Everything heals.
-    network.cut_ = nullptr;
-    network.platformCut_.clear();
+    // Without faults all nodes reach the latest version.
+    network.isPartitioned_ = nullptr;
+    network.centresWithoutPlatform_.clear();
     network.Run(seconds(90));
     if (settings.loss_ < 0.3 && settings.maxDelay_ < seconds(1)) {
-      RC_ASSERT(MinVersionInForce(network) == network.accepted_.size());
+      RC_ASSERT(MinVersionInForce(network) == network.acceptedAt_.size());
     }
     RC_ASSERT(!network.violated_);
   }));
--- a/tests/version/FakePlatform.h
+++ b/tests/version/FakePlatform.h
@@ -1,4 +1,5 @@
-// In-memory platform for tests, with outages and answers lost after the write took effect.
+// In-memory platform for tests. Simulates outages and transactions whose answer is lost after the
+// write took effect.
 #pragma once
 
 #include "peridotquay/process/Platform.h"
@@ -10,17 +11,18 @@
 
 namespace peridotquay {
 
+/// Platform whose contents tests read and change directly.
 class FakePlatform : public Platform
 {
 public:
   std::map<std::string, PlatformRow> rows_;
   std::map<std::string, std::string> objects_;
-  std::map<std::string, std::uint64_t> operations_;
+  std::map<std::string, std::uint64_t> operations_; ///< Revision by operation id.
   std::uint64_t revision_ = 0;
-  bool down_ = false;
-  bool loseAnswer_ = false; ///< The next transaction takes effect without an answer.
-  std::uint64_t writes_ = 0;
-  std::uint64_t reads_ = 0;
+  bool down_ = false;        ///< Every call fails as unavailable.
+  bool loseAnswer_ = false;  ///< The next transaction takes effect but fails as unknown.
+  std::uint64_t writes_ = 0; ///< Transactions that took effect.
+  std::uint64_t reads_ = 0;  ///< Row and range reads.
 
   Result<std::optional<PlatformRow>> ReadRow(std::string_view aKey) override
   {
--- a/tests/version/MembershipTest.cpp
+++ b/tests/version/MembershipTest.cpp
@@ -1,4 +1,4 @@
-// Tests of membership alone, with messages passed by hand.
+// Tests of membership at single nodes, without a network: the tests pass messages themselves.
 #include "peridotquay/version/Membership.h"
 
 #include "peridotquay/version/MembershipRank.h"
@@ -13,7 +13,7 @@
 
 const TimePoint kStart{ seconds(1000) };
 
-MemberEntry Entry(const std::string& aHost, const std::string& aCentre = "a")
+MemberEntry MakeEntry(const std::string& aHost, const std::string& aCentre = "a")
 {
   MemberEntry entry;
   entry.host_.value_ = aHost;
@@ -27,7 +27,7 @@
 
 Membership MakeTestMembership(const std::string& aHost = "h0")
 {
-  return MakeMembership({}, Entry(aHost), {}, 7, kStart);
+  return MakeMembership({}, MakeEntry(aHost), {}, 7, kStart);
 }
 
 void ReceiveEntries(Membership& aState, std::vector<MemberEntry> aEntries, TimePoint aNow = kStart)
@@ -36,7 +36,7 @@
   HandleMembershipMessage(aState, {}, MemberTable{ false, std::move(aEntries) }, aNow, effects);
 }
 
-// Steps every 100 ms without any answer from others.
+// Steps every 100 ms without a message from other members.
 MembershipEffects RunWithoutAnswers(Membership& aState, TimePoint aFrom, Duration aLength)
 {
   MembershipEffects effects;
@@ -48,11 +48,12 @@
 
 } // namespace
 
-// Guards against a restarted member that stays dead because of its old tombstone.
+// Guards against a restarted member that stays dead because of the tombstone of its earlier
+// process.
 TEST_CASE("a higher incarnation overrides a tombstone and a lower one doesn't", "[membership]")
 {
   auto state = MakeTestMembership();
-  auto entry = Entry("h1");
+  auto entry = MakeEntry("h1");
   ReceiveEntries(state, { entry });
   entry.state_ = MemberState::kDead;
   ReceiveEntries(state, { entry });
@@ -65,11 +66,12 @@
   CHECK(state.members_.at(entry.host_).entry_.state_ == MemberState::kAlive);
 }
 
-// Guards against a member that accepts being called dead.
-TEST_CASE("a node refutes what is said of it", "[membership]")
+// Guards against a node that accepts a false suspicion of itself, or that raises its incarnation
+// again for a suspicion that it already refuted.
+TEST_CASE("a node refutes a suspicion of itself once", "[membership]")
 {
   auto state = MakeTestMembership();
-  auto entry = Entry("h0");
+  auto entry = MakeEntry("h0");
   entry.state_ = MemberState::kSuspect;
   entry.incarnation_ = 105;
   ReceiveEntries(state, { entry });
@@ -80,11 +82,11 @@
   CHECK(state.self_.incarnation_ == 106);
 }
 
-// Guards against wrong times of indirect probes, suspicion and death.
+// Guards against indirect probes, suspicion or death too early or too late.
 TEST_CASE("a silent member is probed indirectly, suspected and declared dead", "[membership]")
 {
   auto state = MakeTestMembership();
-  ReceiveEntries(state, { Entry("h1"), Entry("h2"), Entry("h3") });
+  ReceiveEntries(state, { MakeEntry("h1"), MakeEntry("h2"), MakeEntry("h3") });
   MembershipEffects effects;
   StepMembership(state, kStart, effects);
   REQUIRE(state.probe_);
@@ -98,7 +100,7 @@
   StepMembership(state, kStart + milliseconds(650), effects);
   StepMembership(state, kStart + milliseconds(1000), effects);
   CHECK(state.members_.at(subject).entry_.state_ == MemberState::kSuspect);
-  // Another member stays alive, so this is no cut.
+  // Another member answers, so the node can't be partitioned from the network.
   for (auto now = kStart + milliseconds(1100); now < kStart + milliseconds(4100);
        now += milliseconds(100)) {
     CHECK(state.members_.at(subject).entry_.state_ == MemberState::kSuspect);
@@ -115,11 +117,11 @@
   CHECK(state.members_.at(subject).entry_.state_ == MemberState::kDead);
 }
 
-// Guards against a relayed ack that doesn't save the member.
-TEST_CASE("an indirect ack counts", "[membership]")
+// Guards against a member that is suspected although another member relayed its ack.
+TEST_CASE("a relayed ack ends a probe", "[membership]")
 {
   auto asker = MakeTestMembership();
-  ReceiveEntries(asker, { Entry("h1"), Entry("h2") });
+  ReceiveEntries(asker, { MakeEntry("h1"), MakeEntry("h2") });
   MembershipEffects effects;
   StepMembership(asker, kStart, effects);
   const auto subject = asker.members_.at(asker.probe_->host_).entry_;
@@ -129,38 +131,39 @@
   const auto request = effects.messages_.front().message_;
   const auto helperName = subject.host_.value_ == "h1" ? "h2" : "h1";
   auto helper = MakeTestMembership(helperName);
-  MembershipEffects helped;
-  HandleMembershipMessage(helper, asker.self_.peer_, request, kStart, helped);
-  REQUIRE(helped.messages_.size() == 1);
-  CHECK(helped.messages_.front().to_ == subject.peer_);
-  const auto& probe = std::get<Probe>(helped.messages_.front().message_);
-  MembershipEffects relayed;
+  MembershipEffects helperEffects;
+  HandleMembershipMessage(helper, asker.self_.peer_, request, kStart, helperEffects);
+  REQUIRE(helperEffects.messages_.size() == 1);
+  CHECK(helperEffects.messages_.front().to_ == subject.peer_);
+  const auto& probe = std::get<Probe>(helperEffects.messages_.front().message_);
+  MembershipEffects relayEffects;
   HandleMembershipMessage(
-    helper, subject.peer_, ProbeAck{ probe.sequence_, subject, {} }, kStart, relayed);
-  REQUIRE(relayed.messages_.size() == 1);
-  CHECK(relayed.messages_.front().to_ == asker.self_.peer_);
+    helper, subject.peer_, ProbeAck{ probe.sequence_, subject, {} }, kStart, relayEffects);
+  REQUIRE(relayEffects.messages_.size() == 1);
+  CHECK(relayEffects.messages_.front().to_ == asker.self_.peer_);
   HandleMembershipMessage(asker,
                           helper.self_.peer_,
-                          relayed.messages_.front().message_,
+                          relayEffects.messages_.front().message_,
                           kStart + milliseconds(400),
                           effects);
   CHECK(asker.probe_->acked_);
 }
 
-// Guards against a cut node that forgets everybody, and against a paused one that suspects
-// everybody.
-TEST_CASE("a cut node finds others unreachable and a paused node suspects nobody", "[membership]")
+// Guards against a partitioned node that declares all other members dead, and against a paused node
+// that suspects them for the time of its pause.
+TEST_CASE("a partitioned node finds others unreachable and a paused node suspects none",
+          "[membership]")
 {
-  auto cut = MakeTestMembership();
-  ReceiveEntries(cut, { Entry("h1"), Entry("h2"), Entry("h3") });
-  RunWithoutAnswers(cut, kStart, seconds(20));
-  for (const auto& [host, member] : cut.members_) {
+  auto partitioned = MakeTestMembership();
+  ReceiveEntries(partitioned, { MakeEntry("h1"), MakeEntry("h2"), MakeEntry("h3") });
+  RunWithoutAnswers(partitioned, kStart, seconds(20));
+  for (const auto& [host, member] : partitioned.members_) {
     CHECK(member.entry_.state_ != MemberState::kAlive);
     CHECK(member.entry_.state_ != MemberState::kDead);
   }
-  CHECK(MakeTargetView(cut).targets_.at(ServiceId{ "s" }).size() == 1);
+  CHECK(MakeTargetView(partitioned).targets_.at(ServiceId{ "s" }).size() == 1);
   auto paused = MakeTestMembership();
-  ReceiveEntries(paused, { Entry("h1"), Entry("h2") });
+  ReceiveEntries(paused, { MakeEntry("h1"), MakeEntry("h2") });
   MembershipEffects effects;
   StepMembership(paused, kStart, effects);
   StepMembership(paused, kStart + seconds(30), effects);
@@ -169,40 +172,41 @@
   }
 }
 
-// Guards against traffic to targets that are dead or left, and against ids of a host that left
-// being lost although it named a successor.
+// Guards against calls to targets that are dead or left, and against request ids of a host that
+// left being unreachable although it named a successor.
 TEST_CASE("the target view holds usable targets and successors", "[membership]")
 {
   auto state = MakeTestMembership();
-  auto left = Entry("h1");
+  auto left = MakeEntry("h1");
   left.state_ = MemberState::kLeft;
   left.successor_.value_ = "h2";
-  auto dead = Entry("h3");
+  auto dead = MakeEntry("h3");
   dead.state_ = MemberState::kDead;
-  auto draining = Entry("h4");
+  auto draining = MakeEntry("h4");
   draining.targetState_ = TargetState::kDraining;
-  ReceiveEntries(state, { left, Entry("h2"), dead, draining });
+  ReceiveEntries(state, { left, MakeEntry("h2"), dead, draining });
   const auto view = MakeTargetView(state);
   const auto& targets = view.targets_.at(ServiceId{ "s" });
   REQUIRE(targets.size() == 3);
   CHECK(targets[0].host_.value_ == "h0");
   CHECK(targets[1].host_.value_ == "h2");
   CHECK(targets[2].state_ == TargetState::kDraining);
-  CHECK(view.hosts_.at(HostId{ "h1" }) == Entry("h2").peer_);
+  CHECK(view.hosts_.at(HostId{ "h1" }) == MakeEntry("h2").peer_);
   CHECK(view.hosts_.count(HostId{ "h3" }) == 0);
 }
 
-// Guards against a datagram too large for one packet and a table beyond its bound.
+// Guards against a datagram too large for one IP packet, and against a table above maxMembers_ or
+// one that drops members of the own data centre.
 TEST_CASE("datagrams and the table are bounded", "[membership]")
 {
   auto state = MakeTestMembership();
   state.settings_.maxMembers_ = 50;
   std::vector<MemberEntry> entries;
   for (int i = 1; i < 40; ++i) {
-    entries.push_back(Entry("h" + std::to_string(i)));
+    entries.push_back(MakeEntry("h" + std::to_string(i)));
   }
   for (int i = 40; i < 200; ++i) {
-    entries.push_back(Entry("h" + std::to_string(i), "b"));
+    entries.push_back(MakeEntry("h" + std::to_string(i), "b"));
   }
   ReceiveEntries(state, entries);
   CHECK(state.members_.size() == 50);
@@ -215,25 +219,25 @@
   }
 }
 
-// Guards against members that end up with different views after the same statements in another
-// order: the outcome for a member must not depend on the order of arrival.
-TEST_CASE("statements commute", "[membership]")
+// Guards against nodes that disagree on a member because the same statements arrived in another
+// order.
+TEST_CASE("the order of statements about a member doesn't change the result", "[membership]")
 {
   CHECK(rc::check([] {
     const auto size = *rc::gen::inRange<std::size_t>(1, 12);
     std::vector<MemberEntry> statements;
     for (std::size_t i = 0; i < size; ++i) {
-      auto entry = Entry("h1");
+      auto entry = MakeEntry("h1");
       entry.incarnation_ = 100 + *rc::gen::inRange<std::uint64_t>(0, 4);
       entry.state_ = *rc::gen::element(
         MemberState::kAlive, MemberState::kSuspect, MemberState::kDead, MemberState::kLeft);
-      // What a node says of itself depends on its incarnation alone.
+      // A node raises its incarnation with each change, so equal incarnations have equal fields.
       entry.slots_ = static_cast<std::uint32_t>(entry.incarnation_);
       statements.push_back(entry);
     }
     const auto apply = [](const std::vector<MemberEntry>& aStatements) {
       auto state = MakeTestMembership();
-      ReceiveEntries(state, { Entry("h1") });
+      ReceiveEntries(state, { MakeEntry("h1") });
       for (const auto& statement : aStatements) {
         ReceiveEntries(state, { statement });
       }
