--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -1,7 +1,7 @@
 // Distributes configuration versions from the platform to all nodes: delegates poll the platform, a
 // tree pushes changes, and nodes sync with their parent to close gaps. Also tracks how recently the
-// configuration in force is known to have been the latest (freshness), and up to which version
-// every node of the data centre is (watermark).
+// configuration in force is known to have been the latest (freshness), and the minimum version in
+// force at all nodes of the data centre (watermark).
 //
 // The module is a struct and free functions without input or output. The owner calls
 // StepDissemination every 100 ms, passes in each message and platform answer, and carries out the
@@ -70,7 +70,8 @@
 {
   Version minVersion_ = 0; ///< Minimum version in force; 0 if no node has a configuration.
   std::uint32_t nodes_ = 0;
-  std::vector<HostId> lagging_; ///< Hosts at minVersion_ below the reporting node, limited.
+  /// Hosts at minVersion_ below the reporting node, at most maxLaggingHosts_.
+  std::vector<HostId> lagging_;
   TimePoint receivedAt_{};
 };
 
--- a/peridotquay/version/Membership.cpp
+++ b/peridotquay/version/Membership.cpp
@@ -494,7 +494,7 @@
 }
 
 // The whole table for a member of the own data centre. A member of another one gets only the
-// members of this data centre, which nobody else can tell it.
+// members of this data centre, which it can't learn elsewhere.
 std::vector<MemberEntry> MakeMemberTable(const Membership& aState,
                                          const DataCentreId& aRequesterCentre)
 {
--- a/peridotquay/version/Membership.h
+++ b/peridotquay/version/Membership.h
@@ -218,7 +218,7 @@
   bool operator==(const RankedMember&) const = default;
 };
 
-/// Alive and suspected members of a data centre, including this node, in order of RankWeight.
+/// Alive and suspected members of a data centre, including this node, greatest RankWeight first.
 std::vector<RankedMember> RankMembers(const Membership& aState,
                                       std::string_view aRole,
                                       const DataCentreId& aDataCentre);
--- a/tests/version/ControlNetworkTest.cpp
+++ b/tests/version/ControlNetworkTest.cpp
@@ -25,13 +25,13 @@
 
 Version MinVersionInForce(const ControlNetwork& aNetwork)
 {
-  Version least = ~Version{ 0 };
+  Version minVersion = ~Version{ 0 };
   for (const auto& node : aNetwork.nodes_) {
     if (!node.stopped_) {
-      least = std::min(least, node.versions_.inForce_);
+      minVersion = std::min(minVersion, node.versions_.inForce_);
     }
   }
-  return least;
+  return minVersion;
 }
 
 Duration MaxFreshnessAge(const ControlNetwork& aNetwork, const std::string& aCentre = {})
--- a/tests/version/MembershipTest.cpp
+++ b/tests/version/MembershipTest.cpp
@@ -120,19 +120,19 @@
 // Guards against a member that is suspected although another member relayed its ack.
 TEST_CASE("a relayed ack ends a probe", "[membership]")
 {
-  auto asker = MakeTestMembership();
-  ReceiveEntries(asker, { MakeEntry("h1"), MakeEntry("h2") });
+  auto requester = MakeTestMembership();
+  ReceiveEntries(requester, { MakeEntry("h1"), MakeEntry("h2") });
   MembershipEffects effects;
-  StepMembership(asker, kStart, effects);
-  const auto subject = asker.members_.at(asker.probe_->host_).entry_;
+  StepMembership(requester, kStart, effects);
+  const auto subject = requester.members_.at(requester.probe_->host_).entry_;
   effects = {};
-  StepMembership(asker, kStart + milliseconds(300), effects);
+  StepMembership(requester, kStart + milliseconds(300), effects);
   REQUIRE(effects.messages_.size() == 1);
   const auto request = effects.messages_.front().message_;
   const auto helperName = subject.host_.value_ == "h1" ? "h2" : "h1";
   auto helper = MakeTestMembership(helperName);
   MembershipEffects helperEffects;
-  HandleMembershipMessage(helper, asker.self_.peer_, request, kStart, helperEffects);
+  HandleMembershipMessage(helper, requester.self_.peer_, request, kStart, helperEffects);
   REQUIRE(helperEffects.messages_.size() == 1);
   CHECK(helperEffects.messages_.front().to_ == subject.peer_);
   const auto& probe = std::get<Probe>(helperEffects.messages_.front().message_);
@@ -140,13 +140,13 @@
   HandleMembershipMessage(
     helper, subject.peer_, ProbeAck{ probe.sequence_, subject, {} }, kStart, relayEffects);
   REQUIRE(relayEffects.messages_.size() == 1);
-  CHECK(relayEffects.messages_.front().to_ == asker.self_.peer_);
-  HandleMembershipMessage(asker,
+  CHECK(relayEffects.messages_.front().to_ == requester.self_.peer_);
+  HandleMembershipMessage(requester,
                           helper.self_.peer_,
                           relayEffects.messages_.front().message_,
                           kStart + milliseconds(400),
                           effects);
-  CHECK(asker.probe_->acked_);
+  CHECK(requester.probe_->acked_);
 }
 
 // Guards against a partitioned node that declares all other members dead, and against a paused node
