--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -299,8 +299,8 @@
     }
     if (aEffects.call_) {
       PlatformAnswer answer;
-      answer.started_ = now_;
-      answer.finished_ = now_;
+      answer.startedAt_ = now_;
+      answer.finishedAt_ = now_;
       std::holds_alternative<TransactCall>(*aEffects.call_) ? ++platformWrites_ : ++platformReads_;
       const auto started = CpuSeconds();
       DisseminationEffects effects;
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -477,8 +477,8 @@
     return;
   }
   config_ = std::move(aConfig);
-  routing_.settings_.waitWithinRegion_ = config_->policy_.waitWithinRegion_;
-  routing_.settings_.waitBetweenRegions_ = config_->policy_.waitBetweenRegions_;
+  routing_.settings_.slackFractionWithinRegion_ = config_->policy_.slackFractionWithinRegion_;
+  routing_.settings_.slackFractionBetweenRegions_ = config_->policy_.slackFractionBetweenRegions_;
   std::erase_if(ratios_, [this](const auto& aEntry) {
     return std::none_of(config_->routes_.begin(), config_->routes_.end(), [&](const Route& aRoute) {
       return aRoute.service_ == aEntry.first || std::any_of(aRoute.split_.begin(),
@@ -609,7 +609,7 @@
   json["fresh"] = fresh;
   const auto tokens = tokens_.accounts_.find(account);
   if (tokens != tokens_.accounts_.end()) {
-    json["tokens"] = now < tokens->second.expires_ ? tokens->second.tokens_ : 0;
+    json["tokens"] = now < tokens->second.expiresAt_ ? tokens->second.tokens_ : 0;
     json["over_rate"] = now < tokens->second.refusedUntil_;
   }
   json["targets"] = nlohmann::json::array();
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -323,7 +323,7 @@
 
 void Dispatcher::QueryCallStatus(const CallPointer& aCall)
 {
-  metrics_.Add(Counter::kFateQueries);
+  metrics_.Add(Counter::kCallStatusQueries);
   aCall->asksFate_ = true;
   ++aCall->fateQuestions_;
   hub_.SendCall(
--- a/peridotquay/process/Metrics.h
+++ b/peridotquay/process/Metrics.h
@@ -37,7 +37,7 @@
   kTargetAnswersTruncated, ///< The local target's connection ended within an answer.
   kTargetAnswersLost,      ///< Calls sent to the local target without an answer.
   kDroppedAnswers,         ///< Answers of peers that no call waits for on their connection.
-  kFateQueries,            ///< Queries to peers whether a call ran.
+  kCallStatusQueries,      ///< Queries to peers whether a call ran.
   kRequestIdsIssued,       ///< Request ids given to callers.
   kDuplicatesAnswered      ///< Repeated requests that got the answer of the first one.
 };
--- a/peridotquay/request/RouteChoice.cpp
+++ b/peridotquay/request/RouteChoice.cpp
@@ -238,10 +238,10 @@
   }
   // At a load of 1 + w, a call queues for about w times the latency.
   const double slack = std::max(0.0, ToSeconds(aObjective) / latency - 1);
-  bounds.withinRegion_ = std::clamp(1 + settings.waitWithinRegion_ * slack,
+  bounds.withinRegion_ = std::clamp(1 + settings.slackFractionWithinRegion_ * slack,
                                     bounds.withinRegion_,
                                     std::max(bounds.withinRegion_, settings.maxSpillLoad_));
-  bounds.betweenRegions_ = std::clamp(1 + settings.waitBetweenRegions_ * slack,
+  bounds.betweenRegions_ = std::clamp(1 + settings.slackFractionBetweenRegions_ * slack,
                                       bounds.betweenRegions_,
                                       std::max(bounds.betweenRegions_, settings.maxSpillLoad_));
   return bounds;
--- a/peridotquay/request/RouteChoice.h
+++ b/peridotquay/request/RouteChoice.h
@@ -29,8 +29,8 @@
   /// Fractions of a call's slack (its latency objective minus the expected latency) that it may
   /// queue at a nearer target before it goes to another data centre or region. 0 leaves the loads
   /// above as they are.
-  double waitWithinRegion_ = 0;
-  double waitBetweenRegions_ = 0;
+  double slackFractionWithinRegion_ = 0;
+  double slackFractionBetweenRegions_ = 0;
   double maxSpillLoad_ = 3.0; ///< Load from which calls go elsewhere whatever their slack.
   bool operator==(const RoutingSettings&) const = default;
 };
--- a/peridotquay/request/TokenCache.cpp
+++ b/peridotquay/request/TokenCache.cpp
@@ -38,12 +38,12 @@
 void CloseGrant(CachedTokens& aTokens, TimePoint aNow)
 {
   // The granting host counts an expired grant as used up, so it needs no report.
-  if (aTokens.grant_ != 0 && aNow < aTokens.expires_) {
-    aTokens.unreported_.push_back({ aTokens.grant_, aTokens.usedOfGrant_, aTokens.expires_ });
+  if (aTokens.grant_ != 0 && aNow < aTokens.expiresAt_) {
+    aTokens.unreported_.push_back({ aTokens.grant_, aTokens.usedOfGrant_, aTokens.expiresAt_ });
   }
   aTokens.grant_ = aTokens.next_.grant_;
   aTokens.tokens_ = aTokens.next_.tokens_;
-  aTokens.expires_ = aTokens.next_.expires_;
+  aTokens.expiresAt_ = aTokens.next_.expiresAt_;
   aTokens.usedOfGrant_ = 0;
   aTokens.next_ = {};
 }
@@ -51,14 +51,14 @@
 /// Drops expired grants and continues with the next grant if the present one is used up.
 void AdvanceGrants(CachedTokens& aTokens, TimePoint aNow)
 {
-  if (aTokens.next_.grant_ != 0 && aNow >= aTokens.next_.expires_) {
+  if (aTokens.next_.grant_ != 0 && aNow >= aTokens.next_.expiresAt_) {
     aTokens.next_ = {};
   }
-  if (aTokens.grant_ != 0 && (aTokens.tokens_ < 1 || aNow >= aTokens.expires_)) {
+  if (aTokens.grant_ != 0 && (aTokens.tokens_ < 1 || aNow >= aTokens.expiresAt_)) {
     CloseGrant(aTokens, aNow);
   }
   std::erase_if(aTokens.unreported_,
-                [aNow](const GrantUse& aUse) { return aNow >= aUse.expires_; });
+                [aNow](const GrantUse& aUse) { return aNow >= aUse.expiresAt_; });
 }
 
 /// A request for aWanted tokens that also reports the oldest unreported use.
@@ -91,7 +91,8 @@
     const CachedTokens& tokens = entry->second;
     const bool requestPending =
       tokens.requestNonce_ != 0 && aNow - tokens.requestedAt_ < kRequestTimeout;
-    const bool holding = (tokens.grant_ != 0 && aNow < tokens.expires_) || tokens.next_.grant_ != 0;
+    const bool holding =
+      (tokens.grant_ != 0 && aNow < tokens.expiresAt_) || tokens.next_.grant_ != 0;
     if (!requestPending && !holding &&
         (oldest == aCache.accounts_.end() ||
          tokens.lastAcquiredAt_ < oldest->second.lastAcquiredAt_)) {
@@ -190,12 +191,12 @@
   if (tokens.grant_ == 0) {
     tokens.grant_ = granted.grant_;
     tokens.tokens_ = granted.tokens_;
-    tokens.expires_ = granted.expires_;
+    tokens.expiresAt_ = granted.expiresAt_;
     tokens.usedOfGrant_ = 0;
   } else if (tokens.next_.grant_ == 0) {
     tokens.next_ = granted;
   } else {
-    tokens.unreported_.push_back({ granted.grant_, 0, granted.expires_ });
+    tokens.unreported_.push_back({ granted.grant_, 0, granted.expiresAt_ });
   }
 }
 
--- a/peridotquay/request/TokenCache.h
+++ b/peridotquay/request/TokenCache.h
@@ -25,7 +25,7 @@
 {
   std::uint64_t grant_ = 0; ///< Id of the grant; 0 for none.
   double tokens_ = 0;
-  TimePoint expires_{};
+  TimePoint expiresAt_{};
 };
 
 /// Use of a grant from which no more tokens are consumed and whose use isn't reported yet.
@@ -33,16 +33,16 @@
 {
   std::uint64_t grant_ = 0;
   double used_ = 0;
-  TimePoint expires_{}; ///< No report is needed after this time.
+  TimePoint expiresAt_{}; ///< No report is needed after this time.
 };
 
 /// Tokens of one client account at this host.
 struct CachedTokens
 {
   std::uint64_t grant_ = 0; ///< Grant in use; 0 for none, otherwise it has at least one token.
-  double tokens_ = 0;       ///< Usable until expires_.
+  double tokens_ = 0;       ///< Usable until expiresAt_.
   double usedOfGrant_ = 0;  ///< Tokens consumed from grant_; reported after it is closed.
-  TimePoint expires_{};
+  TimePoint expiresAt_{};
   double usePerSecond_ = 0; ///< Moving average of consumed tokens.
   TimePoint lastAcquiredAt_{};
   std::uint64_t requestNonce_ = 0; ///< Nonce of the outstanding request; 0 if none.
--- a/peridotquay/version/Config.h
+++ b/peridotquay/version/Config.h
@@ -76,8 +76,8 @@
   double retryBudgetCapacity_ = 10;
   /// Fractions of a call's spare time that it waits before it goes to another data centre of its
   /// region, or to another region; 0 to 1.
-  double waitWithinRegion_ = 0;
-  double waitBetweenRegions_ = 0;
+  double slackFractionWithinRegion_ = 0;
+  double slackFractionBetweenRegions_ = 0;
   /// Retry tokens that a retry costs if the call may have run; other retries cost 1.
   double retryMayHaveRunCost_ = 1;
   /// Time after which one retry to a service is allowed although it has no retry tokens left.
--- a/tests/request/TokenCacheTest.cpp
+++ b/tests/request/TokenCacheTest.cpp
@@ -19,7 +19,7 @@
 struct ModelGrant
 {
   double tokens_ = 0; ///< Granted tokens; after the report, the reported use.
-  TimePoint expires_{};
+  TimePoint expiresAt_{};
   int arrivedStep_ = 0;
   int reportedStep_ = std::numeric_limits<int>::max();
 };
@@ -60,7 +60,7 @@
     for (const auto& entry : grants_) {
       grants.push_back(entry.second);
       for (const ModelTake& take : takes_) {
-        if (take.takenAt_ >= entry.second.expires_) {
+        if (take.takenAt_ >= entry.second.expiresAt_) {
           grants.back().reportedStep_ = std::min(grants.back().reportedStep_, take.step_);
           break;
         }
