--- a/peridotquay/process/FateTable.cpp
+++ b/peridotquay/process/DeduplicationTable.cpp
@@ -1,5 +1,5 @@
 // Fates of calls that run at most once.
-#include "peridotquay/process/FateTable.h"
+#include "peridotquay/process/DeduplicationTable.h"
 
 #include <algorithm>
 
@@ -17,20 +17,20 @@
 // Most senders in forgotten_.
 constexpr std::size_t kMaxSenders = 8192;
 
-FateKey SenderOf(const FateKey& aKey)
+CallKey SenderOf(const CallKey& aKey)
 {
   return { aKey.host_, aKey.incarnation_, 0 };
 }
 
-bool IsForgotten(const FateTable& aTable, const FateKey& aKey)
+bool IsForgotten(const DeduplicationTable& aTable, const CallKey& aKey)
 {
   const auto sender = aTable.forgotten_.find(SenderOf(aKey));
   return sender != aTable.forgotten_.end() && aKey.callId_ <= sender->second;
 }
 
-using Entry = std::map<FateKey, FateEntry, FateOrder>::iterator;
+using Entry = std::map<CallKey, DeduplicationEntry, CallKeyLess>::iterator;
 
-Entry Forget(FateTable& aTable, Entry aEntry)
+Entry Forget(DeduplicationTable& aTable, Entry aEntry)
 {
   if (aEntry->second.answer_) {
     aTable.bytes_ -= aEntry->second.answer_->body_.size();
@@ -40,17 +40,17 @@
   return aTable.entries_.erase(aEntry);
 }
 
-void Expire(FateTable& aTable, Duration aRetention, TimePoint aNow)
+void Expire(DeduplicationTable& aTable, Duration aRetention, TimePoint aNow)
 {
   for (auto entry = aTable.entries_.begin(); entry != aTable.entries_.end();) {
-    const FateEntry& known = entry->second;
+    const DeduplicationEntry& known = entry->second;
     const Duration age = aNow - known.changed_;
     const bool old = known.barred_ ? age >= kBarRetention : known.ended_ && age >= aRetention;
     entry = old ? Forget(aTable, entry) : std::next(entry);
   }
 }
 
-bool HasRoom(FateTable& aTable, const FateKey& aKey, TimePoint aNow)
+bool HasRoom(DeduplicationTable& aTable, const CallKey& aKey, TimePoint aNow)
 {
   // Under many calls a second the table forgets sooner, so that new calls still find room.
   for (Duration retention = kFateRetention;
@@ -64,7 +64,7 @@
 
 } // namespace
 
-bool FateOrder::operator()(const FateKey& aLeft, const FateKey& aRight) const
+bool CallKeyLess::operator()(const CallKey& aLeft, const CallKey& aRight) const
 {
   if (aLeft.incarnation_ != aRight.incarnation_) {
     return aLeft.incarnation_ < aRight.incarnation_;
@@ -75,23 +75,26 @@
   return aLeft.host_.value_ < aRight.host_.value_;
 }
 
-Arrival NoteArrival(FateTable& aTable, const FateKey& aKey, TimePoint aNow)
+ArrivalDecision RecordArrival(DeduplicationTable& aTable, const CallKey& aKey, TimePoint aNow)
 {
   const auto known = aTable.entries_.find(aKey);
   if (known != aTable.entries_.end()) {
-    return known->second.barred_ ? Arrival::kRefuse : Arrival::kDrop;
+    return known->second.barred_ ? ArrivalDecision::kRefuse : ArrivalDecision::kDrop;
   }
   if (IsForgotten(aTable, aKey)) {
-    return Arrival::kDrop;
+    return ArrivalDecision::kDrop;
   }
   if (!HasRoom(aTable, aKey, aNow)) {
-    return Arrival::kRefuse;
+    return ArrivalDecision::kRefuse;
   }
   aTable.entries_[aKey].changed_ = aNow;
-  return Arrival::kRun;
+  return ArrivalDecision::kRun;
 }
 
-void NoteEnd(FateTable& aTable, const FateKey& aKey, const Answer& aAnswer, TimePoint aNow)
+void RecordAnswer(DeduplicationTable& aTable,
+                  const CallKey& aKey,
+                  const Answer& aAnswer,
+                  TimePoint aNow)
 {
   const auto entry = aTable.entries_.find(aKey);
   if (entry == aTable.entries_.end() || entry->second.ended_ || entry->second.barred_) {
@@ -105,11 +108,11 @@
   }
 }
 
-FateStep AskFate(FateTable& aTable, const FateKey& aKey, TimePoint aNow)
+CallStatusResult QueryCallStatus(DeduplicationTable& aTable, const CallKey& aKey, TimePoint aNow)
 {
   const auto entry = aTable.entries_.find(aKey);
   if (entry != aTable.entries_.end()) {
-    const FateEntry& known = entry->second;
+    const DeduplicationEntry& known = entry->second;
     if (known.barred_) {
       return { Fate::kNeverArrived, std::nullopt };
     }
@@ -125,13 +128,13 @@
   if (IsForgotten(aTable, aKey) || !HasRoom(aTable, aKey, aNow)) {
     return { Fate::kForgotten, std::nullopt };
   }
-  FateEntry& bar = aTable.entries_[aKey];
+  DeduplicationEntry& bar = aTable.entries_[aKey];
   bar.barred_ = true;
   bar.changed_ = aNow;
   return { Fate::kNeverArrived, std::nullopt };
 }
 
-void ExpireFates(FateTable& aTable, TimePoint aNow)
+void ExpireCalls(DeduplicationTable& aTable, TimePoint aNow)
 {
   Expire(aTable, kFateRetention, aNow);
 }
--- a/peridotquay/process/FateTable.h
+++ b/peridotquay/process/DeduplicationTable.h
@@ -22,7 +22,7 @@
 inline constexpr Duration kFateRetention = seconds(30);
 
 /// A call by its sender. Call ids of one incarnation grow and are never used twice.
-struct FateKey
+struct CallKey
 {
   HostId host_;
   Incarnation incarnation_ = 0;
@@ -30,12 +30,12 @@
 };
 
 /// Order of keys.
-struct FateOrder
+struct CallKeyLess
 {
-  bool operator()(const FateKey& aLeft, const FateKey& aRight) const;
+  bool operator()(const CallKey& aLeft, const CallKey& aRight) const;
 };
 
-struct FateEntry
+struct DeduplicationEntry
 {
   bool barred_ = false; ///< Asked about before it arrived; must never run.
   bool ended_ = false;
@@ -44,17 +44,17 @@
 };
 
 /// Changed only through the functions below.
-struct FateTable
+struct DeduplicationTable
 {
-  std::map<FateKey, FateEntry, FateOrder> entries_; ///< At most kMaxFates.
-  std::size_t bytes_ = 0;                           ///< Invariant: sum of the answer bodies.
+  std::map<CallKey, DeduplicationEntry, CallKeyLess> entries_; ///< At most kMaxFates.
+  std::size_t bytes_ = 0; ///< Invariant: sum of the answer bodies.
   /// Highest call id that was forgotten, by sender: up to it nothing can be said. The call id of
   /// the keys is 0.
-  std::map<FateKey, std::uint64_t, FateOrder> forgotten_;
+  std::map<CallKey, std::uint64_t, CallKeyLess> forgotten_;
 };
 
 /// What to do with a call that arrived.
-enum class Arrival : std::uint8_t
+enum class ArrivalDecision : std::uint8_t
 {
   kRun,
   kRefuse, ///< Barred, or no room to remember it: it surely doesn't run.
@@ -62,13 +62,16 @@
 };
 
 /// Notes that a call arrived.
-Arrival NoteArrival(FateTable& aTable, const FateKey& aKey, TimePoint aNow);
+ArrivalDecision RecordArrival(DeduplicationTable& aTable, const CallKey& aKey, TimePoint aNow);
 
 /// Notes how a call ended.
-void NoteEnd(FateTable& aTable, const FateKey& aKey, const Answer& aAnswer, TimePoint aNow);
+void RecordAnswer(DeduplicationTable& aTable,
+                  const CallKey& aKey,
+                  const Answer& aAnswer,
+                  TimePoint aNow);
 
 /// Fate of a call, with its answer for kDone and kRefused.
-struct FateStep
+struct CallStatusResult
 {
   Fate fate_ = Fate::kForgotten;
   std::optional<Answer> answer_;
@@ -76,9 +79,9 @@
 
 /// Tells the fate. A call that never arrived is barred from now on; if that can't be noted, the
 /// fate is kForgotten.
-FateStep AskFate(FateTable& aTable, const FateKey& aKey, TimePoint aNow);
+CallStatusResult QueryCallStatus(DeduplicationTable& aTable, const CallKey& aKey, TimePoint aNow);
 
 /// Forgets ended calls past the retention.
-void ExpireFates(FateTable& aTable, TimePoint aNow);
+void ExpireCalls(DeduplicationTable& aTable, TimePoint aNow);
 
 } // namespace peridotquay
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -1,8 +1,8 @@
 // Intake of requests at the first host and state from the control side.
 #include "peridotquay/process/Dispatcher.h"
 
+#include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
-#include "peridotquay/process/OwnAnswer.h"
 #include "peridotquay/request/RandomStep.h"
 
 #include <nlohmann/json.hpp>
@@ -171,7 +171,7 @@
   return std::nullopt;
 }
 
-void Dispatcher::OnCaller(const std::shared_ptr<HttpExchange>& aExchange)
+void Dispatcher::OnCallerRequest(const std::shared_ptr<HttpExchange>& aExchange)
 {
   metrics_.Add(Counter::kCallerRequests);
   const HttpRequest& request = aExchange->request_;
@@ -235,7 +235,7 @@
   }
 }
 
-void Dispatcher::OnOutbound(const std::shared_ptr<HttpExchange>& aExchange)
+void Dispatcher::OnOutboundRequest(const std::shared_ptr<HttpExchange>& aExchange)
 {
   metrics_.Add(Counter::kOutboundRequests);
   const HttpRequest& request = aExchange->request_;
@@ -314,7 +314,7 @@
   aCall->call_.headers_ = std::move(request.headers_);
   // The node's own headers end here; above all the caller's key must reach neither peers nor
   // targets.
-  dialect_.toGuard_(aCall->call_.headers_, settings_.service_);
+  dialect_.rewriteForGuard_(aCall->call_.headers_, settings_.service_);
   if (!aCall->requestId_.empty()) {
     aCall->call_.headers_.emplace_back("Quay-Request-Id", aCall->requestId_);
   }
@@ -552,7 +552,7 @@
   return batches;
 }
 
-std::size_t Dispatcher::Calls() const
+std::size_t Dispatcher::ActiveCalls() const
 {
   return calls_.size();
 }
@@ -562,7 +562,7 @@
   return config_ ? config_->version_ : 0;
 }
 
-std::size_t Dispatcher::Targets() const
+std::size_t Dispatcher::TargetCount() const
 {
   std::size_t count = 0;
   if (targets_) {
@@ -573,7 +573,7 @@
   return count;
 }
 
-const TargetView* Dispatcher::View() const
+const TargetView* Dispatcher::CurrentTargets() const
 {
   return targets_.get();
 }
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -51,15 +51,15 @@
   ~Dispatcher();
 
   /// A request from a caller.
-  void OnCaller(const std::shared_ptr<HttpExchange>& aExchange);
+  void OnCallerRequest(const std::shared_ptr<HttpExchange>& aExchange);
   /// A deeper call of the local target.
-  void OnOutbound(const std::shared_ptr<HttpExchange>& aExchange);
+  void OnOutboundRequest(const std::shared_ptr<HttpExchange>& aExchange);
   /// A caller's request that another host passed on because this host issued its id.
   void OnOwnerCall(OwnerCall aCall, Done aDone);
   /// An answer that came by a peer link, or from the local guard with link 0. Dropped and counted
   /// if no call waits for it on that link.
   void OnAnswer(Answer aAnswer, std::uint64_t aLink);
-  void OnFateReply(const CallFateReply& aReply, std::uint64_t aLink);
+  void OnCallStatusReply(const CallFateReply& aReply, std::uint64_t aLink);
   void OnCallLost(const LostCall& aCall);
   /// Records of request ids from a leaving host.
   void OnHandover(const RequestHandover& aBatch);
@@ -80,10 +80,10 @@
   std::vector<RequestHandover> HandOver();
 
   /// Calls that aren't answered yet.
-  std::size_t Calls() const;
+  std::size_t ActiveCalls() const;
   Version ConfigVersion() const;
-  std::size_t Targets() const;
-  const TargetView* View() const;
+  std::size_t TargetCount() const;
+  const TargetView* CurrentTargets() const;
   /// JSON text that tells how a call would be treated now.
   std::string Explain(std::string_view aPath, std::string_view aAccount);
 
@@ -162,7 +162,7 @@
   void Send(const CallPointer& aCall, const Target& aTarget);
   void EndAttempt(const CallPointer& aCall, CallResult aResult, const Answer* aAnswer);
   void OnAttemptAnswer(const CallPointer& aCall, Answer aAnswer);
-  void AskFate(const CallPointer& aCall);
+  void QueryCallStatus(const CallPointer& aCall);
   bool MayRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget);
   RetryRatioSettings RetrySettings(const ActiveCall& aCall) const;
   void RetryOrEnd(const CallPointer& aCall, Answer aAnswer, bool aExclude = true);
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -1,7 +1,7 @@
 // Attempts of a call at guards: choice, answers, retries, fate of lost calls.
 #include "peridotquay/process/Dispatcher.h"
+#include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
-#include "peridotquay/process/OwnAnswer.h"
 
 #include <algorithm>
 #include <optional>
@@ -279,7 +279,7 @@
   const CallPointer call = entry->second;
   if (call->asksFate_) {
     if (aCall.sent_ && call->fateQuestions_ < kMaxFateQuestions) {
-      AskFate(call);
+      QueryCallStatus(call);
       return;
     }
     // The host can't be reached any more.
@@ -310,7 +310,7 @@
   }
   if (!call->call_.repeatable_ && !settings_.naive_) {
     call->guard_ = aCall.peer_;
-    AskFate(call);
+    QueryCallStatus(call);
     return;
   }
   EndAttempt(call, CallResult::kFailed, nullptr);
@@ -320,7 +320,7 @@
              aCall.end_ != LinkEnd::kSilent);
 }
 
-void Dispatcher::AskFate(const CallPointer& aCall)
+void Dispatcher::QueryCallStatus(const CallPointer& aCall)
 {
   metrics_.Add(Counter::kFatesAsked);
   aCall->asksFate_ = true;
@@ -329,7 +329,7 @@
     aCall->target_.peer_, aCall->attempt_, CallFate{ ledger_.incarnation_, aCall->attempt_ });
 }
 
-void Dispatcher::OnFateReply(const CallFateReply& aReply, std::uint64_t aLink)
+void Dispatcher::OnCallStatusReply(const CallFateReply& aReply, std::uint64_t aLink)
 {
   const auto entry = attempts_.find(aReply.callId_);
   if (entry == attempts_.end() || !entry->second->asksFate_ ||
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -1,7 +1,7 @@
 // End of a call: deadline, cancellation, refusal and the answer to the caller.
 #include "peridotquay/process/Dispatcher.h"
+#include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
-#include "peridotquay/process/OwnAnswer.h"
 
 #include <algorithm>
 #include <tuple>
--- a/peridotquay/process/DispatcherRequestIds.cpp
+++ b/peridotquay/process/DispatcherRequestIds.cpp
@@ -1,7 +1,7 @@
 // Requests under an id: records, calls to the issuing host, handover.
 #include "peridotquay/process/Dispatcher.h"
+#include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
-#include "peridotquay/process/OwnAnswer.h"
 
 #include <algorithm>
 #include <tuple>
--- a/peridotquay/process/Error.cpp
+++ b/peridotquay/process/Error.cpp
@@ -109,9 +109,9 @@
 std::string Describe(const Error& aError)
 {
   std::string text;
-  if (!aError.place_.file_.empty()) {
-    text += aError.place_.file_ + ":" + std::to_string(aError.place_.line_) + ":" +
-            std::to_string(aError.place_.column_) + ": ";
+  if (!aError.location_.file_.empty()) {
+    text += aError.location_.file_ + ":" + std::to_string(aError.location_.line_) + ":" +
+            std::to_string(aError.location_.column_) + ": ";
   }
   text += ErrorName(aError.code_);
   if (!aError.subject_.empty()) {
--- a/peridotquay/process/Error.h
+++ b/peridotquay/process/Error.h
@@ -73,12 +73,12 @@
 std::string_view ErrorName(ErrorCode aCode);
 
 /// Place in a settings or configuration file. Line and column count from 1; 0 means unknown.
-struct SourcePlace
+struct SourceLocation
 {
   std::string file_;
   std::uint32_t line_ = 0;
   std::uint32_t column_ = 0;
-  bool operator==(const SourcePlace&) const = default;
+  bool operator==(const SourceLocation&) const = default;
 };
 
 /// A failure: its code, what it concerns, and for settings the place and the allowed values.
@@ -90,7 +90,7 @@
   /// Allowed range or value, or what was found instead; empty if nothing useful can be said.
   std::string allowed_;
   /// Place in a file; empty for errors without one.
-  SourcePlace place_;
+  SourceLocation location_;
   bool operator==(const Error&) const = default;
 };
 
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -54,9 +54,9 @@
   answer.callId_ = aCall.callId_;
   // 504 from a target means that it doesn't know whether its own work ran.
   answer.outcome_ =
-    aDialect.unknown504_ && aResponse.status_ == 504 ? Outcome::kUnknown : Outcome::kRan;
+    aDialect.status504IsUnknown_ && aResponse.status_ == 504 ? Outcome::kUnknown : Outcome::kRan;
   answer.status_ = aResponse.status_;
-  aDialect.toCaller_(aResponse.headers_);
+  aDialect.rewriteForCaller_(aResponse.headers_);
   answer.headers_ = std::move(aResponse.headers_);
   answer.bodyBytes_ = aCall.method_ == "HEAD" ? aResponse.declaredLength_.value_or(0)
                                               : static_cast<std::uint64_t>(aResponse.body_.size());
@@ -85,7 +85,7 @@
   , freshClient_(aLoop, { .target_ = aSettings.target_, .maxConnections_ = 2 })
   , pollClient_(aLoop, { .target_ = aSettings.target_, .maxConnections_ = 2 })
 {
-  admission_.settings_.adaptive_ = !aDialect.trustsSlots_;
+  admission_.settings_.adaptive_ = !aDialect.slotsAreLimit_;
   admission_.settings_.maxLimit_ =
     std::min(admission_.settings_.maxLimit_, aSettings.targetConnections_);
 }
@@ -181,11 +181,11 @@
   HttpRequest request{ call.method_, call.path_, call.headers_, call.body_ };
   const auto left =
     std::chrono::duration_cast<milliseconds>(aRunning.deadline_ - aRunning.started_).count();
-  dialect_.toTarget_(request.headers_,
-                     { call,
-                       aRunning.token_,
-                       target_ ? std::string_view(target_->id_) : std::string_view(),
-                       std::max<std::int64_t>(1, left) });
+  dialect_.rewriteForTarget_(request.headers_,
+                             { call,
+                               aRunning.token_,
+                               target_ ? std::string_view(target_->id_) : std::string_view(),
+                               std::max<std::int64_t>(1, left) });
   return request;
 }
 
@@ -616,7 +616,7 @@
   return FindContext(contexts_, aToken);
 }
 
-std::size_t Guard::Calls() const
+std::size_t Guard::ActiveCalls() const
 {
   return calls_.size();
 }
--- a/peridotquay/process/Guard.h
+++ b/peridotquay/process/Guard.h
@@ -78,7 +78,7 @@
   /// The context of a running call; null for unknown tokens.
   CallContext* Context(std::string_view aToken);
   /// Calls that wait or run.
-  std::size_t Calls() const;
+  std::size_t ActiveCalls() const;
   const AdmissionState& Admission() const;
   const TargetHealth& Health() const;
   std::size_t TargetConnections() const;
--- a/peridotquay/process/HttpDialect.cpp
+++ b/peridotquay/process/HttpDialect.cpp
@@ -45,7 +45,7 @@
   return static_cast<std::uint32_t>(hint ? ParseNumber(*hint, kLongestHintMs).value_or(0) : 0);
 }
 
-std::optional<StatedLoad> QuayLoad(const HttpResponse& /*aResponse*/)
+std::optional<TargetLoad> QuayLoad(const HttpResponse& /*aResponse*/)
 {
   return std::nullopt;
 }
@@ -58,9 +58,9 @@
                                      .keyScheme_ = "",
                                      .deadlineHeader_ = "Quay-Deadline-Ms",
                                      .echoHeader_ = "",
-                                     .toGuard_ = &QuayToGuard,
-                                     .toTarget_ = &QuayToTarget,
-                                     .toCaller_ = &QuayToCaller,
+                                     .rewriteForGuard_ = &QuayToGuard,
+                                     .rewriteForTarget_ = &QuayToTarget,
+                                     .rewriteForCaller_ = &QuayToCaller,
                                      .refusal_ = &QuayRefusal,
                                      .load_ = &QuayLoad,
                                      .failure_ = &ErrorResponse };
--- a/peridotquay/process/HttpDialect.h
+++ b/peridotquay/process/HttpDialect.h
@@ -25,12 +25,12 @@
 };
 
 /// Load that a target states in an answer.
-struct StatedLoad
+struct TargetLoad
 {
   std::uint32_t running_ = 0;
   std::uint32_t waiting_ = 0;
   std::uint32_t slots_ = 0;
-  bool operator==(const StatedLoad&) const = default;
+  bool operator==(const TargetLoad&) const = default;
 };
 
 /// A plain table of names and functions. None of the functions keeps state.
@@ -47,26 +47,26 @@
   bool issuesRequestIds_ = true; ///< Hosts issue request ids and keep the answers for repeats.
   bool pollsTarget_ = true;      ///< The target's health and load are asked for once a second.
   /// The slots that the target announces are the limit; latency doesn't adapt it.
-  bool trustsSlots_ = false;
+  bool slotsAreLimit_ = false;
   /// An answer without a length ends with its connection; otherwise it counts as truncated.
   bool endsByClose_ = false;
   /// Makes the headers of a caller's request fit to be sent to a guard. Never leaves a key in them.
-  void (*toGuard_)(HeaderList& aHeaders, const ServiceId& aOwnService);
+  void (*rewriteForGuard_)(HeaderList& aHeaders, const ServiceId& aOwnService);
   /// Completes the headers of a call for the target.
-  void (*toTarget_)(HeaderList& aHeaders, const TargetCall& aCall);
+  void (*rewriteForTarget_)(HeaderList& aHeaders, const TargetCall& aCall);
   /// Makes the headers of a target's answer fit for the caller.
-  void (*toCaller_)(HeaderList& aHeaders);
+  void (*rewriteForCaller_)(HeaderList& aHeaders);
   /// If the answer says that the target didn't start the call: its hint in milliseconds, 0 for
   /// none.
   std::optional<std::uint32_t> (*refusal_)(const HttpResponse& aResponse);
-  std::optional<StatedLoad> (*load_)(const HttpResponse& aResponse);
+  std::optional<TargetLoad> (*load_)(const HttpResponse& aResponse);
   /// The node's own answer; a hint of 0 ms gives none.
   HttpResponse (*failure_)(ErrorCode aCode,
                            Outcome aOutcome,
                            std::string_view aDetail,
                            std::uint32_t aRetryAfterMs);
   /// Whether the status is the target's word that it doesn't know whether its own work ran.
-  bool unknown504_ = true;
+  bool status504IsUnknown_ = true;
 };
 
 /// The product's own interface (docs/interface.md).
--- a/peridotquay/process/Node.cpp
+++ b/peridotquay/process/Node.cpp
@@ -5,9 +5,9 @@
 #include "peridotquay/connection/EventLoop.h"
 #include "peridotquay/connection/HttpFront.h"
 #include "peridotquay/connection/PeerHub.h"
+#include "peridotquay/process/DeduplicationTable.h"
 #include "peridotquay/process/Dispatcher.h"
 #include "peridotquay/process/Events.h"
-#include "peridotquay/process/FateTable.h"
 #include "peridotquay/process/Guard.h"
 #include "peridotquay/process/LogOutput.h"
 #include "peridotquay/process/Metrics.h"
@@ -65,7 +65,7 @@
   {
     std::uint64_t link_ = 0;
     std::uint64_t guardCall_ = 0;
-    std::optional<FateKey> fate_; ///< Set if the call must run at most once.
+    std::optional<CallKey> fate_; ///< Set if the call must run at most once.
   };
 
   NodeSettings settings_;
@@ -81,7 +81,7 @@
   std::unique_ptr<HttpFront> outbound_;
   std::unique_ptr<HttpFront> admin_;
   std::unique_ptr<ControlPlane> control_;
-  FateTable fates_;
+  DeduplicationTable fates_;
   std::map<std::uint64_t, PeerCall> peerCalls_; ///< By an own number.
   /// Numbers in peerCalls_, by link and call id.
   std::map<std::pair<std::uint64_t, std::uint64_t>, std::uint64_t> byLink_;
@@ -138,11 +138,11 @@
     };
     using Exchange = std::shared_ptr<HttpExchange>;
     auto opened = open(callers_, settings_.callers_, [this](const Exchange& aExchange) {
-      dispatcher_->OnCaller(aExchange);
+      dispatcher_->OnCallerRequest(aExchange);
     });
     if (opened.has_value()) {
       opened = open(outbound_, settings_.outbound_, [this](const Exchange& aExchange) {
-        dispatcher_->OnOutbound(aExchange);
+        dispatcher_->OnOutboundRequest(aExchange);
       });
     }
     if (opened.has_value()) {
@@ -259,7 +259,7 @@
   void KeepHouse()
   {
     dispatcher_->ReturnTokens();
-    ExpireFates(fates_, loop_.Now());
+    ExpireCalls(fates_, loop_.Now());
     if (LogOutput* output = CurrentLogOutput()) {
       output->Flush();
     }
@@ -279,7 +279,7 @@
     } else if (const auto* fate = std::get_if<CallFate>(&aMessage)) {
       OnFate(aSource, *fate);
     } else if (const auto* known = std::get_if<CallFateReply>(&aMessage)) {
-      dispatcher_->OnFateReply(*known, aSource.link_);
+      dispatcher_->OnCallStatusReply(*known, aSource.link_);
     } else if (auto* owner = std::get_if<OwnerCall>(&aMessage)) {
       const std::uint64_t callId = owner->call_.callId_;
       dispatcher_->OnOwnerCall(std::move(*owner),
@@ -301,12 +301,12 @@
     entry.link_ = aSource.link_;
     if (!aCall.repeatable_) {
       entry.fate_ = { aSource.hello_.host_, aSource.hello_.incarnation_, aCall.callId_ };
-      switch (NoteArrival(fates_, *entry.fate_, loop_.Now())) {
-        case Arrival::kRun:
+      switch (RecordArrival(fates_, *entry.fate_, loop_.Now())) {
+        case ArrivalDecision::kRun:
           break;
-        case Arrival::kDrop:
+        case ArrivalDecision::kDrop:
           return;
-        case Arrival::kRefuse: {
+        case ArrivalDecision::kRefuse: {
           Answer refused;
           refused.callId_ = aCall.callId_;
           refused.outcome_ = Outcome::kNotRun;
@@ -336,7 +336,7 @@
     peerCalls_.erase(entry);
     byLink_.erase({ call.link_, aAnswer.callId_ });
     if (call.fate_) {
-      NoteEnd(fates_, *call.fate_, aAnswer, loop_.Now());
+      RecordAnswer(fates_, *call.fate_, aAnswer, loop_.Now());
     }
     hub_->Reply(call.link_, aAnswer);
   }
@@ -355,15 +355,15 @@
       Answer unknown;
       unknown.callId_ = aCallId;
       unknown.error_ = static_cast<std::uint16_t>(ErrorCode::kCancelled);
-      NoteEnd(fates_, *call.fate_, unknown, loop_.Now());
+      RecordAnswer(fates_, *call.fate_, unknown, loop_.Now());
     }
     guard_->Cancel(call.guardCall_);
   }
 
   void OnFate(const PeerSource& aSource, const CallFate& aFate)
   {
-    const FateKey key{ aSource.hello_.host_, aFate.incarnation_, aFate.callId_ };
-    FateStep step = AskFate(fates_, key, loop_.Now());
+    const CallKey key{ aSource.hello_.host_, aFate.incarnation_, aFate.callId_ };
+    CallStatusResult step = QueryCallStatus(fates_, key, loop_.Now());
     hub_->Reply(aSource.link_, CallFateReply{ aFate.callId_, step.fate_ });
     if (step.fate_ == Fate::kRunning) {
       MoveCall(key, aSource.link_);
@@ -374,7 +374,7 @@
   }
 
   // Sends the answer of a running call by another link of the same sender.
-  void MoveCall(const FateKey& aKey, std::uint64_t aLink)
+  void MoveCall(const CallKey& aKey, std::uint64_t aLink)
   {
     const auto entry = std::find_if(peerCalls_.begin(), peerCalls_.end(), [&](const auto& aEntry) {
       const auto& fate = aEntry.second.fate_;
@@ -488,9 +488,9 @@
         { { "limit", admission.limit_ },
           { "running", admission.running_ },
           { "queued", admission.queued_ } } },
-      { "calls", dispatcher_->Calls() },
-      { "guard_calls", guard_->Calls() },
-      { "targets_in_view", dispatcher_->Targets() },
+      { "calls", dispatcher_->ActiveCalls() },
+      { "guard_calls", guard_->ActiveCalls() },
+      { "targets_in_view", dispatcher_->TargetCount() },
       { "peer_links", hub_->OpenLinks() },
       { "control",
         { { "version", control.version_ },
@@ -512,10 +512,10 @@
     return { { "freshness_ms", static_cast<double>(status.freshnessAgeMs_) },
              { "platform_reachable", status.platformReachable_ ? 1.0 : 0.0 },
              { "hosts", static_cast<double>(status.membersAlive_) },
-             { "targets", static_cast<double>(dispatcher_->Targets()) },
+             { "targets", static_cast<double>(dispatcher_->TargetCount()) },
              { "version", static_cast<double>(dispatcher_->ConfigVersion()) },
-             { "calls", static_cast<double>(dispatcher_->Calls()) },
-             { "guard_calls", static_cast<double>(guard_->Calls()) },
+             { "calls", static_cast<double>(dispatcher_->ActiveCalls()) },
+             { "guard_calls", static_cast<double>(guard_->ActiveCalls()) },
              { "admission_limit", admission.limit_ },
              { "admission_running", static_cast<double>(admission.running_) },
              { "admission_queued", static_cast<double>(admission.queued_) },
@@ -564,7 +564,7 @@
 
   bool IsIdle() const
   {
-    return !accepting_ && dispatcher_->Calls() == 0 && guard_->Calls() == 0 &&
+    return !accepting_ && dispatcher_->ActiveCalls() == 0 && guard_->ActiveCalls() == 0 &&
            callers_->PendingAnswers() == 0 && outbound_->PendingAnswers() == 0 &&
            admin_->PendingAnswers() == 0;
   }
@@ -593,7 +593,7 @@
   // successors.
   const Target* ChooseSuccessor() const
   {
-    const TargetView* view = dispatcher_->View();
+    const TargetView* view = dispatcher_->CurrentTargets();
     const Target* best = nullptr;
     const auto rank = [this](const Target& aTarget) {
       const bool near = aTarget.dataCentre_ == settings_.dataCentre_;
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -266,7 +266,7 @@
   auto merging = MergeFiles(aStored.entities_, files);
   if (merging.has_error()) {
     auto error = merging.assume_error();
-    error.place_ = places[error.subject_];
+    error.location_ = places[error.subject_];
     return BOOST_OUTCOME_V2_NAMESPACE::failure(std::move(error));
   }
   auto& merged = merging.assume_value();
--- a/peridotquay/process/OperatorReport.cpp
+++ b/peridotquay/process/OperatorReport.cpp
@@ -58,10 +58,10 @@
   nlohmann::json error = { { "type", ErrorName(aError.code_) },
                            { "subject", aError.subject_ },
                            { "allowed", aError.allowed_ } };
-  if (!aError.place_.file_.empty()) {
-    error["file"] = aError.place_.file_;
-    error["line"] = aError.place_.line_;
-    error["column"] = aError.place_.column_;
+  if (!aError.location_.file_.empty()) {
+    error["file"] = aError.location_.file_;
+    error["line"] = aError.location_.line_;
+    error["column"] = aError.location_.column_;
   }
   report.json_ = { { "error", std::move(error) } };
   report.text_ = "error: " + Describe(aError) + "\n";
--- a/peridotquay/process/TomlPlaces.cpp
+++ b/peridotquay/process/TomlPlaces.cpp
@@ -9,7 +9,7 @@
 
 namespace peridotquay {
 
-SourcePlace PlaceOf(const toml::source_region& aRegion, const std::string& aFile)
+SourceLocation PlaceOf(const toml::source_region& aRegion, const std::string& aFile)
 {
   return { aFile, aRegion.begin.line, aRegion.begin.column };
 }
--- a/peridotquay/process/TomlPlaces.h
+++ b/peridotquay/process/TomlPlaces.h
@@ -23,7 +23,7 @@
 inline constexpr std::size_t kMaxTomlBytes = std::size_t{ 8 } << 20U;
 
 /// The start of a toml++ region as a place.
-SourcePlace PlaceOf(const toml::source_region& aRegion, const std::string& aFile);
+SourceLocation PlaceOf(const toml::source_region& aRegion, const std::string& aFile);
 
 /// Reads a file of at most kMaxTomlBytes. Errors: kFileUnreadable, kChangeTooLarge.
 Result<std::string> ReadWholeFile(const std::string& aFile);
--- a/peridotquay/version/ConfigParser.cpp
+++ b/peridotquay/version/ConfigParser.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 /// Places of all keys, by the subject of errors about them.
-using Places = std::map<std::string, SourcePlace>;
+using Places = std::map<std::string, SourceLocation>;
 
 /// Tables of the base file and the kind of entity that each of their members becomes.
 constexpr std::array<std::pair<const char*, const char*>, 5> kTables = { {
@@ -29,7 +29,10 @@
   { "sites", "site" },
 } };
 
-auto FailAt(ErrorCode aCode, std::string aSubject, std::string aAllowed, const SourcePlace& aPlace)
+auto FailAt(ErrorCode aCode,
+            std::string aSubject,
+            std::string aAllowed,
+            const SourceLocation& aPlace)
 {
   return BOOST_OUTCOME_V2_NAMESPACE::failure(
     Error{ aCode, std::move(aSubject), std::move(aAllowed), aPlace });
@@ -96,7 +99,7 @@
 }
 
 /// The place of an error: that of its subject, else of the closest table around it.
-SourcePlace FindPlace(const Places& aPlaces, std::string aSubject, const std::string& aFile)
+SourceLocation FindPlace(const Places& aPlaces, std::string aSubject, const std::string& aFile)
 {
   for (;;) {
     if (const auto found = aPlaces.find(aSubject); found != aPlaces.end()) {
@@ -204,7 +207,7 @@
   }
   table.erase("data_centre");
   BOOST_OUTCOME_TRY(json, ConvertTable({ &aFile.name_, &aPlaces }, table, entity + ": overlay."));
-  aPlaces.emplace(entity + ": overlay", SourcePlace{ aFile.name_, 1, 1 });
+  aPlaces.emplace(entity + ": overlay", SourceLocation{ aFile.name_, 1, 1 });
   site->second["overlay"] = std::move(json);
   return Success();
 }
@@ -234,9 +237,9 @@
 {
   Places places;
   auto entities = ReadFiles(aBase, aOverlays, places);
-  if (entities.has_error() && entities.assume_error().place_.file_.empty()) {
+  if (entities.has_error() && entities.assume_error().location_.file_.empty()) {
     auto error = entities.assume_error();
-    error.place_ = FindPlace(places, error.subject_, aBase.name_);
+    error.location_ = FindPlace(places, error.subject_, aBase.name_);
     return BOOST_OUTCOME_V2_NAMESPACE::failure(std::move(error));
   }
   if (aPlaces != nullptr && entities.has_value()) {
--- a/peridotquay/version/ConfigParser.h
+++ b/peridotquay/version/ConfigParser.h
@@ -18,7 +18,7 @@
 };
 
 /// Where the files define each entity.
-using EntityPlaces = std::map<std::string, SourcePlace>;
+using EntityPlaces = std::map<std::string, SourceLocation>;
 
 /// Parses and checks the base file with all overlays. Errors name the file, line, column and key
 /// and the allowed values; their codes are those of CheckEntities and ParseToml. Places are
--- a/tests/platform/DecoderTest.cpp
+++ b/tests/platform/DecoderTest.cpp
@@ -259,7 +259,7 @@
     INFO(fault.to_);
     const Error error = Failure(ParsePlatformSettings(text, "node.toml"));
     CHECK(error.code_ == fault.code_);
-    CHECK(error.place_.file_ == "node.toml");
+    CHECK(error.location_.file_ == "node.toml");
   }
 }
 
--- a/tests/platform/PlatformDialectTest.cpp
+++ b/tests/platform/PlatformDialectTest.cpp
@@ -14,13 +14,13 @@
                       { "X-Deadline-Ms", "9" },        { "X-Request-Id", "id" },
                       { "Accept", "text/plain" } };
   const HttpDialect& dialect = PlatformDialect();
-  dialect.toGuard_(headers, { "own" });
+  dialect.rewriteForGuard_(headers, { "own" });
   CHECK_FALSE(FindHeader(headers, "Authorization"));
   CHECK_FALSE(FindHeader(headers, "X-Tenant-Id"));
   CHECK(FindHeader(headers, "X-Caller-Service") == "own");
   Call call;
   call.clientAccount_ = { "t1" };
-  dialect.toTarget_(headers, { call, "", "i-1", 750 });
+  dialect.rewriteForTarget_(headers, { call, "", "i-1", 750 });
   const HeaderList expected{ { "X-Request-Id", "id" },         { "Accept", "text/plain" },
                              { "X-Caller-Service", "own" },    { "X-Deadline-Ms", "750" },
                              { "X-Expected-Instance", "i-1" }, { "X-Tenant-Id", "t1" } };
@@ -43,7 +43,7 @@
   const auto load = [](const char* aText) {
     return PlatformDialect().load_({ 200, { { "X-Server-Load", aText } }, "", std::nullopt });
   };
-  CHECK(load("3,0,8") == StatedLoad{ 3, 0, 8 });
+  CHECK(load("3,0,8") == TargetLoad{ 3, 0, 8 });
   for (const char* text : { "", "3", "3,0", "3,0,", "3,0,8,1", "a,0,8", "3;0;8", "3,0,-1" }) {
     INFO(text);
     CHECK_FALSE(load(text));
--- a/tests/process/SettingsTest.cpp
+++ b/tests/process/SettingsTest.cpp
@@ -46,8 +46,8 @@
   INFO(Describe(aError));
   CHECK(aError.code_ == aCode);
   CHECK(aError.subject_ == aKey);
-  CHECK(aError.place_.file_ == "node.toml");
-  CHECK(aError.place_.line_ == aLine);
+  CHECK(aError.location_.file_ == "node.toml");
+  CHECK(aError.location_.line_ == aLine);
 }
 
 } // namespace
@@ -108,7 +108,7 @@
     const auto settings = ParseNodeSettingsText(Mutate(kSettings, random), "node.toml");
     if (settings.has_error()) {
       ++failed;
-      CHECK(settings.assume_error().place_.file_ == "node.toml");
+      CHECK(settings.assume_error().location_.file_ == "node.toml");
     }
   }
   CHECK(failed > 1000);
--- a/tests/version/ConfigParserTest.cpp
+++ b/tests/version/ConfigParserTest.cpp
@@ -57,9 +57,9 @@
 {
   INFO(Describe(aError));
   CHECK(aError.code_ == aCode);
-  CHECK(aError.place_.file_ == aFile);
-  CHECK(aError.place_.line_ == aLine);
-  CHECK(aError.place_.column_ > 0);
+  CHECK(aError.location_.file_ == aFile);
+  CHECK(aError.location_.line_ == aLine);
+  CHECK(aError.location_.column_ > 0);
 }
 
 std::string ReadText(const std::string& aFile)
@@ -199,7 +199,7 @@
       ParseConfigFiles({ "base.toml", mutateBase ? Mutate(base, random) : base },
                        { { "o.toml", mutateBase ? overlay : Mutate(overlay, random) } });
     if (parsed.has_error()) {
-      CHECK_FALSE(parsed.assume_error().place_.file_.empty());
+      CHECK_FALSE(parsed.assume_error().location_.file_.empty());
     } else {
       ++accepted;
       CHECK(CheckEntities(parsed.assume_value()).has_value());
