--- a/peridotquay/process/DeduplicationTable.cpp
+++ b/peridotquay/process/DeduplicationTable.cpp
@@ -1,4 +1,4 @@
-// Fates of calls that run at most once.
+// Duplicate suppression for calls that must run at most once.
 #include "peridotquay/process/DeduplicationTable.h"
 
 #include <algorithm>
@@ -7,14 +7,14 @@
 
 namespace {
 
-// A bar protects against a call that was delayed in a lost connection. A connection that delivers
-// nothing for this long is closed by its silence detection, so no call can arrive later.
-constexpr Duration kBarRetention = seconds(600);
+// A tombstone stops a call that was delayed in a lost connection. Silence detection closes a
+// connection that delivers nothing for this long, so no call can arrive later.
+constexpr Duration kTombstoneRetention = seconds(600);
 
-// Even a full table remembers an ended call this long; a lost connection is noticed after 500 ms.
-constexpr Duration kLeastRetention = milliseconds(1500);
+// Even a full table keeps an answered call this long; a lost connection is detected after 500 ms.
+constexpr Duration kMinAnswerRetention = milliseconds(1500);
 
-// Most senders in forgotten_.
+// Maximum number of senders in forgottenUpTo_.
 constexpr std::size_t kMaxSenders = 8192;
 
 CallKey SenderOf(const CallKey& aKey)
@@ -22,21 +22,21 @@
   return { aKey.host_, aKey.incarnation_, 0 };
 }
 
-bool IsForgotten(const DeduplicationTable& aTable, const CallKey& aKey)
+bool IsUpToWatermark(const DeduplicationTable& aTable, const CallKey& aKey)
 {
-  const auto sender = aTable.forgotten_.find(SenderOf(aKey));
-  return sender != aTable.forgotten_.end() && aKey.callId_ <= sender->second;
+  const auto sender = aTable.forgottenUpTo_.find(SenderOf(aKey));
+  return sender != aTable.forgottenUpTo_.end() && aKey.callId_ <= sender->second;
 }
 
-using Entry = std::map<CallKey, DeduplicationEntry, CallKeyLess>::iterator;
+using EntryIterator = std::map<CallKey, DeduplicationEntry, CallKeyLess>::iterator;
 
-Entry Forget(DeduplicationTable& aTable, Entry aEntry)
+EntryIterator Evict(DeduplicationTable& aTable, EntryIterator aEntry)
 {
   if (aEntry->second.answer_) {
-    aTable.bytes_ -= aEntry->second.answer_->body_.size();
+    aTable.answerBytes_ -= aEntry->second.answer_->body_.size();
   }
-  auto& highest = aTable.forgotten_[SenderOf(aEntry->first)];
-  highest = std::max(highest, aEntry->first.callId_);
+  auto& watermark = aTable.forgottenUpTo_[SenderOf(aEntry->first)];
+  watermark = std::max(watermark, aEntry->first.callId_);
   return aTable.entries_.erase(aEntry);
 }
 
@@ -44,22 +44,24 @@
 {
   for (auto entry = aTable.entries_.begin(); entry != aTable.entries_.end();) {
     const DeduplicationEntry& known = entry->second;
-    const Duration age = aNow - known.changed_;
-    const bool old = known.barred_ ? age >= kBarRetention : known.ended_ && age >= aRetention;
-    entry = old ? Forget(aTable, entry) : std::next(entry);
+    const Duration age = aNow - known.changedAt_;
+    const bool old =
+      known.tombstone_ ? age >= kTombstoneRetention : known.answered_ && age >= aRetention;
+    entry = old ? Evict(aTable, entry) : std::next(entry);
   }
 }
 
 bool HasRoom(DeduplicationTable& aTable, const CallKey& aKey, TimePoint aNow)
 {
-  // Under many calls a second the table forgets sooner, so that new calls still find room.
-  for (Duration retention = kFateRetention;
-       aTable.entries_.size() >= kMaxFates && retention >= kLeastRetention;
+  // At a high call rate answers are evicted earlier, so that there is room for new calls.
+  for (Duration retention = kAnswerRetention;
+       aTable.entries_.size() >= kMaxDeduplicationEntries && retention >= kMinAnswerRetention;
        retention /= 4) {
     Expire(aTable, retention, aNow);
   }
-  return aTable.entries_.size() < kMaxFates &&
-         (aTable.forgotten_.size() < kMaxSenders || aTable.forgotten_.contains(SenderOf(aKey)));
+  return aTable.entries_.size() < kMaxDeduplicationEntries &&
+         (aTable.forgottenUpTo_.size() < kMaxSenders ||
+          aTable.forgottenUpTo_.contains(SenderOf(aKey)));
 }
 
 } // namespace
@@ -79,15 +81,15 @@
 {
   const auto known = aTable.entries_.find(aKey);
   if (known != aTable.entries_.end()) {
-    return known->second.barred_ ? ArrivalDecision::kRefuse : ArrivalDecision::kDrop;
+    return known->second.tombstone_ ? ArrivalDecision::kRefuse : ArrivalDecision::kDrop;
   }
-  if (IsForgotten(aTable, aKey)) {
+  if (IsUpToWatermark(aTable, aKey)) {
     return ArrivalDecision::kDrop;
   }
   if (!HasRoom(aTable, aKey, aNow)) {
     return ArrivalDecision::kRefuse;
   }
-  aTable.entries_[aKey].changed_ = aNow;
+  aTable.entries_[aKey].changedAt_ = aNow;
   return ArrivalDecision::kRun;
 }
 
@@ -97,14 +99,14 @@
                   TimePoint aNow)
 {
   const auto entry = aTable.entries_.find(aKey);
-  if (entry == aTable.entries_.end() || entry->second.ended_ || entry->second.barred_) {
+  if (entry == aTable.entries_.end() || entry->second.answered_ || entry->second.tombstone_) {
     return;
   }
-  entry->second.ended_ = true;
-  entry->second.changed_ = aNow;
-  if (aTable.bytes_ + aAnswer.body_.size() <= kMaxFateBytes) {
+  entry->second.answered_ = true;
+  entry->second.changedAt_ = aNow;
+  if (aTable.answerBytes_ + aAnswer.body_.size() <= kMaxKeptAnswerBytes) {
     entry->second.answer_ = aAnswer;
-    aTable.bytes_ += aAnswer.body_.size();
+    aTable.answerBytes_ += aAnswer.body_.size();
   }
 }
 
@@ -113,10 +115,10 @@
   const auto entry = aTable.entries_.find(aKey);
   if (entry != aTable.entries_.end()) {
     const DeduplicationEntry& known = entry->second;
-    if (known.barred_) {
+    if (known.tombstone_) {
       return { Fate::kNeverArrived, std::nullopt };
     }
-    if (!known.ended_) {
+    if (!known.answered_) {
       return { Fate::kRunning, std::nullopt };
     }
     if (!known.answer_) {
@@ -125,18 +127,18 @@
     const bool refused = known.answer_->outcome_ == Outcome::kNotRun;
     return { refused ? Fate::kRefused : Fate::kDone, known.answer_ };
   }
-  if (IsForgotten(aTable, aKey) || !HasRoom(aTable, aKey, aNow)) {
+  if (IsUpToWatermark(aTable, aKey) || !HasRoom(aTable, aKey, aNow)) {
     return { Fate::kForgotten, std::nullopt };
   }
-  DeduplicationEntry& bar = aTable.entries_[aKey];
-  bar.barred_ = true;
-  bar.changed_ = aNow;
+  DeduplicationEntry& tombstone = aTable.entries_[aKey];
+  tombstone.tombstone_ = true;
+  tombstone.changedAt_ = aNow;
   return { Fate::kNeverArrived, std::nullopt };
 }
 
 void ExpireCalls(DeduplicationTable& aTable, TimePoint aNow)
 {
-  Expire(aTable, kFateRetention, aNow);
+  Expire(aTable, kAnswerRetention, aNow);
 }
 
 } // namespace peridotquay
--- a/peridotquay/process/DeduplicationTable.h
+++ b/peridotquay/process/DeduplicationTable.h
@@ -1,4 +1,6 @@
-// What became of calls that must run at most once, for senders whose connection was lost.
+// Duplicate suppression for calls that must run at most once. The receiver of a call records its
+// arrival and its answer, so that a sender whose connection was lost can query what became of the
+// call. A query for an unknown call leaves a tombstone that keeps the call from running later.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -12,16 +14,17 @@
 
 namespace peridotquay {
 
-/// Most calls in the table. Ended ones make room; barred and running ones don't.
-inline constexpr std::size_t kMaxFates = 16384;
+/// Maximum number of entries. Answered calls are evicted early to make room; running calls and
+/// tombstones aren't.
+inline constexpr std::size_t kMaxDeduplicationEntries = 16384;
 
-/// Most bytes of kept answer bodies.
-inline constexpr std::size_t kMaxFateBytes = std::size_t{ 16 } << 20U;
+/// Maximum total size of the kept answer bodies.
+inline constexpr std::size_t kMaxKeptAnswerBytes = std::size_t{ 16 } << 20U;
 
-/// An ended call can be asked about this long.
-inline constexpr Duration kFateRetention = seconds(30);
+/// An answered call is kept for this long, unless the table is full.
+inline constexpr Duration kAnswerRetention = seconds(30);
 
-/// A call by its sender. Call ids of one incarnation grow and are never used twice.
+/// Identifies a call by its sender. Call ids of one incarnation increase and are never reused.
 struct CallKey
 {
   HostId host_;
@@ -29,59 +32,62 @@
   std::uint64_t callId_ = 0;
 };
 
-/// Order of keys.
+/// Orders keys.
 struct CallKeyLess
 {
   bool operator()(const CallKey& aLeft, const CallKey& aRight) const;
 };
 
+/// A call that arrived, or the tombstone of one that must never run.
 struct DeduplicationEntry
 {
-  bool barred_ = false; ///< Asked about before it arrived; must never run.
-  bool ended_ = false;
-  std::optional<Answer> answer_; ///< With ended_; absent if it was too large to keep.
-  TimePoint changed_{};
+  bool tombstone_ = false; ///< The call was queried before it arrived; it must never run.
+  bool answered_ = false;
+  std::optional<Answer> answer_; ///< With answered_; absent if there was no room for the body.
+  TimePoint changedAt_{};
 };
 
 /// Changed only through the functions below.
 struct DeduplicationTable
 {
-  std::map<CallKey, DeduplicationEntry, CallKeyLess> entries_; ///< At most kMaxFates.
-  std::size_t bytes_ = 0; ///< Invariant: sum of the answer bodies.
-  /// Highest call id that was forgotten, by sender: up to it nothing can be said. The call id of
-  /// the keys is 0.
-  std::map<CallKey, std::uint64_t, CallKeyLess> forgotten_;
+  std::map<CallKey, DeduplicationEntry, CallKeyLess>
+    entries_;                   ///< At most kMaxDeduplicationEntries.
+  std::size_t answerBytes_ = 0; ///< Invariant: total size of the kept answer bodies.
+  /// Watermark of each sender: the highest call id that was evicted. The status of unlisted calls
+  /// up to it is unknown. The keys have call id 0.
+  std::map<CallKey, std::uint64_t, CallKeyLess> forgottenUpTo_;
 };
 
-/// What to do with a call that arrived.
+/// Decision about a call that arrived.
 enum class ArrivalDecision : std::uint8_t
 {
   kRun,
-  kRefuse, ///< Barred, or no room to remember it: it surely doesn't run.
-  kDrop    ///< A duplicate, or too old to tell: it must not run, and "not run" can't be claimed.
+  kRefuse, ///< Tombstone or full table: the call doesn't run and "not run" may be answered.
+  kDrop ///< Duplicate, or at most the watermark: the call must not run again, but "not run" could
+        ///< be false.
 };
 
-/// Notes that a call arrived.
+/// Records the arrival of a call and decides whether it runs.
 ArrivalDecision RecordArrival(DeduplicationTable& aTable, const CallKey& aKey, TimePoint aNow);
 
-/// Notes how a call ended.
+/// Records the answer of a call that ran or was refused.
 void RecordAnswer(DeduplicationTable& aTable,
                   const CallKey& aKey,
                   const Answer& aAnswer,
                   TimePoint aNow);
 
-/// Fate of a call, with its answer for kDone and kRefused.
+/// Status of a call, with its answer for kDone and kRefused.
 struct CallStatusResult
 {
   Fate fate_ = Fate::kForgotten;
   std::optional<Answer> answer_;
 };
 
-/// Tells the fate. A call that never arrived is barred from now on; if that can't be noted, the
-/// fate is kForgotten.
+/// Returns the status of a call. A call that never arrived gets a tombstone; if the table has no
+/// room for it, the status is kForgotten.
 CallStatusResult QueryCallStatus(DeduplicationTable& aTable, const CallKey& aKey, TimePoint aNow);
 
-/// Forgets ended calls past the retention.
+/// Evicts answered calls and tombstones that are past their retention.
 void ExpireCalls(DeduplicationTable& aTable, TimePoint aNow);
 
 } // namespace peridotquay
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -1,4 +1,4 @@
-// Intake of requests at the first host and state from the control side.
+// Checks and admits requests at the host where they enter; applies state from the control side.
 #include "peridotquay/process/Dispatcher.h"
 
 #include "peridotquay/process/DispatcherInternal.h"
@@ -15,13 +15,13 @@
 
 namespace {
 
-// Most request ids that one request issues.
-constexpr std::uint64_t kMaxIdsAtOnce = 256;
+// Maximum number of request ids that one request issues.
+constexpr std::uint64_t kMaxIdsPerRequest = 256;
 
-// A timer that fires this much late shows that the socket thread stalled.
-constexpr Duration kStall = milliseconds(5);
+// A timer that fires later than this indicates a stalled socket thread.
+constexpr Duration kStallThreshold = milliseconds(5);
 
-constexpr std::uint64_t kLongestDeadlineMs = 3'600'000;
+constexpr std::uint64_t kMaxDeadlineMs = 3'600'000;
 
 } // namespace
 
@@ -46,12 +46,12 @@
                        ? aSettings.seed_
                        : static_cast<std::uint64_t>(Clock::now().time_since_epoch().count()) | 1U;
   guard_.onContextClosed_ = [this](const std::string& aToken) {
-    const auto entry = deeper_.find(aToken);
-    if (entry == deeper_.end()) {
+    const auto entry = deeperCalls_.find(aToken);
+    if (entry == deeperCalls_.end()) {
       return;
     }
     const std::vector<CallPointer> calls = std::move(entry->second);
-    deeper_.erase(entry);
+    deeperCalls_.erase(entry);
     for (const auto& call : calls) {
       CancelCall(call);
     }
@@ -98,7 +98,7 @@
     return Refusal{ ErrorCode::kUnknownKey };
   }
   if (!settings_.naive_ && FreshnessAge() >= config_->policy_.keyFreshnessBound_) {
-    return Refusal{ ErrorCode::kConfigurationNotFresh, kShedRetryMs };
+    return Refusal{ ErrorCode::kConfigurationNotFresh, kShedRetryAfterMs };
   }
   aCall.call_.clientAccount_ = account->id_;
   if (aCall.route_ != nullptr) {
@@ -116,8 +116,8 @@
 
 Duration Dispatcher::FreshnessAge() const
 {
-  // The monotonic clock stands still while the host is suspended; a withdrawal may have come then.
-  return loop_.Now() - freshness_ + (SuspendedTime() - suspendedAtFreshness_);
+  // The monotonic clock stops while the host is suspended, but a key may be withdrawn meanwhile.
+  return loop_.Now() - freshAsOf_ + (SuspendedTime() - suspendedAtFreshness_);
 }
 
 const ServiceId& Dispatcher::ChooseService(const Route& aRoute)
@@ -126,25 +126,25 @@
   for (const RoutePart& part : aRoute.split_) {
     total += part.weight_;
   }
-  double place = RandomFraction(routing_.random_) * total;
+  double remaining = RandomFraction(routing_.random_) * total;
   for (const RoutePart& part : aRoute.split_) {
-    place -= part.weight_;
-    if (place < 0) {
+    remaining -= part.weight_;
+    if (remaining < 0) {
       return part.service_;
     }
   }
   return aRoute.split_.empty() ? aRoute.service_ : aRoute.split_.front().service_;
 }
 
-std::optional<Dispatcher::Refusal> Dispatcher::ReadLimits(const HttpRequest& aRequest,
-                                                          ActiveCall& aCall) const
+std::optional<Dispatcher::Refusal> Dispatcher::ReadCallHeaders(const HttpRequest& aRequest,
+                                                               ActiveCall& aCall) const
 {
   const Refusal malformed{ ErrorCode::kMalformedRequest };
   const TimePoint now = loop_.Now();
-  aCall.arrived_ = now;
+  aCall.arrivedAt_ = now;
   aCall.deadline_ = now + aCall.route_->deadline_;
   if (const auto text = FindHeader(aRequest.headers_, dialect_.deadlineHeader_)) {
-    const auto value = ParseNumber(*text, kLongestDeadlineMs);
+    const auto value = ParseNumber(*text, kMaxDeadlineMs);
     if (!value || *value == 0) {
       return malformed;
     }
@@ -175,16 +175,16 @@
 {
   metrics_.Add(Counter::kCallerRequests);
   const HttpRequest& request = aExchange->request_;
-  // A repeat under a request id is looked up first: its first use may have run.
+  // A request with an id is looked up even while draining, because an earlier use may have run.
   if (draining_ &&
       !(dialect_.issuesRequestIds_ && FindHeader(request.headers_, "Quay-Request-Id"))) {
     metrics_.Add(Counter::kRefusedDraining);
-    RefuseExchange(aExchange, { ErrorCode::kDraining, kShedRetryMs });
+    RefuseExchange(aExchange, { ErrorCode::kDraining, kShedRetryAfterMs });
     return;
   }
   if (!config_) {
     metrics_.Add(Counter::kRefusedNotFresh);
-    RefuseExchange(aExchange, { ErrorCode::kConfigurationNotFresh, kShedRetryMs });
+    RefuseExchange(aExchange, { ErrorCode::kConfigurationNotFresh, kShedRetryAfterMs });
     return;
   }
   if (dialect_.issuesRequestIds_ && WithoutQuery(request.path_) == "/quay/request-ids") {
@@ -206,7 +206,7 @@
     refusal = Authenticate(request, *call);
   }
   if (!refusal) {
-    refusal = ReadLimits(request, *call);
+    refusal = ReadCallHeaders(request, *call);
   }
   if (refusal) {
     const bool notFresh = refusal->code_ == ErrorCode::kConfigurationNotFresh;
@@ -218,19 +218,20 @@
     call->call_.service_ = ChooseService(*call->route_);
   }
   if (!dialect_.hasContexts_ && call->call_.clientAccount_.value_.empty()) {
-    // A deeper call: its failure wastes the work of the request that it serves.
+    // Without contexts, a request on an open route is a deeper call. Its failure would waste the
+    // work of the request that it serves.
     call->call_.importance_ = Importance::kCritical;
   }
   const auto id = FindHeader(request.headers_, "Quay-Request-Id");
   if (dialect_.issuesRequestIds_ && id && !call->route_->repeatable_) {
     call->requestId_ = *id;
   }
-  Accept(call, aExchange);
+  RegisterCall(call, aExchange);
   if (call->requestId_.empty()) {
-    Limit(call);
+    ApplyRateLimit(call);
   } else {
-    // The token is taken by the host that has the record, and only if the request is to run. A
-    // repeat of a request that ran is thus never refused with "not run".
+    // The host that has the record consumes the token, and only if the request is to run. Thus a
+    // repeat of a request that ran is never refused with "not run".
     BeginWithId(call);
   }
 }
@@ -240,7 +241,7 @@
   metrics_.Add(Counter::kOutboundRequests);
   const HttpRequest& request = aExchange->request_;
   if (!config_) {
-    RefuseExchange(aExchange, { ErrorCode::kConfigurationNotFresh, kShedRetryMs });
+    RefuseExchange(aExchange, { ErrorCode::kConfigurationNotFresh, kShedRetryAfterMs });
     return;
   }
   const auto token = FindHeader(request.headers_, "Quay-Call");
@@ -258,7 +259,7 @@
     RefuseExchange(aExchange, { ErrorCode::kNoRoute });
     return;
   }
-  if (const auto refusal = ReadLimits(request, *call)) {
+  if (const auto refusal = ReadCallHeaders(request, *call)) {
     RefuseExchange(aExchange, *refusal);
     return;
   }
@@ -281,13 +282,14 @@
       return;
     }
     call->contextToken_ = *token;
-    deeper_[call->contextToken_].push_back(call);
+    deeperCalls_[call->contextToken_].push_back(call);
     BeginDeeperCall(*context, loop_.Now());
-    call->lentByContext_ = LendRetries(context->budget_);
-    call->budget_.left_ = call->lentByContext_;
+    call->retriesFromContext_ = LendRetries(context->budget_);
+    call->budget_.left_ = call->retriesFromContext_;
     call->deadline_ = std::min(call->deadline_, context->deadline_);
     call->call_.clientAccount_ = context->clientAccount_;
-    // A deeper call matters as much as the request it serves, whatever the deeper route's class.
+    // A deeper call inherits the importance of the request that it serves and may only lower it;
+    // the importance of its own route doesn't count.
     const auto lowered = FindHeader(request.headers_, "Quay-Importance");
     call->call_.importance_ =
       lowered ? std::max(context->importance_, *ParseImportance(*lowered)) : context->importance_;
@@ -297,23 +299,24 @@
   if (id && !call->route_->repeatable_) {
     call->requestId_ = *id;
   }
-  Accept(call, aExchange);
-  // A deeper call was limited when its caller's request entered.
+  RegisterCall(call, aExchange);
+  // Deeper calls aren't rate-limited: the caller's request consumed a token when it entered.
   if (call->requestId_.empty()) {
-    Begin(call);
+    StartCall(call);
   } else {
     BeginWithId(call);
   }
 }
 
-void Dispatcher::Accept(const CallPointer& aCall, const std::shared_ptr<HttpExchange>& aExchange)
+void Dispatcher::RegisterCall(const CallPointer& aCall,
+                              const std::shared_ptr<HttpExchange>& aExchange)
 {
   HttpRequest& request = aExchange->request_;
   aCall->call_.method_ = request.method_;
   aCall->call_.path_ = request.path_;
   aCall->call_.headers_ = std::move(request.headers_);
-  // The node's own headers end here; above all the caller's key must reach neither peers nor
-  // targets.
+  // Removes headers that are meant for this node only. The caller's key must reach neither peers
+  // nor targets.
   dialect_.rewriteForGuard_(aCall->call_.headers_, settings_.service_);
   if (!aCall->requestId_.empty()) {
     aCall->call_.headers_.emplace_back("Quay-Request-Id", aCall->requestId_);
@@ -325,7 +328,7 @@
   calls_.emplace(aCall.get(), aCall);
   aExchange->onClosed_ = [this, weak = std::weak_ptr(aCall)] {
     const auto call = weak.lock();
-    // A request with an id runs on: its answer is kept for the caller's repeat.
+    // A request with an id continues: its answer is stored for a repeat by the caller.
     if (call && call->requestId_.empty()) {
       CancelCall(call);
     }
@@ -351,7 +354,7 @@
   if (query != std::string::npos) {
     const std::string_view text = std::string_view(request.path_).substr(query + 1);
     const auto value =
-      text.starts_with("count=") ? ParseNumber(text.substr(6), kMaxIdsAtOnce) : std::nullopt;
+      text.starts_with("count=") ? ParseNumber(text.substr(6), kMaxIdsPerRequest) : std::nullopt;
     if (!value || *value == 0) {
       RefuseExchange(aExchange, { ErrorCode::kMalformedRequest });
       return;
@@ -360,7 +363,7 @@
   }
   const auto ids = IssueRequestIds(ledger_, static_cast<std::uint32_t>(count), loop_.Now());
   if (ids.has_error()) {
-    RefuseExchange(aExchange, { ids.assume_error().code_, kShedRetryMs });
+    RefuseExchange(aExchange, { ids.assume_error().code_, kShedRetryAfterMs });
     return;
   }
   metrics_.Add(Counter::kRequestIdsIssued, count);
@@ -368,20 +371,20 @@
   aExchange->Respond(JsonResponse(200, body.dump()));
 }
 
-void Dispatcher::Limit(const CallPointer& aCall)
+void Dispatcher::ApplyRateLimit(const CallPointer& aCall)
 {
   const ClientAccountId& account = aCall->call_.clientAccount_;
   if (account.value_.empty() || aCall->config_->clientAccounts_.at(account).ratePerSecond_ <= 0) {
-    Begin(aCall);
+    StartCall(aCall);
     return;
   }
   const TimePoint now = loop_.Now();
   if (settings_.naive_) {
     if (TakeNaiveToken(naive_, aCall->config_->clientAccounts_.at(account), now)) {
-      Begin(aCall);
+      StartCall(aCall);
     } else {
       metrics_.Add(Counter::kRefusedRate);
-      Refuse(aCall, ErrorCode::kOverRate, kShedRetryMs);
+      Refuse(aCall, ErrorCode::kOverRate, kShedRetryAfterMs);
     }
     return;
   }
@@ -394,7 +397,7 @@
   }
   switch (step.result_) {
     case TakeResult::kTaken:
-      Begin(aCall);
+      StartCall(aCall);
       return;
     case TakeResult::kRefused:
       metrics_.Add(Counter::kRefusedRate);
@@ -415,19 +418,19 @@
     if (!call || call->tokenTimer_ == 0) {
       return;
     }
-    // If this thread stalled, the grant may be among the events that it hasn't seen yet.
-    if (aExtend && loop_.Now() - due > kStall) {
-      WaitForTokens(call, kStall, false);
+    // After a stall of this thread the grant may be among the events that aren't handled yet.
+    if (aExtend && loop_.Now() - due > kStallThreshold) {
+      WaitForTokens(call, kStallThreshold, false);
       return;
     }
     call->tokenTimer_ = 0;
     std::erase(waiting_[call->call_.clientAccount_], call);
     metrics_.Add(Counter::kRefusedRate);
-    Refuse(call, ErrorCode::kOverRate, kShedRetryMs);
+    Refuse(call, ErrorCode::kOverRate, kShedRetryAfterMs);
   });
 }
 
-void Dispatcher::RetryWaiting(const ClientAccountId& aAccount)
+void Dispatcher::ResumeWaitingCalls(const ClientAccountId& aAccount)
 {
   const auto entry = waiting_.find(aAccount);
   if (entry == waiting_.end()) {
@@ -450,7 +453,7 @@
     loop_.CancelTimer(call->tokenTimer_);
     call->tokenTimer_ = 0;
     if (step.result_ == TakeResult::kTaken) {
-      Begin(call);
+      StartCall(call);
     } else {
       metrics_.Add(Counter::kRefusedRate);
       Refuse(call, ErrorCode::kOverRate, step.retryAfterMs_);
@@ -462,13 +465,13 @@
   }
 }
 
-void Dispatcher::Begin(const CallPointer& aCall)
+void Dispatcher::StartCall(const CallPointer& aCall)
 {
   if (!calls_.contains(aCall.get())) {
     return;
   }
-  NoteFirstTry(ratios_[aCall->call_.service_], RetrySettings(*aCall));
-  Attempt(aCall);
+  NoteFirstTry(retryRatios_[aCall->call_.service_], RetrySettings(*aCall));
+  StartAttempt(aCall);
 }
 
 void Dispatcher::SetConfig(std::shared_ptr<const Config> aConfig)
@@ -479,7 +482,7 @@
   config_ = std::move(aConfig);
   routing_.settings_.waitWithinRegion_ = config_->policy_.waitWithinRegion_;
   routing_.settings_.waitBetweenRegions_ = config_->policy_.waitBetweenRegions_;
-  std::erase_if(ratios_, [this](const auto& aEntry) {
+  std::erase_if(retryRatios_, [this](const auto& aEntry) {
     return std::none_of(config_->routes_.begin(), config_->routes_.end(), [&](const Route& aRoute) {
       return aRoute.service_ == aEntry.first ||
              std::any_of(aRoute.split_.begin(), aRoute.split_.end(), [&](const RoutePart& aPart) {
@@ -493,22 +496,22 @@
 {
   targets_ = std::move(aTargets);
   ForgetAbsent(routing_, *targets_);
-  std::erase_if(levels_,
+  std::erase_if(admissionLevels_,
                 [this](const auto& aEntry) { return !targets_->hosts_.contains(aEntry.first); });
 }
 
 void Dispatcher::SetFreshness(TimePoint aFreshness)
 {
-  if (aFreshness > freshness_) {
-    freshness_ = aFreshness;
+  if (aFreshness > freshAsOf_) {
+    freshAsOf_ = aFreshness;
     suspendedAtFreshness_ = SuspendedTime();
   }
 }
 
-void Dispatcher::OnGrant(const ShareGrant& aGrant, TimePoint aAsked)
+void Dispatcher::OnGrant(const ShareGrant& aGrant, TimePoint aRequestedAt)
 {
-  AddGrant(tokens_, aGrant, aAsked);
-  RetryWaiting(aGrant.clientAccount_);
+  AddGrant(tokens_, aGrant, aRequestedAt);
+  ResumeWaitingCalls(aGrant.clientAccount_);
 }
 
 void Dispatcher::ReturnTokens()
@@ -530,7 +533,8 @@
 {
   while (!calls_.empty()) {
     const CallPointer call = calls_.begin()->second;
-    const bool mayRun = call->attempt_ != 0 || call->mayHaveRun_ || !call->requestDigest_.empty();
+    const bool mayRun =
+      call->attemptCallId_ != 0 || call->mayHaveRun_ || !call->requestDigest_.empty();
     CancelAttempt(call);
     if (mayRun) {
       EndUnknown(call, ErrorCode::kOutcomeUnknown);
@@ -543,7 +547,7 @@
 std::vector<RequestHandover> Dispatcher::HandOver()
 {
   auto batches = ExportRecords(ledger_, loop_.Now());
-  for (auto& [key, ledger] : adopted_) {
+  for (auto& [key, ledger] : imported_) {
     if (ledger.complete_) {
       auto more = ExportRecords(ledger, loop_.Now());
       std::move(more.begin(), more.end(), std::back_inserter(batches));
@@ -596,7 +600,7 @@
     route->clientAccounts_.empty() ||
     std::find(route->clientAccounts_.begin(), route->clientAccounts_.end(), account) !=
       route->clientAccounts_.end();
-  const bool fresh = now - freshness_ < config_->policy_.keyFreshnessBound_;
+  const bool fresh = now - freshAsOf_ < config_->policy_.keyFreshnessBound_;
   json["route"] = route->id_.value_;
   json["service"] = route->service_.value_;
   json["importance"] = ImportanceName(route->importance_);
@@ -627,8 +631,8 @@
         entry["reported_load"] = stats->second.reportedLoad_;
         entry["ejected"] = now < stats->second.ejectedUntil_;
       }
-      const auto level = levels_.find(target.host_);
-      if (level != levels_.end() && now - level->second.heard_ < kLevelLifetime) {
+      const auto level = admissionLevels_.find(target.host_);
+      if (level != admissionLevels_.end() && now - level->second.heard_ < kLevelLifetime) {
         entry["lowest_admitted"] = ImportanceName(level->second.level_.lowestAdmitted_);
         entry["admitted_fraction"] = level->second.level_.admittedFraction_;
       }
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -1,4 +1,5 @@
-// The first host's side of a call: authenticate, limit, route, forward with retries, answer.
+// Handles calls at the host where they enter: authenticates, limits the rate, routes, forwards to a
+// guard with retries, and answers.
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
@@ -32,11 +33,12 @@
 
 namespace peridotquay {
 
-/// Used on the socket thread only.
+/// Entry point for requests of callers and for deeper calls, which are calls that the local target
+/// makes while it runs another call. Used on the socket thread only.
 class Dispatcher
 {
 public:
-  /// Takes the final answer of a call.
+  /// Completion handler; receives the final answer of a call.
   using Done = std::function<void(const Answer&)>;
 
   Dispatcher(EventLoop& aLoop,
@@ -50,103 +52,112 @@
   Dispatcher& operator=(const Dispatcher&) = delete;
   ~Dispatcher();
 
-  /// A request from a caller.
+  /// Handles a request from a caller.
   void OnCallerRequest(const std::shared_ptr<HttpExchange>& aExchange);
-  /// A deeper call of the local target.
+  /// Handles a deeper call of the local target.
   void OnOutboundRequest(const std::shared_ptr<HttpExchange>& aExchange);
-  /// A caller's request that another host passed on because this host issued its id.
+  /// Handles a caller's request that another host forwarded because this host issued its id.
   void OnOwnerCall(OwnerCall aCall, Done aDone);
-  /// An answer that came by a peer link, or from the local guard with link 0. Dropped and counted
-  /// if no call waits for it on that link.
+  /// Handles an answer from a peer link, or from the local guard as link 0. An answer that no call
+  /// expects on that link is dropped and counted.
   void OnAnswer(Answer aAnswer, std::uint64_t aLink);
+  /// Handles the reply to a status query that was sent after the connection of a call was lost.
   void OnCallStatusReply(const CallFateReply& aReply, std::uint64_t aLink);
+  /// Handles a call whose connection ended before its answer arrived.
   void OnCallLost(const LostCall& aCall);
-  /// Records of request ids from a leaving host.
+  /// Imports records of request ids from a leaving host.
   void OnHandover(const RequestHandover& aBatch);
 
+  /// Sets the configuration in force; an older version is ignored.
   void SetConfig(std::shared_ptr<const Config> aConfig);
   void SetTargets(std::shared_ptr<const TargetView> aTargets);
+  /// Sets the time at which the configuration was last known to be the latest.
   void SetFreshness(TimePoint aFreshness);
-  void OnGrant(const ShareGrant& aGrant, TimePoint aAsked);
+  /// Adds granted tokens, which were requested at aRequestedAt, and resumes calls that wait for
+  /// them.
+  void OnGrant(const ShareGrant& aGrant, TimePoint aRequestedAt);
 
-  /// Gives back tokens of accounts without recent use. Call about every 100 ms.
+  /// Returns tokens of accounts without recent use. Called every 100 ms.
   void ReturnTokens();
 
-  /// From now on new requests are refused with kDraining.
+  /// Starts the drain: new requests are refused with kDraining.
   void SetDraining();
-  /// Ends all calls: those that may have been sent with outcome unknown, the others with "not run".
+  /// Ends all calls: with outcome unknown if they may have been sent, otherwise with "not run".
   void Abort();
-  /// Closes the ledger and returns its records for the successor.
+  /// Closes the ledgers and returns their records for the successor.
   std::vector<RequestHandover> HandOver();
 
-  /// Calls that aren't answered yet.
+  /// Number of calls without an answer yet.
   std::size_t ActiveCalls() const;
   Version ConfigVersion() const;
+  /// Number of targets of all services in the current view.
   std::size_t TargetCount() const;
+  /// The current view; null before the first one arrives.
   const TargetView* CurrentTargets() const;
-  /// JSON text that tells how a call would be treated now.
+  /// JSON text with the decision that a call to the path would get now, and its inputs.
   std::string Explain(std::string_view aPath, std::string_view aAccount);
 
   /// Sends a request for tokens to the control side.
   std::function<void(ShareRequest)> requestTokens_;
 
 private:
-  /// A caller's request or a deeper call on its way through this host.
+  /// A caller's request or a deeper call that this host handles.
   struct ActiveCall
   {
     std::shared_ptr<const Config> config_; ///< Keeps route_ alive.
     const Route* route_ = nullptr;
-    Call call_; ///< As it is sent to guards; the call id is set for each attempt.
+    Call call_; ///< As sent to guards; the call id is set for each attempt.
     Done done_;
-    TimePoint arrived_{};
+    TimePoint arrivedAt_{};
     TimePoint deadline_{};
     std::uint64_t deadlineTimer_ = 0;
     RetryBudget budget_;
-    std::vector<HostId> excluded_; ///< Hosts that refused or failed this call.
+    std::vector<HostId> excludedHosts_; ///< Hosts that refused or failed this call.
     std::uint32_t retries_ = 0;
-    std::uint32_t placements_ = 0; ///< Guards that refused the call.
-    std::uint32_t sends_ = 0;      ///< Attempts at guards.
+    std::uint32_t guardRefusals_ = 0; ///< Attempts that were refused before a target saw the call.
+    std::uint32_t attemptCount_ = 0;  ///< Attempts sent to guards.
 
     std::string requestId_;      ///< Set if this call runs under a request id.
-    std::uint64_t sequence_ = 0; ///< Record of requestId_ while it runs here; 0 otherwise.
-    std::pair<HostId, Incarnation> ledger_; ///< Where the record is.
+    std::uint64_t sequence_ = 0; ///< Record of requestId_ while this host runs it; else 0.
+    std::pair<HostId, Incarnation> ledger_; ///< Key of the ledger that has the record.
     std::string requestDigest_;
 
-    std::string contextToken_; ///< Deeper calls only.
-    std::uint32_t lentByContext_ = 0;
+    std::string contextToken_; ///< Context of the call that this one serves; deeper calls only.
+    std::uint32_t retriesFromContext_ = 0; ///< Retries lent by that context.
 
-    std::uint64_t attempt_ = 0; ///< Call id of the present attempt; 0 if there is none.
-    bool owner_ = false;        ///< The attempt is an OwnerCall.
-    bool asksFate_ = false;     ///< The connection of the attempt was lost; its fate is asked for.
-    std::uint32_t fateQuestions_ = 0;
-    bool mayHaveRun_ = false; ///< An earlier attempt ended with outcome unknown.
-    Target target_;           ///< Of the attempt.
-    Hello guard_;             ///< The process that the attempt was sent to.
+    std::uint64_t attemptCallId_ = 0; ///< Call id of the current attempt; 0 if there is none.
+    bool isOwnerCall_ = false;   ///< Forwarded to, or received by, the host that issued the id.
+    bool queriesStatus_ = false; ///< The connection was lost and the call's status is queried.
+    std::uint32_t statusQueries_ = 0;
+    bool mayHaveRun_ = false; ///< An attempt ended with outcome unknown.
+    Target target_;           ///< Of the current attempt.
+    Hello guard_;             ///< Process that received the current attempt.
     TimePoint sent_{};
-    std::uint32_t lent_ = 0;       ///< Retries lent to the attempt.
-    std::uint64_t localRun_ = 0;   ///< Number at the local guard.
-    std::uint64_t tokenTimer_ = 0; ///< Set while the call waits for tokens.
+    std::uint32_t lentRetries_ = 0;     ///< Retries lent to the current attempt.
+    std::uint64_t localCallNumber_ = 0; ///< Call number at the local guard; 0 if there is none.
+    std::uint64_t tokenTimer_ = 0;      ///< Set while the call waits for tokens.
   };
   using CallPointer = std::shared_ptr<ActiveCall>;
 
+  /// Reason for a refusal and the hint to the caller.
   struct Refusal
   {
     ErrorCode code_ = ErrorCode::kShed;
     std::uint32_t retryAfterMs_ = 0;
   };
 
-  // Intake.
+  // Checks and admission of requests.
   std::optional<Refusal> Authenticate(const HttpRequest& aRequest, ActiveCall& aCall) const;
   Duration FreshnessAge() const;
   const ServiceId& ChooseService(const Route& aRoute);
-  std::optional<Refusal> ReadLimits(const HttpRequest& aRequest, ActiveCall& aCall) const;
+  std::optional<Refusal> ReadCallHeaders(const HttpRequest& aRequest, ActiveCall& aCall) const;
   bool FindCallRoute(const HttpRequest& aRequest, ActiveCall& aCall) const;
-  void Accept(const CallPointer& aCall, const std::shared_ptr<HttpExchange>& aExchange);
+  void RegisterCall(const CallPointer& aCall, const std::shared_ptr<HttpExchange>& aExchange);
   void IssueIds(const std::shared_ptr<HttpExchange>& aExchange);
-  void Limit(const CallPointer& aCall);
+  void ApplyRateLimit(const CallPointer& aCall);
   void WaitForTokens(const CallPointer& aCall, Duration aWait, bool aExtend);
-  void RetryWaiting(const ClientAccountId& aAccount);
-  void Begin(const CallPointer& aCall);
+  void ResumeWaitingCalls(const ClientAccountId& aAccount);
+  void StartCall(const CallPointer& aCall);
 
   // Request ids.
   RequestLedger* FindLedger(const HostId& aHost, Incarnation aIncarnation);
@@ -156,18 +167,18 @@
   void FinishRecord(const CallPointer& aCall, const Answer& aAnswer);
 
   // Attempts.
-  std::optional<Target> Choose(const CallPointer& aCall, bool& aShedUpstream);
-  void Attempt(const CallPointer& aCall);
+  std::optional<Target> SelectTarget(const CallPointer& aCall, bool& aShedUpstream);
+  void StartAttempt(const CallPointer& aCall);
   Duration AnswerReserve(const Target& aTarget) const;
-  void Send(const CallPointer& aCall, const Target& aTarget);
+  void SendAttempt(const CallPointer& aCall, const Target& aTarget);
   void EndAttempt(const CallPointer& aCall, CallResult aResult, const Answer* aAnswer);
   void OnAttemptAnswer(const CallPointer& aCall, Answer aAnswer);
   void QueryCallStatus(const CallPointer& aCall);
-  bool MayRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget);
+  bool AcquireRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget);
   RetryRatioSettings RetrySettings(const ActiveCall& aCall) const;
   void RetryOrEnd(const CallPointer& aCall, Answer aAnswer, bool aExclude = true);
 
-  // End.
+  // End of a call.
   void OnDeadline(const CallPointer& aCall);
   void CancelCall(const CallPointer& aCall);
   void CancelAttempt(const CallPointer& aCall);
@@ -192,25 +203,28 @@
 
   std::shared_ptr<const Config> config_;
   std::shared_ptr<const TargetView> targets_;
-  TimePoint freshness_{};
-  Duration suspendedAtFreshness_{}; ///< SuspendedTime when freshness_ was set.
+  TimePoint freshAsOf_{};
+  Duration suspendedAtFreshness_{}; ///< SuspendedTime() when freshAsOf_ was set.
   RoutingState routing_;
   TokenCache tokens_;
   NaiveState naive_;
-  std::map<HostId, UpstreamLevel> levels_; ///< By guard; only of hosts in targets_.
-  std::map<ServiceId, RetryRatio> ratios_; ///< Only of services in config_.
+  std::map<HostId, UpstreamLevel>
+    admissionLevels_;                           ///< By host of the guard; only hosts in targets_.
+  std::map<ServiceId, RetryRatio> retryRatios_; ///< Only services in config_.
   RequestLedger ledger_;
-  std::map<std::pair<HostId, Incarnation>, RequestLedger> adopted_;
-  /// Repeats that wait for a running request, by ledger and sequence.
-  std::map<std::tuple<HostId, Incarnation, std::uint64_t>, std::vector<CallPointer>> repeats_;
-  std::map<ClientAccountId, std::deque<CallPointer>> waiting_; ///< For tokens, oldest first.
+  std::map<std::pair<HostId, Incarnation>, RequestLedger> imported_;
+  /// Duplicates that wait for the answer of a running request, by ledger and sequence.
+  std::map<std::tuple<HostId, Incarnation, std::uint64_t>, std::vector<CallPointer>>
+    waitingDuplicates_;
+  std::map<ClientAccountId, std::deque<CallPointer>>
+    waiting_; ///< Calls that wait for tokens, oldest first.
   std::unordered_map<ActiveCall*, CallPointer> calls_;
-  std::unordered_map<std::string, std::vector<CallPointer>> deeper_; ///< By context token.
-  std::unordered_map<std::uint64_t, CallPointer> attempts_;          ///< By call id.
+  std::unordered_map<std::string, std::vector<CallPointer>> deeperCalls_; ///< By context token.
+  std::unordered_map<std::uint64_t, CallPointer> attempts_;               ///< By call id.
   std::uint64_t nextCallId_ = 1;
-  LogThrottle unknownLog_;
+  LogThrottle unknownOutcomeThrottle_;
   RequestLogState requestLog_;
-  LogThrottle droppedLog_;
+  LogThrottle droppedAnswerThrottle_;
   bool draining_ = false;
 };
 
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -1,4 +1,4 @@
-// Attempts of a call at guards: choice, answers, retries, fate of lost calls.
+// Attempts of a call: choice of the target, answers, retries, status queries for lost calls.
 #include "peridotquay/process/Dispatcher.h"
 #include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
@@ -10,24 +10,24 @@
 
 namespace {
 
-// Connections tried for the fate of one call.
-constexpr std::uint32_t kMaxFateQuestions = 3;
+// Maximum number of status queries for one lost call, each on a new connection.
+constexpr std::uint32_t kMaxStatusQueries = 3;
 
-// Most guards that may refuse one call before it is refused for good.
-constexpr std::uint32_t kMaxPlacements = 4;
+// Maximum number of refusals by guards after which a call is still sent to another one.
+constexpr std::uint32_t kMaxGuardRefusals = 4;
 
-// Whether another target may succeed after a refusal.
-bool IsBusy(ErrorCode aCode)
+// Whether another target may run a call that was refused with this code.
+bool MayOtherTargetSucceed(ErrorCode aCode)
 {
   return aCode == ErrorCode::kShed || aCode == ErrorCode::kTargetRefused ||
          aCode == ErrorCode::kTargetUnreachable || aCode == ErrorCode::kDraining ||
          aCode == ErrorCode::kNoTarget || aCode == ErrorCode::kLimitReached ||
-         // The queue of that guard is too long for the deadline; another one may be shorter.
+         // The queue of that guard was too long for the deadline; another guard's may be shorter.
          aCode == ErrorCode::kDeadlineExceeded;
 }
 
-// Load as the guard reported it; negative if it reported none.
-double ReportedLoad(const Answer& aAnswer)
+// Calls at the guard as a fraction of its limit; negative if the answer doesn't report them.
+double ReportedLoadFraction(const Answer& aAnswer)
 {
   return aAnswer.limit_ == 0
            ? -1
@@ -36,7 +36,7 @@
 
 } // namespace
 
-std::optional<Target> Dispatcher::Choose(const CallPointer& aCall, bool& aShedUpstream)
+std::optional<Target> Dispatcher::SelectTarget(const CallPointer& aCall, bool& aShedUpstream)
 {
   if (!targets_) {
     return std::nullopt;
@@ -46,15 +46,16 @@
     return ChooseNaiveTarget(naive_, *targets_, service);
   }
   const TimePoint now = loop_.Now();
-  std::vector<HostId> excluded = aCall->excluded_;
+  std::vector<HostId> excluded = aCall->excludedHosts_;
   while (true) {
     auto target =
       ChooseTarget(routing_, *targets_, service, excluded, now, aCall->route_->objective_);
     if (!target || std::find(excluded.begin(), excluded.end(), target->host_) != excluded.end()) {
       return std::nullopt;
     }
-    const auto level = levels_.find(target->host_);
-    if (level == levels_.end() || UpstreamAdmits(level->second, aCall->call_.importance_, now)) {
+    const auto level = admissionLevels_.find(target->host_);
+    if (level == admissionLevels_.end() ||
+        UpstreamAdmits(level->second, aCall->call_.importance_, now)) {
       return target;
     }
     aShedUpstream = true;
@@ -62,66 +63,66 @@
   }
 }
 
-void Dispatcher::Attempt(const CallPointer& aCall)
+void Dispatcher::StartAttempt(const CallPointer& aCall)
 {
   bool shedUpstream = false;
-  const auto target = Choose(aCall, shedUpstream);
+  const auto target = SelectTarget(aCall, shedUpstream);
   if (target) {
-    Send(aCall, *target);
+    SendAttempt(aCall, *target);
     return;
   }
   if (shedUpstream) {
     metrics_.Add(Counter::kRefusedUpstream);
   }
-  Refuse(aCall, shedUpstream ? ErrorCode::kShed : ErrorCode::kNoTarget, kShedRetryMs);
+  Refuse(aCall, shedUpstream ? ErrorCode::kShed : ErrorCode::kNoTarget, kShedRetryAfterMs);
 }
 
 Duration Dispatcher::AnswerReserve(const Target& aTarget) const
 {
-  return aTarget.region_ == settings_.region_ ? kAnswerReserve : kFarAnswerReserve;
+  return aTarget.region_ == settings_.region_ ? kAnswerReserve : kOtherRegionAnswerReserve;
 }
 
-void Dispatcher::Send(const CallPointer& aCall, const Target& aTarget)
+void Dispatcher::SendAttempt(const CallPointer& aCall, const Target& aTarget)
 {
   const TimePoint now = loop_.Now();
   metrics_.Add(Counter::kAttempts);
   ActiveCall& call = *aCall;
   call.target_ = aTarget;
-  ++call.sends_;
+  ++call.attemptCount_;
   call.sent_ = now;
-  call.asksFate_ = false;
-  call.fateQuestions_ = 0;
+  call.queriesStatus_ = false;
+  call.statusQueries_ = 0;
   call.guard_ = {};
-  call.localRun_ = 0;
-  call.attempt_ = nextCallId_++;
-  call.lent_ = dialect_.hasContexts_ ? LendRetries(call.budget_) : 0;
-  call.call_.callId_ = call.attempt_;
-  call.call_.retries_ = call.lent_;
+  call.localCallNumber_ = 0;
+  call.attemptCallId_ = nextCallId_++;
+  call.lentRetries_ = dialect_.hasContexts_ ? LendRetries(call.budget_) : 0;
+  call.call_.callId_ = call.attemptCallId_;
+  call.call_.retries_ = call.lentRetries_;
   const auto left =
     std::chrono::duration_cast<milliseconds>(call.deadline_ - now - AnswerReserve(aTarget)).count();
   call.call_.deadlineMs_ = static_cast<std::uint32_t>(std::max<std::int64_t>(1, left));
-  attempts_[call.attempt_] = aCall;
+  attempts_[call.attemptCallId_] = aCall;
   if (!settings_.naive_) {
     NoteSent(routing_, aTarget);
   }
   if (aTarget.host_ != settings_.host_) {
-    hub_.SendCall(aTarget.peer_, call.attempt_, call.call_);
+    hub_.SendCall(aTarget.peer_, call.attemptCallId_, call.call_);
     return;
   }
   guard_.Run(
     call.call_,
-    [&call](std::uint64_t aNumber) { call.localRun_ = aNumber; },
+    [&call](std::uint64_t aNumber) { call.localCallNumber_ = aNumber; },
     [this](Answer aAnswer) { OnAnswer(std::move(aAnswer), 0); });
 }
 
 void Dispatcher::OnAnswer(Answer aAnswer, std::uint64_t aLink)
 {
   const auto entry = attempts_.find(aAnswer.callId_);
-  // The call must wait for its answer on this very connection.
+  // The answer counts only on the connection on which the call expects it.
   if (entry == attempts_.end() || hub_.LinkOf(aAnswer.callId_) != aLink) {
     metrics_.Add(Counter::kDroppedAnswers);
     std::uint64_t skipped = 0;
-    if (droppedLog_.Allow(loop_.Now(), skipped)) {
+    if (droppedAnswerThrottle_.Allow(loop_.Now(), skipped)) {
       LogEvent(
         Event::kAnswerDropped,
         { { "call", std::to_string(aAnswer.callId_) }, { "skipped", std::to_string(skipped) } });
@@ -136,14 +137,14 @@
 void Dispatcher::EndAttempt(const CallPointer& aCall, CallResult aResult, const Answer* aAnswer)
 {
   ActiveCall& call = *aCall;
-  attempts_.erase(call.attempt_);
-  call.attempt_ = 0;
-  call.asksFate_ = false;
-  call.localRun_ = 0;
-  // Lent retries whose answer never came count as spent.
-  ReturnRetries(call.budget_, call.lent_, aAnswer == nullptr ? 0 : aAnswer->retriesUnused_);
-  call.lent_ = 0;
-  if (call.owner_ || settings_.naive_) {
+  attempts_.erase(call.attemptCallId_);
+  call.attemptCallId_ = 0;
+  call.queriesStatus_ = false;
+  call.localCallNumber_ = 0;
+  // Without an answer, all lent retries count as spent.
+  ReturnRetries(call.budget_, call.lentRetries_, aAnswer == nullptr ? 0 : aAnswer->retriesUnused_);
+  call.lentRetries_ = 0;
+  if (call.isOwnerCall_ || settings_.naive_) {
     return;
   }
   const TimePoint now = loop_.Now();
@@ -151,13 +152,13 @@
             call.target_,
             aResult,
             now - call.sent_,
-            aAnswer == nullptr ? -1 : ReportedLoad(*aAnswer),
+            aAnswer == nullptr ? -1 : ReportedLoadFraction(*aAnswer),
             now);
   if (aAnswer != nullptr && aAnswer->limit_ != 0) {
     NoteFailedPart(routing_, call.target_, aAnswer->failedPercent_ / 100.0, now);
-    const auto [level, isNew] = levels_.try_emplace(call.target_.host_);
+    const auto [level, isNew] = admissionLevels_.try_emplace(call.target_.host_);
     if (isNew) {
-      // Each level has its own sequence, so that probes of several guards don't come together.
+      // Each guard has its own random sequence, so that probes of several guards don't coincide.
       level->second.random_ ^= routing_.random_ * nextCallId_;
     }
     NoteLevel(level->second, aAnswer->level_, now);
@@ -166,14 +167,14 @@
 
 void Dispatcher::OnAttemptAnswer(const CallPointer& aCall, Answer aAnswer)
 {
-  // The guard declares the length, so a body that lost bytes on the way can't pass as whole.
+  // A body shorter than the guard declared is reported as truncated.
   if (aAnswer.outcome_ != Outcome::kNotRun && aCall->call_.method_ != "HEAD" &&
       aAnswer.bodyBytes_ != aAnswer.body_.size()) {
     const std::uint32_t unused = aAnswer.retriesUnused_;
     aAnswer = MakeAnswer(Outcome::kUnknown, ErrorCode::kTruncatedAnswer);
     aAnswer.retriesUnused_ = unused;
   }
-  const bool owner = aCall->owner_;
+  const bool owner = aCall->isOwnerCall_;
   CallResult result = CallResult::kAnswered;
   if (aAnswer.outcome_ == Outcome::kNotRun) {
     const bool unreachable =
@@ -185,7 +186,7 @@
   }
   EndAttempt(aCall, result, &aAnswer);
   if (owner) {
-    // The owner has retried already.
+    // The owner has already retried.
     End(aCall, std::move(aAnswer));
     return;
   }
@@ -200,7 +201,7 @@
   };
 }
 
-bool Dispatcher::MayRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget)
+bool Dispatcher::AcquireRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget)
 {
   if (loop_.Now() >= aCall->deadline_) {
     return false;
@@ -210,11 +211,11 @@
   }
   if (!dialect_.hasContexts_ && !aReachedTarget) {
     // No target has seen the call, so sending it elsewhere adds no load to any.
-    return ++aCall->placements_ <= kMaxPlacements;
+    return ++aCall->guardRefusals_ <= kMaxGuardRefusals;
   }
-  // The ratio protects services that are slow or failing. A try that found no host cost them
-  // nothing.
-  const bool inRatio = !aReachedHost || TakeRetryToken(ratios_[aCall->call_.service_],
+  // The retry ratio protects slow or failing services. An attempt that reached no host added no
+  // load to them.
+  const bool inRatio = !aReachedHost || TakeRetryToken(retryRatios_[aCall->call_.service_],
                                                        RetrySettings(*aCall),
                                                        loop_.Now(),
                                                        aCall->mayHaveRun_);
@@ -228,8 +229,8 @@
 void Dispatcher::RetryOrEnd(const CallPointer& aCall, Answer aAnswer, bool aExclude)
 {
   const auto code = static_cast<ErrorCode>(aAnswer.error_);
-  // A target's own 504 is an answer; it is passed on.
-  const bool retryable = (aAnswer.outcome_ == Outcome::kNotRun && IsBusy(code)) ||
+  // Status 504 from a target is an answer and is passed on.
+  const bool retryable = (aAnswer.outcome_ == Outcome::kNotRun && MayOtherTargetSucceed(code)) ||
                          (aAnswer.outcome_ == Outcome::kUnknown && aAnswer.status_ == 0 &&
                           aCall->call_.repeatable_ && code != ErrorCode::kDeadlineExceeded);
   aCall->mayHaveRun_ = aCall->mayHaveRun_ || aAnswer.outcome_ == Outcome::kUnknown;
@@ -238,20 +239,20 @@
     return;
   }
   if (aExclude) {
-    aCall->excluded_.push_back(aCall->target_.host_);
+    aCall->excludedHosts_.push_back(aCall->target_.host_);
   }
   bool shedUpstream = false;
-  auto target = Choose(aCall, shedUpstream);
+  auto target = SelectTarget(aCall, shedUpstream);
   if (!target && aAnswer.outcome_ == Outcome::kUnknown) {
-    // A host that lost a call isn't overloaded; without another one it is tried again.
-    aCall->excluded_.clear();
-    target = Choose(aCall, shedUpstream);
+    // Losing a call doesn't indicate overload, so without another host the same one is used again.
+    aCall->excludedHosts_.clear();
+    target = SelectTarget(aCall, shedUpstream);
   }
   const bool reachedHost =
     aAnswer.outcome_ != Outcome::kNotRun || code != ErrorCode::kTargetUnreachable;
   const bool reachedTarget =
     aAnswer.outcome_ != Outcome::kNotRun || code == ErrorCode::kTargetRefused;
-  if (!target || !MayRetry(aCall, reachedHost, reachedTarget)) {
+  if (!target || !AcquireRetry(aCall, reachedHost, reachedTarget)) {
     End(aCall, std::move(aAnswer));
     return;
   }
@@ -267,7 +268,7 @@
                { "reason", std::string(ErrorName(code)) },
                { "may_have_run", aCall->mayHaveRun_ ? "true" : "false" } });
   }
-  Send(aCall, *target);
+  SendAttempt(aCall, *target);
 }
 
 void Dispatcher::OnCallLost(const LostCall& aCall)
@@ -277,24 +278,24 @@
     return;
   }
   const CallPointer call = entry->second;
-  if (call->asksFate_) {
-    if (aCall.sent_ && call->fateQuestions_ < kMaxFateQuestions) {
+  if (call->queriesStatus_) {
+    if (aCall.sent_ && call->statusQueries_ < kMaxStatusQueries) {
       QueryCallStatus(call);
       return;
     }
-    // The host can't be reached any more.
+    // The host can no longer be reached, or all queries are used up.
     Answer answer = MakeAnswer(Outcome::kUnknown, ErrorCode::kOutcomeUnknown);
     EndAttempt(call, CallResult::kFailed, nullptr);
     RetryOrEnd(call, std::move(answer));
     return;
   }
-  if (call->owner_) {
-    // The id makes it safe to ask the same owner again.
+  if (call->isOwnerCall_) {
+    // The request id makes it safe to forward the call to the owner again.
     EndAttempt(call, CallResult::kFailed, nullptr);
-    if (aCall.sent_ && MayRetry(call, true, true)) {
+    if (aCall.sent_ && AcquireRetry(call, true, true)) {
       metrics_.Add(Counter::kRetries);
       ++call->retries_;
-      call->owner_ = false;
+      call->isOwnerCall_ = false;
       BeginWithId(call);
       return;
     }
@@ -303,7 +304,7 @@
   }
   if (!aCall.sent_) {
     Answer answer = MakeAnswer(Outcome::kNotRun, ErrorCode::kTargetUnreachable);
-    answer.retriesUnused_ = call->lent_;
+    answer.retriesUnused_ = call->lentRetries_;
     EndAttempt(call, CallResult::kUnreachable, &answer);
     RetryOrEnd(call, std::move(answer));
     return;
@@ -314,7 +315,7 @@
     return;
   }
   EndAttempt(call, CallResult::kFailed, nullptr);
-  // A silent connection says nothing about the host, so the host may be chosen again.
+  // A silent connection says nothing about its host, which may be chosen again.
   RetryOrEnd(call,
              MakeAnswer(Outcome::kUnknown, ErrorCode::kOutcomeUnknown),
              aCall.end_ != LinkEnd::kSilent);
@@ -323,34 +324,35 @@
 void Dispatcher::QueryCallStatus(const CallPointer& aCall)
 {
   metrics_.Add(Counter::kFatesAsked);
-  aCall->asksFate_ = true;
-  ++aCall->fateQuestions_;
-  hub_.SendCall(
-    aCall->target_.peer_, aCall->attempt_, CallFate{ ledger_.incarnation_, aCall->attempt_ });
+  aCall->queriesStatus_ = true;
+  ++aCall->statusQueries_;
+  hub_.SendCall(aCall->target_.peer_,
+                aCall->attemptCallId_,
+                CallFate{ ledger_.incarnation_, aCall->attemptCallId_ });
 }
 
 void Dispatcher::OnCallStatusReply(const CallFateReply& aReply, std::uint64_t aLink)
 {
   const auto entry = attempts_.find(aReply.callId_);
-  if (entry == attempts_.end() || !entry->second->asksFate_ ||
+  if (entry == attempts_.end() || !entry->second->queriesStatus_ ||
       hub_.LinkOf(aReply.callId_) != aLink) {
     return;
   }
   const CallPointer call = entry->second;
   const Hello* peer = hub_.PeerOf(aReply.callId_);
-  // Another incarnation has another table: its "never arrived" says nothing of the call.
+  // A new incarnation has a new table, so its "never arrived" says nothing about the call.
   const bool same = peer != nullptr && *peer == call->guard_;
   if (same && (aReply.fate_ == Fate::kRunning || aReply.fate_ == Fate::kDone ||
                aReply.fate_ == Fate::kRefused)) {
-    // The answer follows on this connection; until then it is watched like a call's.
+    // The answer follows on this connection, which is monitored for silence as for any call.
     return;
   }
   hub_.EndCall(aReply.callId_);
   if (same && aReply.fate_ == Fate::kNeverArrived) {
     Answer answer = MakeAnswer(Outcome::kNotRun, ErrorCode::kTargetUnreachable);
-    answer.retriesUnused_ = call->lent_;
+    answer.retriesUnused_ = call->lentRetries_;
     EndAttempt(call, CallResult::kFailed, &answer);
-    // The host has just answered, so it may be chosen again.
+    // The host has just replied, so it may be chosen again.
     RetryOrEnd(call, std::move(answer), false);
     return;
   }
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -1,4 +1,4 @@
-// End of a call: deadline, cancellation, refusal and the answer to the caller.
+// Ends calls: deadline, cancellation, refusal, and the answer to the caller.
 #include "peridotquay/process/Dispatcher.h"
 #include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
@@ -10,7 +10,8 @@
 
 namespace {
 
-std::string_view Detail(ErrorCode aCode)
+// Explanation of a failure for the body of the HTTP answer.
+std::string_view ErrorDetail(ErrorCode aCode)
 {
   switch (aCode) {
     case ErrorCode::kMalformedRequest:
@@ -58,12 +59,13 @@
   }
 }
 
+// Whole milliseconds as text.
 std::string WholeMs(Duration aDuration)
 {
   return std::to_string(std::chrono::duration_cast<milliseconds>(aDuration).count());
 }
 
-// Status of a target's answer, or the name of the failure.
+// HTTP status of the target's answer, or the name of the failure.
 std::string ReasonOf(const Answer& aAnswer)
 {
   return aAnswer.error_ == 0 ? std::to_string(aAnswer.status_)
@@ -77,13 +79,14 @@
   if (!calls_.contains(aCall.get())) {
     return;
   }
-  const bool mayRun = aCall->attempt_ != 0 || aCall->mayHaveRun_;
+  const bool mayRun = aCall->attemptCallId_ != 0 || aCall->mayHaveRun_;
   CancelAttempt(aCall);
   if (mayRun) {
     EndUnknown(aCall, ErrorCode::kDeadlineExceeded);
     return;
   }
-  // A repeat that waits for a running request: that request may run, so "not run" would be false.
+  // A duplicate that waits for a running request: that request may have run, so "not run" would be
+  // false.
   const bool repeat = !aCall->requestId_.empty() && !aCall->requestDigest_.empty();
   if (repeat) {
     EndUnknown(aCall, ErrorCode::kDeadlineExceeded);
@@ -94,11 +97,11 @@
 
 void Dispatcher::CancelAttempt(const CallPointer& aCall)
 {
-  if (aCall->attempt_ == 0) {
+  if (aCall->attemptCallId_ == 0) {
     return;
   }
-  const std::uint64_t attempt = aCall->attempt_;
-  const std::uint64_t localRun = aCall->localRun_;
+  const std::uint64_t attempt = aCall->attemptCallId_;
+  const std::uint64_t localRun = aCall->localCallNumber_;
   EndAttempt(aCall,
              loop_.Now() >= aCall->deadline_ ? CallResult::kTimedOut : CallResult::kCancelled,
              nullptr);
@@ -133,21 +136,21 @@
       std::erase(queue->second, aCall);
     }
   }
-  // An earlier attempt may have run, so a refusal of a later one doesn't mean "not run".
+  // An earlier attempt may have run, so a refusal of the last one doesn't mean "not run".
   if (call.mayHaveRun_ && aAnswer.outcome_ == Outcome::kNotRun) {
     aAnswer.outcome_ = Outcome::kUnknown;
   }
   aAnswer.retriesUnused_ = call.budget_.left_;
   if (!call.contextToken_.empty()) {
-    const auto deeper = deeper_.find(call.contextToken_);
-    if (deeper != deeper_.end()) {
+    const auto deeper = deeperCalls_.find(call.contextToken_);
+    if (deeper != deeperCalls_.end()) {
       std::erase(deeper->second, aCall);
       if (deeper->second.empty()) {
-        deeper_.erase(deeper);
+        deeperCalls_.erase(deeper);
       }
     }
     if (CallContext* context = guard_.Context(call.contextToken_)) {
-      ReturnRetries(context->budget_, call.lentByContext_, call.budget_.left_);
+      ReturnRetries(context->budget_, call.retriesFromContext_, call.budget_.left_);
       EndDeeperCall(*context, loop_.Now());
     }
   }
@@ -167,7 +170,7 @@
       break;
   }
   if (call.contextToken_.empty()) {
-    const Duration time = loop_.Now() - call.arrived_;
+    const Duration time = loop_.Now() - call.arrivedAt_;
     metrics_.Note(Timing::kCaller, time);
     metrics_.NoteRoute(call.call_.route_.value_, time);
   }
@@ -201,11 +204,11 @@
              { "account", aCall.call_.clientAccount_.value_ },
              { "version", std::to_string(aCall.config_->version_) },
              { "fresh_ms", WholeMs(FreshnessAge()) },
-             { "attempts", std::to_string(aCall.sends_) },
+             { "attempts", std::to_string(aCall.attemptCount_) },
              { "target", aCall.target_.host_.value_ },
              { "outcome", std::string(OutcomeName(aAnswer.outcome_)) },
              { "reason", ReasonOf(aAnswer) },
-             { "ms", WholeMs(now - aCall.arrived_) },
+             { "ms", WholeMs(now - aCall.arrivedAt_) },
              { "left_out", std::to_string(leftOut) } });
 }
 
@@ -227,8 +230,8 @@
 void Dispatcher::LogUnknown(const ActiveCall& aCall, ErrorCode aCode)
 {
   std::uint64_t skipped = 0;
-  // A caller that closed its connection is told nothing.
-  if (aCode != ErrorCode::kCancelled && unknownLog_.Allow(loop_.Now(), skipped)) {
+  // A cancelled call has no caller left that would receive the unknown outcome.
+  if (aCode != ErrorCode::kCancelled && unknownOutcomeThrottle_.Allow(loop_.Now(), skipped)) {
     LogEvent(Event::kOutcomeUnknown,
              { { "route", aCall.call_.route_.value_ },
                { "reason", std::string(ErrorName(aCode)) },
@@ -252,7 +255,7 @@
   metrics_.Add(Counter::kAnswersNotRun);
   LogRefusal(aExchange->request_, aRefusal.code_);
   aExchange->Respond(dialect_.failure_(
-    aRefusal.code_, Outcome::kNotRun, Detail(aRefusal.code_), aRefusal.retryAfterMs_));
+    aRefusal.code_, Outcome::kNotRun, ErrorDetail(aRefusal.code_), aRefusal.retryAfterMs_));
 }
 
 void Dispatcher::Respond(const std::shared_ptr<HttpExchange>& aExchange,
@@ -261,12 +264,14 @@
 {
   HttpResponse response;
   const auto code = static_cast<ErrorCode>(aAnswer.error_);
-  // A failure of the target keeps its own status unless nothing is known of the work.
+  // An answer with a status is passed on, also a failure, unless the outcome is unknown. Only a 504
+  // of the target is passed on in that case too.
   if (aAnswer.status_ == 0 || (aAnswer.outcome_ == Outcome::kUnknown && aAnswer.status_ != 504)) {
     const auto shown = aAnswer.error_ == 0 ? ErrorCode::kOutcomeUnknown : code;
-    response = dialect_.failure_(shown, aAnswer.outcome_, Detail(shown), aAnswer.retryAfterMs_);
+    response =
+      dialect_.failure_(shown, aAnswer.outcome_, ErrorDetail(shown), aAnswer.retryAfterMs_);
   } else if (IsBodyDropped(aAnswer)) {
-    // The request ran, but its answer can't be given whole any more.
+    // The request ran, but the body of its answer wasn't stored.
     response = ErrorResponse(
       ErrorCode::kTruncatedAnswer, Outcome::kRan, "the answer was too large to keep for a repeat");
     response.status_ = 410;
--- a/peridotquay/process/DispatcherInternal.h
+++ b/peridotquay/process/DispatcherInternal.h
@@ -1,4 +1,4 @@
-// Answers that a node makes itself, and constants that the parts of the dispatcher share.
+// Constants and helpers that the source files of the dispatcher share.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -10,16 +10,18 @@
 
 namespace peridotquay {
 
-/// A guard gives up this much before the first host, so that its answer still arrives in time.
+/// A guard's deadline is this much earlier than the entry host's, so that its answer arrives in
+/// time.
 inline constexpr Duration kAnswerReserve = milliseconds(5);
 
-/// The same for a guard in another region: its answer takes about 20 ms, and the call as long.
-inline constexpr Duration kFarAnswerReserve = milliseconds(60);
+/// Reserve for a guard in another region: the call and its answer take about 20 ms each.
+inline constexpr Duration kOtherRegionAnswerReserve = milliseconds(60);
 
-/// Hint to callers that were refused because guards shed their class: one lifetime of a level.
-inline constexpr std::uint32_t kShedRetryMs = 1000;
+/// Retry hint in milliseconds for callers that were refused because of load shedding; equals the
+/// lifetime of an admission level.
+inline constexpr std::uint32_t kShedRetryAfterMs = 1000;
 
-/// An answer without status and body; aRetryAfterMs is a hint, 0 for none.
+/// An answer that the node makes itself, without status and body. A hint of 0 gives none.
 inline Answer MakeAnswer(Outcome aOutcome, ErrorCode aCode, std::uint32_t aRetryAfterMs = 0)
 {
   Answer answer;
--- a/peridotquay/process/DispatcherRequestIds.cpp
+++ b/peridotquay/process/DispatcherRequestIds.cpp
@@ -1,4 +1,4 @@
-// Requests under an id: records, calls to the issuing host, handover.
+// Requests with an id: records, forwarding to the host that issued the id, handover.
 #include "peridotquay/process/Dispatcher.h"
 #include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Most leaving incarnations whose records are kept.
-constexpr std::size_t kMaxAdopted = 64;
+// Maximum number of leaving incarnations whose records are kept.
+constexpr std::size_t kMaxImportedLedgers = 64;
 
 } // namespace
 
@@ -20,8 +20,8 @@
   if (aHost == settings_.host_ && aIncarnation == ledger_.incarnation_) {
     return &ledger_;
   }
-  const auto adopted = adopted_.find({ aHost, aIncarnation });
-  return adopted == adopted_.end() ? nullptr : &adopted->second;
+  const auto adopted = imported_.find({ aHost, aIncarnation });
+  return adopted == imported_.end() ? nullptr : &adopted->second;
 }
 
 void Dispatcher::BeginWithId(const CallPointer& aCall)
@@ -44,8 +44,8 @@
   const auto owner =
     view == nullptr ? std::map<HostId, Address>::const_iterator() : view->hosts_.find(parts.host_);
   if (parts.host_ == settings_.host_ || view == nullptr || owner == view->hosts_.end() ||
-      aCall->owner_) {
-    // The incarnation that issued the id is gone, and with it the record.
+      aCall->isOwnerCall_) {
+    // The incarnation that issued the id no longer exists, and its record is lost.
     EndUnknown(aCall, ErrorCode::kOutcomeUnknown);
     return;
   }
@@ -69,19 +69,20 @@
   switch (begun.assume_value()) {
     case BeginResult::kRun:
       aCall->sequence_ = aSequence;
-      aCall->owner_ = false;
+      aCall->isOwnerCall_ = false;
       if (draining_) {
-        Refuse(aCall, ErrorCode::kDraining, kShedRetryMs);
+        Refuse(aCall, ErrorCode::kDraining, kShedRetryAfterMs);
         return;
       }
       if (aCall->call_.depth_ == 0) {
-        Limit(aCall);
+        ApplyRateLimit(aCall);
       } else {
-        Begin(aCall);
+        StartCall(aCall);
       }
       return;
     case BeginResult::kWait:
-      repeats_[{ aCall->ledger_.first, aCall->ledger_.second, aSequence }].push_back(aCall);
+      waitingDuplicates_[{ aCall->ledger_.first, aCall->ledger_.second, aSequence }].push_back(
+        aCall);
       return;
     case BeginResult::kRepeat: {
       metrics_.Add(Counter::kRepeatsAnswered);
@@ -94,18 +95,18 @@
 
 void Dispatcher::SendToOwner(const CallPointer& aCall, const Address& aOwner)
 {
-  aCall->owner_ = true;
-  aCall->attempt_ = nextCallId_++;
+  aCall->isOwnerCall_ = true;
+  aCall->attemptCallId_ = nextCallId_++;
   aCall->sent_ = loop_.Now();
-  aCall->lent_ = LendRetries(aCall->budget_);
-  aCall->call_.callId_ = aCall->attempt_;
-  aCall->call_.retries_ = aCall->lent_;
+  aCall->lentRetries_ = LendRetries(aCall->budget_);
+  aCall->call_.callId_ = aCall->attemptCallId_;
+  aCall->call_.retries_ = aCall->lentRetries_;
   const auto left =
     std::chrono::duration_cast<milliseconds>(aCall->deadline_ - aCall->sent_ - kAnswerReserve)
       .count();
   aCall->call_.deadlineMs_ = static_cast<std::uint32_t>(std::max<std::int64_t>(1, left));
-  attempts_[aCall->attempt_] = aCall;
-  hub_.SendCall(aOwner, aCall->attempt_, OwnerCall{ aCall->requestId_, aCall->call_ });
+  attempts_[aCall->attemptCallId_] = aCall;
+  hub_.SendCall(aOwner, aCall->attemptCallId_, OwnerCall{ aCall->requestId_, aCall->call_ });
 }
 
 void Dispatcher::OnOwnerCall(OwnerCall aCall, Done aDone)
@@ -127,21 +128,21 @@
     refuse(ErrorCode::kNoRoute);
     return;
   }
-  call->arrived_ = loop_.Now();
-  call->deadline_ = call->arrived_ + milliseconds(aCall.call_.deadlineMs_);
+  call->arrivedAt_ = loop_.Now();
+  call->deadline_ = call->arrivedAt_ + milliseconds(aCall.call_.deadlineMs_);
   call->budget_.left_ = aCall.call_.retries_;
   call->requestId_ = std::move(aCall.requestId_);
   call->call_ = std::move(aCall.call_);
   call->call_.repeatable_ = false;
-  // Marks that the call must not be passed on again: two hosts with different views could loop.
-  call->owner_ = true;
+  // Prevents a second forwarding: hosts with different views could forward in a loop.
+  call->isOwnerCall_ = true;
   call->done_ = std::move(aDone);
   calls_.emplace(call.get(), call);
   call->deadlineTimer_ =
-    loop_.After(call->deadline_ - call->arrived_, [this, weak = std::weak_ptr(call)] {
-      if (const auto late = weak.lock()) {
-        late->deadlineTimer_ = 0;
-        OnDeadline(late);
+    loop_.After(call->deadline_ - call->arrivedAt_, [this, weak = std::weak_ptr(call)] {
+      if (const auto expiredCall = weak.lock()) {
+        expiredCall->deadlineTimer_ = 0;
+        OnDeadline(expiredCall);
       }
     });
   BeginWithId(call);
@@ -155,12 +156,12 @@
   }
   FinishRequest(*ledger, aCall->sequence_, aAnswer);
   const auto waiting =
-    repeats_.find({ aCall->ledger_.first, aCall->ledger_.second, aCall->sequence_ });
-  if (waiting == repeats_.end()) {
+    waitingDuplicates_.find({ aCall->ledger_.first, aCall->ledger_.second, aCall->sequence_ });
+  if (waiting == waitingDuplicates_.end()) {
     return;
   }
   const std::vector<CallPointer> calls = std::move(waiting->second);
-  repeats_.erase(waiting);
+  waitingDuplicates_.erase(waiting);
   for (const auto& call : calls) {
     metrics_.Add(Counter::kRepeatsAnswered);
     Answer answer = aAnswer;
@@ -172,17 +173,18 @@
 void Dispatcher::OnHandover(const RequestHandover& aBatch)
 {
   const auto key = std::make_pair(aBatch.host_, aBatch.incarnation_);
-  if (!adopted_.contains(key) && adopted_.size() >= kMaxAdopted) {
-    for (auto& [adoptedKey, ledger] : adopted_) {
+  if (!imported_.contains(key) && imported_.size() >= kMaxImportedLedgers) {
+    for (auto& [adoptedKey, ledger] : imported_) {
       ExpireRecords(ledger, loop_.Now());
     }
-    std::erase_if(adopted_, [](const auto& aEntry) { return aEntry.second.records_.empty(); });
-    if (adopted_.size() >= kMaxAdopted) {
+    std::erase_if(imported_, [](const auto& aEntry) { return aEntry.second.records_.empty(); });
+    if (imported_.size() >= kMaxImportedLedgers) {
       return;
     }
   }
-  // A batch that doesn't fit leaves the ledger closed, so that its ids answer "outcome unknown".
-  static_cast<void>(ImportRecords(adopted_[key], aBatch, loop_.Now()));
+  // A batch that can't be imported leaves the ledger closed; its ids are then answered with outcome
+  // unknown.
+  static_cast<void>(ImportRecords(imported_[key], aBatch, loop_.Now()));
 }
 
 } // namespace peridotquay
--- a/peridotquay/process/Error.cpp
+++ b/peridotquay/process/Error.cpp
@@ -1,4 +1,4 @@
-// Names and text form of errors.
+// Names and text of errors.
 #include "peridotquay/process/Error.h"
 
 namespace peridotquay {
--- a/peridotquay/process/Error.h
+++ b/peridotquay/process/Error.h
@@ -1,4 +1,4 @@
-// Typed errors. Every failure has an ErrorCode; the details say where it happened.
+// Typed errors: an ErrorCode and details of the subject and location.
 #pragma once
 
 #include <boost/outcome/result.hpp>
@@ -9,8 +9,8 @@
 
 namespace peridotquay {
 
-/// Kinds of failure. Names are stable: they appear in HTTP error bodies, logs and the command
-/// line's JSON.
+/// Kinds of failure. Their names (ErrorName) are stable: they appear in HTTP error bodies, logs and
+/// the JSON of the command line.
 enum class ErrorCode : std::uint16_t
 {
   // Callers' requests.
@@ -72,7 +72,7 @@
 /// Stable lower-case name of a code, for example "over-rate".
 std::string_view ErrorName(ErrorCode aCode);
 
-/// Place in a settings or configuration file. Line and column count from 1; 0 means unknown.
+/// Location in a settings or configuration file. Line and column start at 1; 0 means unknown.
 struct SourceLocation
 {
   std::string file_;
@@ -81,20 +81,20 @@
   bool operator==(const SourceLocation&) const = default;
 };
 
-/// A failure: its code, what it concerns, and for settings the place and the allowed values.
+/// A failure: its code, its subject, and for settings their location and the allowed values.
 struct Error
 {
   ErrorCode code_ = ErrorCode::kMalformedRequest;
   /// The setting, header, host or entity concerned. Never holds a caller's key.
   std::string subject_;
-  /// Allowed range or value, or what was found instead; empty if nothing useful can be said.
+  /// The allowed range or value, or the value found instead; empty if neither applies.
   std::string allowed_;
-  /// Place in a file; empty for errors without one.
+  /// Location in a file; empty for errors without one.
   SourceLocation location_;
   bool operator==(const Error&) const = default;
 };
 
-/// One line for people: place, name, subject and allowed values.
+/// Human-readable line with location, name, subject and allowed values.
 std::string Describe(const Error& aError);
 
 /// A value or an Error.
--- a/peridotquay/process/Events.cpp
+++ b/peridotquay/process/Events.cpp
@@ -1,4 +1,4 @@
-// Writes numbered events through glog.
+// Writes numbered events to the log output or through glog.
 #include "peridotquay/process/Events.h"
 
 #include "peridotquay/process/LogOutput.h"
--- a/peridotquay/process/Events.h
+++ b/peridotquay/process/Events.h
@@ -1,4 +1,4 @@
-// Numbered log events. The catalogue is docs/events.md; tools/check_events.py keeps both in step.
+// Numbered log events, catalogued in docs/events.md; tools/check_events.py checks that both agree.
 #pragma once
 
 #include <cstdint>
@@ -71,18 +71,18 @@
 #undef PERIDOTQUAY_EVENT_ENUM
 };
 
-/// One key=value pair of a log line. Values with spaces are quoted.
+/// One key=value pair of a log line. Empty values and values with spaces, quotes or "=" are quoted.
 struct EventField
 {
   std::string_view name_;
   std::string value_;
 };
 
-/// Writes one structured line to the log output, or through glog if there is none: event number,
-/// name, fields. Never pass a caller's key.
+/// Writes one structured line (event number, name, fields) to the log output, or through glog if
+/// there is none. A field must never contain a caller's key.
 void LogEvent(Event aEvent, std::initializer_list<EventField> aFields = {});
 
-/// Name of an event as in the catalogue.
+/// Name of an event in the catalogue.
 std::string_view EventName(Event aEvent);
 
 } // namespace peridotquay
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -1,4 +1,4 @@
-// Guard before the local target.
+// Admission control in front of the local target.
 #include "peridotquay/process/Guard.h"
 
 #include "peridotquay/process/Events.h"
@@ -12,21 +12,21 @@
 
 namespace {
 
-// Late calls in the queue are looked for this often while any wait.
-constexpr Duration kQueueCheck = milliseconds(10);
+// Interval at which waiting calls are checked for missed deadlines.
+constexpr Duration kQueueCheckInterval = milliseconds(10);
 
-// A target that refuses connections at this many polls in a row is announced as draining.
-constexpr std::uint32_t kFailedPollsToDrain = 3;
+// After this many consecutive polls without a connection the target is announced as draining.
+constexpr std::uint32_t kMaxFailedPolls = 3;
 
-// Longest wait for an answer of the target's health and load endpoints.
+// For each of the target's health and load endpoints.
 constexpr Duration kPollTimeout = milliseconds(900);
 
-// A call without an answer for this long makes the guard compare a kept and a fresh connection.
-constexpr Duration kSilenceSuspected = milliseconds(300);
-constexpr Duration kSilenceCheck = milliseconds(100);
+// After this long without an answer to a call, a kept connection is compared with a fresh one.
+constexpr Duration kSilenceTimeout = milliseconds(300);
+constexpr Duration kSilenceCheckInterval = milliseconds(100);
 
-// Time that both connections get to answer.
-constexpr Duration kProbeTime = milliseconds(250);
+// For the health checks on both connections.
+constexpr Duration kProbeTimeout = milliseconds(250);
 
 Answer RefusedAnswer(const Call& aCall, ErrorCode aCode, std::uint32_t aRetryAfterMs)
 {
@@ -48,11 +48,11 @@
   return answer;
 }
 
-Answer WholeAnswer(const HttpDialect& aDialect, const Call& aCall, HttpResponse aResponse)
+Answer AnswerFromResponse(const HttpDialect& aDialect, const Call& aCall, HttpResponse aResponse)
 {
   Answer answer;
   answer.callId_ = aCall.callId_;
-  // 504 from a target means that it doesn't know whether its own work ran.
+  // Status 504 means that the target itself doesn't know whether its work ran.
   answer.outcome_ =
     aDialect.status504IsUnknown_ && aResponse.status_ == 504 ? Outcome::kUnknown : Outcome::kRan;
   answer.status_ = aResponse.status_;
@@ -94,16 +94,16 @@
 
 void Guard::Run(const Call& aCall, const std::function<void(std::uint64_t)>& aStarted, Done aDone)
 {
-  const std::uint64_t number = next_++;
+  const std::uint64_t number = nextCallNumber_++;
   const TimePoint now = loop_.Now();
   metrics_.Add(Counter::kGuardCalls);
-  Running& running = calls_[number];
+  GuardedCall& running = calls_[number];
   running.call_ = aCall;
   running.done_ = std::move(aDone);
   running.arrived_ = now;
   running.deadline_ = now + milliseconds(aCall.deadlineMs_);
   aStarted(number);
-  if (draining_ || TargetLeaves()) {
+  if (draining_ || IsTargetLeaving()) {
     Refuse(number, ErrorCode::kDraining, 0);
     return;
   }
@@ -115,7 +115,8 @@
     Refuse(number, ErrorCode::kDepthExceeded, 0);
     return;
   }
-  running.timer_ = loop_.After(running.deadline_ - now, [this, number] { OnDeadline(number); });
+  running.deadlineTimer_ =
+    loop_.After(running.deadline_ - now, [this, number] { OnDeadline(number); });
   if (settings_.naive_) {
     Start(number);
     return;
@@ -133,7 +134,7 @@
   waiting.arrived_ = now;
   waiting.deadline_ = running.deadline_;
   Apply(OfferCall(admission_, waiting, now));
-  WatchQueue();
+  ScheduleQueueCheck();
 }
 
 void Guard::Apply(const AdmissionStep& aStep)
@@ -152,7 +153,7 @@
   if (entry == calls_.end()) {
     return;
   }
-  Running& running = entry->second;
+  GuardedCall& running = entry->second;
   running.started_ = loop_.Now();
   metrics_.Note(Timing::kQueue, running.started_ - running.arrived_);
   CallContext context;
@@ -166,16 +167,16 @@
     Finish(aCall, CallEnd::kCancelled, RefusedAnswer(running.call_, ErrorCode::kLimitReached, 0));
     return;
   }
-  running.token_ = std::move(token);
+  running.contextToken_ = std::move(token);
   metrics_.Add(Counter::kTargetCalls);
-  running.request_ = client_.Send(
+  running.targetRequest_ = client_.Send(
     TargetRequest(running),
-    [this, aCall](TargetResult aResult) { OnTarget(aCall, std::move(aResult)); },
+    [this, aCall](TargetResult aResult) { OnTargetResult(aCall, std::move(aResult)); },
     running.call_.repeatable_ ? Reuse::kAny : Reuse::kLately);
-  WatchSilence();
+  ScheduleSilenceCheck();
 }
 
-HttpRequest Guard::TargetRequest(const Running& aRunning) const
+HttpRequest Guard::TargetRequest(const GuardedCall& aRunning) const
 {
   const Call& call = aRunning.call_;
   HttpRequest request{ call.method_, call.path_, call.headers_, call.body_ };
@@ -183,19 +184,19 @@
     std::chrono::duration_cast<milliseconds>(aRunning.deadline_ - aRunning.started_).count();
   dialect_.rewriteForTarget_(request.headers_,
                              { call,
-                               aRunning.token_,
+                               aRunning.contextToken_,
                                target_ ? std::string_view(target_->id_) : std::string_view(),
                                std::max<std::int64_t>(1, left) });
   return request;
 }
 
-void Guard::OnTarget(std::uint64_t aCall, TargetResult aResult)
+void Guard::OnTargetResult(std::uint64_t aCall, TargetResult aResult)
 {
   const auto entry = calls_.find(aCall);
   if (entry == calls_.end()) {
     return;
   }
-  Running& running = entry->second;
+  GuardedCall& running = entry->second;
   const Call& call = running.call_;
   switch (aResult.end_) {
     case TargetEnd::kNotSent:
@@ -219,14 +220,15 @@
   if (const auto hint = dialect_.refusal_(aResult.response_)) {
     metrics_.Add(Counter::kTargetRefusals);
     std::uint64_t skipped = 0;
-    if (refusalLog_.Allow(loop_.Now(), skipped)) {
+    if (refusalThrottle_.Allow(loop_.Now(), skipped)) {
       LogEvent(Event::kTargetRefusing,
                { { "route", call.route_.value_ }, { "skipped", std::to_string(skipped) } });
     }
     Finish(aCall, CallEnd::kTargetRefused, RefusedAnswer(call, ErrorCode::kTargetRefused, *hint));
     return;
   }
-  Finish(aCall, CallEnd::kAnswered, WholeAnswer(dialect_, call, std::move(aResult.response_)));
+  Finish(
+    aCall, CallEnd::kAnswered, AnswerFromResponse(dialect_, call, std::move(aResult.response_)));
 }
 
 void Guard::OnDeadline(std::uint64_t aCall)
@@ -235,14 +237,14 @@
   if (entry == calls_.end()) {
     return;
   }
-  Running& running = entry->second;
-  running.timer_ = 0;
-  if (running.request_ == 0) {
+  GuardedCall& running = entry->second;
+  running.deadlineTimer_ = 0;
+  if (running.targetRequest_ == 0) {
     CancelWaiting(admission_, aCall);
     Refuse(aCall, ErrorCode::kDeadlineExceeded, 0);
     return;
   }
-  const bool sent = client_.Cancel(running.request_);
+  const bool sent = client_.Cancel(running.targetRequest_);
   Finish(aCall,
          sent ? CallEnd::kTimedOut : CallEnd::kTargetRefused,
          sent ? UnknownAnswer(running.call_, ErrorCode::kDeadlineExceeded)
@@ -256,7 +258,7 @@
     return;
   }
   metrics_.Add(Counter::kGuardRefused);
-  loop_.CancelTimer(entry->second.timer_);
+  loop_.CancelTimer(entry->second.deadlineTimer_);
   Answer answer = RefusedAnswer(entry->second.call_, aCode, aRetryAfterMs);
   FillLoad(answer);
   LogEnd(entry->second, answer);
@@ -268,25 +270,25 @@
 void Guard::Finish(std::uint64_t aCall, CallEnd aEnd, Answer aAnswer)
 {
   const auto entry = calls_.find(aCall);
-  const Running running = std::move(entry->second);
+  const GuardedCall running = std::move(entry->second);
   calls_.erase(entry);
-  loop_.CancelTimer(running.timer_);
+  loop_.CancelTimer(running.deadlineTimer_);
   const TimePoint now = loop_.Now();
-  Duration deeper{};
-  if (!running.token_.empty()) {
-    if (const CallContext* context = Context(running.token_)) {
-      deeper = DeeperTime(*context, now);
+  Duration deeperTime{};
+  if (!running.contextToken_.empty()) {
+    if (const CallContext* context = Context(running.contextToken_)) {
+      deeperTime = DeeperTime(*context, now);
     }
-    aAnswer.retriesUnused_ = CloseContext(contexts_, running.token_);
+    aAnswer.retriesUnused_ = CloseContext(contexts_, running.contextToken_);
     if (onContextClosed_) {
-      onContextClosed_(running.token_);
+      onContextClosed_(running.contextToken_);
     }
   }
   AdmissionStep step;
   if (!settings_.naive_) {
     const Duration total = now - running.started_;
-    step = FinishCall(admission_, aEnd, { total, total - deeper }, now, running.call_.route_);
-    NoteTargetOutcome(aEnd, aAnswer);
+    step = FinishCall(admission_, aEnd, { total, total - deeperTime }, now, running.call_.route_);
+    RecordTargetOutcome(aEnd, aAnswer);
   }
   FillLoad(aAnswer);
   LogEnd(running, aAnswer);
@@ -296,8 +298,9 @@
   Apply(step);
 }
 
-// A cancelled call and a refusal say nothing of what the target does with work that it takes.
-void Guard::NoteTargetOutcome(CallEnd aEnd, const Answer& aAnswer)
+// Cancelled calls and refusals don't count: they don't show whether the target fails calls that it
+// accepts.
+void Guard::RecordTargetOutcome(CallEnd aEnd, const Answer& aAnswer)
 {
   const bool lost = aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kOutcomeUnknown) ||
                     aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kTruncatedAnswer);
@@ -307,9 +310,9 @@
   }
 }
 
-void Guard::LogEnd(const Running& aRunning, const Answer& aAnswer)
+void Guard::LogEnd(const GuardedCall& aRunning, const Answer& aAnswer)
 {
-  // The product's own interface names no request in calls to targets.
+  // Calls can be logged only where the platform gives each request an id header.
   if (dialect_.echoHeader_.empty()) {
     return;
   }
@@ -353,88 +356,88 @@
   aAnswer.failedPercent_ = FailedPercent(failures_, loop_.Now());
 }
 
-void Guard::WatchQueue()
+void Guard::ScheduleQueueCheck()
 {
-  if (watchingQueue_ || admission_.queued_ == 0) {
+  if (queueCheckScheduled_ || admission_.queued_ == 0) {
     return;
   }
-  watchingQueue_ = true;
-  loop_.After(kQueueCheck, [this] {
-    watchingQueue_ = false;
+  queueCheckScheduled_ = true;
+  loop_.After(kQueueCheckInterval, [this] {
+    queueCheckScheduled_ = false;
     Apply(DropLateCalls(admission_, loop_.Now()));
-    WatchQueue();
+    ScheduleQueueCheck();
   });
 }
 
-void Guard::WatchSilence()
+void Guard::ScheduleSilenceCheck()
 {
-  // Without a health check that costs nothing, keep-alive probes of the connection find silence.
-  if (watchingSilence_ || settings_.naive_ || !dialect_.pollsTarget_) {
+  // On platforms without a cheap health check, TCP keep-alive probes find silent connections.
+  if (silenceCheckScheduled_ || settings_.naive_ || !dialect_.pollsTarget_) {
     return;
   }
-  watchingSilence_ = true;
-  loop_.After(kSilenceCheck, [this] {
-    watchingSilence_ = false;
+  silenceCheckScheduled_ = true;
+  loop_.After(kSilenceCheckInterval, [this] {
+    silenceCheckScheduled_ = false;
     const TimePoint now = loop_.Now();
     bool suspected = false;
     bool running = false;
     for (const auto& [number, call] : calls_) {
-      running = running || call.request_ != 0;
-      suspected = suspected || (call.request_ != 0 && now - call.started_ >= kSilenceSuspected);
+      running = running || call.targetRequest_ != 0;
+      suspected = suspected || (call.targetRequest_ != 0 && now - call.started_ >= kSilenceTimeout);
     }
     if (suspected) {
       ProbeConnections();
     }
     if (running) {
-      WatchSilence();
+      ScheduleSilenceCheck();
     }
   });
 }
 
 void Guard::ProbeConnections()
 {
-  // Slow answers alone are no sign: the kept connection must be silent too.
+  // Slow answers alone don't show a silent connection, so a kept connection is needed to compare.
   if (probing_ || pollClient_.IdleConnections() == 0) {
     return;
   }
   probing_ = true;
   struct ProbeResult
   {
-    bool kept_ = false;
-    bool fresh_ = false;
+    bool keptConnectionAnswered_ = false;
+    bool freshConnectionAnswered_ = false;
   };
   auto probe = std::make_shared<ProbeResult>();
   const TimePoint start = loop_.Now();
   const HttpRequest health{ "GET", "/health", {}, "" };
-  // An end of the connection counts as an answer, because then it isn't silent.
-  const auto kept =
-    pollClient_.Send(health, [probe](const TargetResult& /*aResult*/) { probe->kept_ = true; });
+  // The end of the kept connection counts as an answer, because it isn't silent then.
+  const auto kept = pollClient_.Send(
+    health, [probe](const TargetResult& /*aResult*/) { probe->keptConnectionAnswered_ = true; });
   freshClient_.DropIdle();
   const auto fresh = freshClient_.Send(health, [probe](const TargetResult& aResult) {
-    probe->fresh_ = aResult.end_ == TargetEnd::kAnswered;
+    probe->freshConnectionAnswered_ = aResult.end_ == TargetEnd::kAnswered;
   });
-  loop_.After(kProbeTime, [this, probe, start, kept, fresh] {
+  loop_.After(kProbeTimeout, [this, probe, start, kept, fresh] {
     probing_ = false;
     freshClient_.Cancel(fresh);
     freshClient_.DropIdle();
-    if (!probe->kept_) {
+    if (!probe->keptConnectionAnswered_) {
       pollClient_.Cancel(kept);
     }
-    if (!probe->kept_ && probe->fresh_) {
-      GiveUpSilent(start);
+    if (!probe->keptConnectionAnswered_ && probe->freshConnectionAnswered_) {
+      FailSilentCalls(start);
     }
   });
 }
 
-void Guard::GiveUpSilent(TimePoint aBefore)
+void Guard::FailSilentCalls(TimePoint aBefore)
 {
   client_.DropIdle();
   pollClient_.DropIdle();
   std::vector<std::uint64_t> silent;
   for (const auto& [number, call] : calls_) {
-    // A call that can't be repeated waits on: giving it up gains nothing.
-    if (call.request_ != 0 && call.call_.repeatable_ &&
-        aBefore - call.started_ >= kSilenceSuspected) {
+    // A call that can't be repeated continues to wait: abandoning it would gain nothing.
+    if (call.targetRequest_ != 0 && call.call_.repeatable_ &&
+        aBefore - call.started_ >= kSilenceTimeout) {
       silent.push_back(number);
     }
   }
@@ -444,7 +447,7 @@
     if (entry == calls_.end()) {
       continue;
     }
-    client_.Cancel(entry->second.request_);
+    client_.Cancel(entry->second.targetRequest_);
     Finish(
       number, CallEnd::kCancelled, UnknownAnswer(entry->second.call_, ErrorCode::kOutcomeUnknown));
   }
@@ -456,15 +459,15 @@
   if (entry == calls_.end()) {
     return;
   }
-  Running& running = entry->second;
+  GuardedCall& running = entry->second;
   running.done_ = nullptr;
-  if (running.request_ == 0) {
+  if (running.targetRequest_ == 0) {
     CancelWaiting(admission_, aCall);
-    loop_.CancelTimer(running.timer_);
+    loop_.CancelTimer(running.deadlineTimer_);
     calls_.erase(entry);
     return;
   }
-  client_.Cancel(running.request_);
+  client_.Cancel(running.targetRequest_);
   Finish(aCall, CallEnd::kCancelled, Answer{});
 }
 
@@ -472,12 +475,12 @@
 {
   while (!calls_.empty()) {
     const auto entry = calls_.begin();
-    if (entry->second.request_ == 0) {
+    if (entry->second.targetRequest_ == 0) {
       CancelWaiting(admission_, entry->first);
       Refuse(entry->first, ErrorCode::kDraining, 0);
       continue;
     }
-    client_.Cancel(entry->second.request_);
+    client_.Cancel(entry->second.targetRequest_);
     Finish(entry->first,
            CallEnd::kCancelled,
            UnknownAnswer(entry->second.call_, ErrorCode::kOutcomeUnknown));
@@ -496,7 +499,7 @@
   draining_ = true;
 }
 
-bool Guard::TargetLeaves() const
+bool Guard::IsTargetLeaving() const
 {
   return target_ && (target_->state_ == TargetState::kDraining ||
                      target_->state_ == TargetState::kLeft || target_->id_.empty());
@@ -508,12 +511,12 @@
   target_ = aTarget;
   health_.state_ = aTarget.state_;
   if (isNew) {
-    // Connections lead to the target that had the address before.
+    // Open connections lead to the previous target at this address.
     client_.DropIdle();
     failures_ = {};
   }
   SetSlots(aTarget.slots_);
-  if (TargetLeaves()) {
+  if (IsTargetLeaving()) {
     RefuseWaiting(ErrorCode::kDraining);
   }
 }
@@ -522,7 +525,7 @@
 {
   std::vector<std::uint64_t> waiting;
   for (const auto& [number, running] : calls_) {
-    if (running.request_ == 0) {
+    if (running.targetRequest_ == 0) {
       waiting.push_back(number);
     }
   }
@@ -540,7 +543,7 @@
     { "GET", "/health", {}, "" }, [this, done, timer](const TargetResult& aHealth) {
       if (aHealth.end_ == TargetEnd::kNotSent) {
         ++health_.failedPolls_;
-        if (health_.failedPolls_ >= kFailedPollsToDrain) {
+        if (health_.failedPolls_ >= kMaxFailedPolls) {
           health_.state_ = TargetState::kDraining;
         }
       } else if (aHealth.end_ == TargetEnd::kAnswered) {
@@ -551,7 +554,7 @@
           json.is_object() && json.contains("state") && json["state"].is_string()
             ? json["state"].get<std::string>()
             : std::string();
-        // Any other answer leaves the state as it was: the endpoint may mislead.
+        // Any other answer leaves the state unchanged.
         if (state == "cold") {
           health_.state_ = TargetState::kCold;
         } else if (state == "ready") {
@@ -599,8 +602,8 @@
 void Guard::SetSlots(std::uint32_t aSlots)
 {
   health_.slots_ = aSlots;
-  // Before the first call the limit starts at the announced slots. From a small fixed start it took
-  // seconds to reach what the target takes, and calls queued past their deadlines meanwhile.
+  // Before the first call the concurrency limit starts at the announced slots. From a small fixed
+  // value it took seconds to reach the target's capacity, and queued calls missed their deadlines.
   if (admission_.announcedSlots_ == 0 && admission_.running_ == 0 && admission_.queued_ == 0) {
     AdmissionState fresh;
     fresh.settings_ = admission_.settings_;
--- a/peridotquay/process/Guard.h
+++ b/peridotquay/process/Guard.h
@@ -1,4 +1,5 @@
-// The guard before the local target: admits calls, runs them, keeps their contexts.
+// Admission control in front of the local target: admits, queues or refuses calls, sends them to
+// the target and keeps their contexts.
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
@@ -24,20 +25,20 @@
 
 namespace peridotquay {
 
-/// What the guard knows of its target.
+/// State and load of the target as the guard knows them.
 struct TargetHealth
 {
   TargetState state_ = TargetState::kCold;
-  std::uint32_t slots_ = 0;
-  double load_ = 0;
-  std::uint32_t failedPolls_ = 0; ///< In a row.
+  std::uint32_t slots_ = 0;       ///< Calls that the target runs at once, as announced.
+  double load_ = 0;               ///< Slots in use as a fraction.
+  std::uint32_t failedPolls_ = 0; ///< Consecutive polls without a connection.
   bool operator==(const TargetHealth&) const = default;
 };
 
-/// What the control side says of the local target, where the target announces itself.
+/// The local target as the control side knows it, on platforms where targets announce themselves.
 struct LocalTarget
 {
-  std::string id_; ///< Incarnation; empty if none is known.
+  std::string id_; ///< Incarnation of the target; empty if none is known.
   TargetState state_ = TargetState::kCold;
   std::uint32_t slots_ = 0;
   bool operator==(const LocalTarget&) const = default;
@@ -47,7 +48,7 @@
 class Guard
 {
 public:
-  /// Takes the answer of a call. May be called from within Run.
+  /// Completion handler; receives the answer of a call. May be called from within Run.
   using Done = std::function<void(Answer)>;
 
   Guard(EventLoop& aLoop,
@@ -58,89 +59,90 @@
   Guard& operator=(const Guard&) = delete;
   ~Guard();
 
-  /// Runs a call, or refuses it. aDone is called once, unless Cancel comes first. The number for
-  /// Cancel is passed to aStarted before anything else happens.
+  /// Runs, queues or refuses a call. aStarted receives the number for Cancel before anything else
+  /// happens. aDone is called once, unless the call is cancelled first.
   void Run(const Call& aCall, const std::function<void(std::uint64_t)>& aStarted, Done aDone);
-  /// Gives up a call: out of the queue, or by closing the connection to the target.
+  /// Cancels a call: removes it from the queue, or closes its connection to the target.
   void Cancel(std::uint64_t aCall);
-  /// Ends all calls that still run with outcome unknown.
+  /// Ends all calls: refuses those that wait, ends those that run with outcome unknown.
   void Abort();
 
   void SetConfig(std::shared_ptr<const Config> aConfig);
-  /// From now on new calls are refused with kDraining.
+  /// Starts the drain: new calls are refused with kDraining.
   void SetDraining();
-  /// Takes what the target announced. While it drains or is gone, calls are refused with kDraining,
-  /// those that wait included.
+  /// Applies the announced state of the target. While the target drains or is gone, all calls are
+  /// refused with kDraining, including those that wait.
   void SetTarget(const LocalTarget& aTarget);
-  /// Asks the target's health and load endpoints; calls aDone with what is known after that.
+  /// Queries the target's health and load endpoints, then calls aDone with the resulting health.
   void Poll(std::function<void(const TargetHealth&)> aDone);
 
-  /// The context of a running call; null for unknown tokens.
+  /// The context of a running call; null if the token is unknown.
   CallContext* Context(std::string_view aToken);
-  /// Calls that wait or run.
+  /// Number of calls that wait or run.
   std::size_t ActiveCalls() const;
   const AdmissionState& Admission() const;
   const TargetHealth& Health() const;
   std::size_t TargetConnections() const;
 
-  /// Called when the context of a call ends; its deeper calls have no use any more.
+  /// Called when the context of a call ends; its deeper calls can then be cancelled.
   std::function<void(const std::string&)> onContextClosed_;
 
 private:
-  struct Running
+  /// A call that waits or runs.
+  struct GuardedCall
   {
     Call call_;
     Done done_;
     TimePoint arrived_{};
     TimePoint started_{};
     TimePoint deadline_{};
-    std::string token_;         ///< Context; empty while waiting.
-    std::uint64_t request_ = 0; ///< At the target client.
-    std::uint64_t timer_ = 0;
+    std::string contextToken_;        ///< Empty while the call waits.
+    std::uint64_t targetRequest_ = 0; ///< Number at client_; 0 while the call waits.
+    std::uint64_t deadlineTimer_ = 0;
   };
 
   void Apply(const AdmissionStep& aStep);
   void Start(std::uint64_t aCall);
-  void OnTarget(std::uint64_t aCall, TargetResult aResult);
+  void OnTargetResult(std::uint64_t aCall, TargetResult aResult);
   void OnDeadline(std::uint64_t aCall);
   void Refuse(std::uint64_t aCall, ErrorCode aCode, std::uint32_t aRetryAfterMs);
-  /// Ends a started call: frees its slot, closes its context and delivers the answer.
+  /// Ends a started call: frees its slot, closes its context and passes the answer on.
   void Finish(std::uint64_t aCall, CallEnd aEnd, Answer aAnswer);
-  void NoteTargetOutcome(CallEnd aEnd, const Answer& aAnswer);
+  void RecordTargetOutcome(CallEnd aEnd, const Answer& aAnswer);
   void FillLoad(Answer& aAnswer);
-  void LogEnd(const Running& aRunning, const Answer& aAnswer);
-  void WatchQueue();
-  void WatchSilence();
-  /// Asks the target's health on a kept connection and on a fresh one. If only the fresh one
-  /// answers, open connections have gone silent: they are given up.
+  void LogEnd(const GuardedCall& aRunning, const Answer& aAnswer);
+  void ScheduleQueueCheck();
+  void ScheduleSilenceCheck();
+  /// Queries the target's health on a kept connection and on a fresh one. If only the fresh one
+  /// answers, the open connections have gone silent and are abandoned.
   void ProbeConnections();
-  void GiveUpSilent(TimePoint aBefore);
-  HttpRequest TargetRequest(const Running& aRunning) const;
+  void FailSilentCalls(TimePoint aBefore);
+  HttpRequest TargetRequest(const GuardedCall& aRunning) const;
   void ReadLoad(const TargetResult& aResult);
   void SetSlots(std::uint32_t aSlots);
   void RefuseWaiting(ErrorCode aCode);
-  bool TargetLeaves() const;
+  bool IsTargetLeaving() const;
 
   EventLoop& loop_;
   const NodeSettings& settings_;
   Metrics& metrics_;
   const HttpDialect& dialect_;
-  std::optional<LocalTarget> target_; ///< Empty where the target doesn't announce itself.
+  std::optional<LocalTarget> target_; ///< Empty if the target doesn't announce itself.
   TargetClient client_;
-  TargetClient freshClient_; ///< Never keeps a connection.
-  TargetClient pollClient_;  ///< Own connections, so that polls work when all others are in use.
+  TargetClient freshClient_; ///< For probes; keeps no connection between them.
+  TargetClient pollClient_;  ///< Separate, so that polls work while client_ is at its limit.
   std::shared_ptr<const Config> config_;
   AdmissionState admission_;
   ContextTable contexts_;
-  FailureMeter failures_; ///< Of the present target.
-  std::map<std::uint64_t, Running> calls_;
-  std::uint64_t next_ = 1;
+  FailureMeter failures_; ///< Of the current target.
+  std::map<std::uint64_t, GuardedCall> calls_;
+  std::uint64_t nextCallNumber_ = 1;
   TargetHealth health_;
-  LogThrottle refusalLog_;
+  LogThrottle refusalThrottle_;
   RequestLogState requestLog_;
   bool draining_ = false;
-  bool watchingQueue_ = false;
-  bool watchingSilence_ = false;
+  bool queueCheckScheduled_ = false;
+  bool silenceCheckScheduled_ = false;
   bool probing_ = false;
 };
 
--- a/peridotquay/process/HttpDialect.cpp
+++ b/peridotquay/process/HttpDialect.cpp
@@ -17,7 +17,7 @@
   const Call& call = aCall.call_;
   const auto requestId = FindHeader(aHeaders, "Quay-Request-Id");
   const std::string idText = requestId ? std::string(*requestId) : std::string();
-  // Also drops a caller's key should a host have sent one.
+  // Also removes a caller's key in case another host forwarded one.
   RemoveHeadersWithPrefix(aHeaders, "Quay-");
   aHeaders.emplace_back("Quay-Call", aCall.contextToken_);
   aHeaders.emplace_back("Quay-Deadline-Ms", std::to_string(aCall.leftMs_));
--- a/peridotquay/process/HttpDialect.h
+++ b/peridotquay/process/HttpDialect.h
@@ -1,6 +1,6 @@
-// How callers, targets and this node speak HTTP: header names, statuses and what a target
-// announces. The node's own dialect is QuayDialect; an adapter for another platform provides its
-// own value.
+// HTTP conventions between callers, nodes and targets: header names, statuses, and the load that a
+// target states. QuayDialect is the product's own; an adapter for another platform provides another
+// HttpDialect.
 #pragma once
 
 #include "peridotquay/connection/HttpMessage.h"
@@ -15,16 +15,16 @@
 
 namespace peridotquay {
 
-/// What a guard may tell its target with a call.
+/// Data of a call that a guard may pass to its target in headers.
 struct TargetCall
 {
   const Call& call_;
   std::string_view contextToken_;
-  std::string_view targetId_; ///< Incarnation of the target that the call is meant for, or empty.
-  std::int64_t leftMs_ = 0;   ///< Time left, at least 1.
+  std::string_view targetId_; ///< Incarnation of the target that must run the call, or empty.
+  std::int64_t leftMs_ = 0;   ///< Time left until the deadline, at least 1.
 };
 
-/// Load that a target states in an answer.
+/// Load that a target states in an answer, as numbers of calls.
 struct TargetLoad
 {
   std::uint32_t running_ = 0;
@@ -33,39 +33,40 @@
   bool operator==(const TargetLoad&) const = default;
 };
 
-/// A plain table of names and functions. None of the functions keeps state.
+/// Table of names and stateless functions.
 struct HttpDialect
 {
-  std::string_view keyHeader_;
-  std::string_view keyScheme_; ///< Text before the key in its header.
-  std::string_view deadlineHeader_;
-  /// Header that targets echo, by which a late answer to another request is told apart; or empty.
+  std::string_view keyHeader_;      ///< Header with the caller's key.
+  std::string_view keyScheme_;      ///< Prefix of the key in its header, such as "Token ".
+  std::string_view deadlineHeader_; ///< Header with the time left in milliseconds.
+  /// Header that targets echo, so that a late answer to another request is recognized; or empty.
   std::string_view echoHeader_;
-  /// Deeper calls come with the context of the call that they serve, on an address of their own,
-  /// and lend their retries from it. Otherwise they are requests on open routes.
+  /// Deeper calls arrive on a separate address, name the context of the call that they serve, and
+  /// share its retry budget. Otherwise they are requests on open routes.
   bool hasContexts_ = true;
-  bool issuesRequestIds_ = true; ///< Hosts issue request ids and keep the answers for repeats.
-  bool pollsTarget_ = true;      ///< The target's health and load are asked for once a second.
-  /// The slots that the target announces are the limit; latency doesn't adapt it.
+  bool issuesRequestIds_ = true; ///< Hosts issue request ids and store answers for repeats.
+  bool pollsTarget_ = true;      ///< The target's health and load are polled once a second.
+  /// The announced slots of the target are the concurrency limit; latency doesn't adapt it.
   bool slotsAreLimit_ = false;
-  /// An answer without a length ends with its connection; otherwise it counts as truncated.
+  /// An answer without a length is complete when its connection closes; otherwise it is truncated.
   bool endsByClose_ = false;
-  /// Makes the headers of a caller's request fit to be sent to a guard. Never leaves a key in them.
+  /// Prepares the headers of a caller's request for a guard. Always removes the key.
   void (*rewriteForGuard_)(HeaderList& aHeaders, const ServiceId& aOwnService);
-  /// Completes the headers of a call for the target.
+  /// Prepares the headers of a call for the target.
   void (*rewriteForTarget_)(HeaderList& aHeaders, const TargetCall& aCall);
-  /// Makes the headers of a target's answer fit for the caller.
+  /// Prepares the headers of a target's answer for the caller.
   void (*rewriteForCaller_)(HeaderList& aHeaders);
-  /// If the answer says that the target didn't start the call: its hint in milliseconds, 0 for
-  /// none.
+  /// Retry hint in milliseconds, 0 for none, if the answer means that the target didn't start the
+  /// call; otherwise empty.
   std::optional<std::uint32_t> (*refusal_)(const HttpResponse& aResponse);
+  /// Load stated in an answer; empty if there is none.
   std::optional<TargetLoad> (*load_)(const HttpResponse& aResponse);
-  /// The node's own answer; a hint of 0 ms gives none.
+  /// Makes an HTTP answer for a failure; a hint of 0 ms gives none.
   HttpResponse (*failure_)(ErrorCode aCode,
                            Outcome aOutcome,
                            std::string_view aDetail,
                            std::uint32_t aRetryAfterMs);
-  /// Whether the status is the target's word that it doesn't know whether its own work ran.
+  /// Status 504 from a target means that the target doesn't know whether its own work ran.
   bool status504IsUnknown_ = true;
 };
 
--- a/peridotquay/process/LogOutput.cpp
+++ b/peridotquay/process/LogOutput.cpp
@@ -1,4 +1,4 @@
-// Buffer between the process and the reader of its standard output.
+// Non-blocking log output.
 #include "peridotquay/process/LogOutput.h"
 
 #include <array>
@@ -21,6 +21,7 @@
   return output;
 }
 
+// UTC time in ISO 8601 with milliseconds.
 std::string TimeText()
 {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -80,12 +81,11 @@
     }
   }
   buffer_.erase(0, written);
-  // Once there is room again, a line tells what is missing.
-  if (buffer_.empty() && dropped_ > reported_) {
-    buffer_ = "time=" + TimeText() + " host=" + host_ +
-              " event=1007 name=LogLinesDropped count=" + std::to_string(dropped_ - reported_) +
-              "\n";
-    reported_ = dropped_;
+  // Once the buffer is empty, a line reports how many were dropped.
+  if (buffer_.empty() && dropped_ > reportedDropped_) {
+    buffer_ = "time=" + TimeText() + " host=" + host_ + " event=1007 name=LogLinesDropped count=" +
+              std::to_string(dropped_ - reportedDropped_) + "\n";
+    reportedDropped_ = dropped_;
   }
 }
 
--- a/peridotquay/process/LogOutput.h
+++ b/peridotquay/process/LogOutput.h
@@ -1,5 +1,5 @@
-// Log lines for standard output. A reader that stops reading slows nothing: what doesn't fit the
-// buffer is dropped and counted.
+// Non-blocking log output. If its reader stops, lines that don't fit the buffer are dropped and
+// counted instead of blocking the process.
 #pragma once
 
 #include <cstdint>
@@ -9,24 +9,24 @@
 
 namespace peridotquay {
 
-/// Most bytes that wait for the reader.
+/// Maximum size of the buffer.
 inline constexpr std::size_t kMaxLogBytes = std::size_t{ 256 } * 1024;
 
-/// May be used from any thread.
+/// Buffers log lines and writes them to a descriptor. Thread-safe.
 class LogOutput
 {
 public:
-  /// Makes the descriptor non-blocking. aHost is named in each line.
+  /// Makes the descriptor non-blocking. Each line names aHost.
   LogOutput(int aDescriptor, std::string aHost);
   LogOutput(const LogOutput&) = delete;
   LogOutput& operator=(const LogOutput&) = delete;
   ~LogOutput();
 
-  /// Adds "time=... host=..." and the line.
+  /// Appends the line, prefixed with "time=... host=...".
   void Append(std::string_view aLine);
-  /// Writes what the reader takes now. Call about every 100 ms.
+  /// Writes as much as the descriptor accepts without blocking. Called every 100 ms.
   void Flush();
-  /// Lines that were dropped.
+  /// Number of lines that were dropped.
   std::uint64_t Dropped() const;
 
 private:
@@ -35,10 +35,10 @@
   mutable std::mutex mutex_;
   std::string buffer_; ///< At most kMaxLogBytes.
   std::uint64_t dropped_ = 0;
-  std::uint64_t reported_ = 0; ///< Dropped lines that a line has told of.
+  std::uint64_t reportedDropped_ = 0; ///< Dropped lines already reported in a log line.
 };
 
-/// Where LogEvent writes; null for glog. The output must outlive its use.
+/// Sets where LogEvent writes; null for glog. The output must outlive its use.
 void SetLogOutput(LogOutput* aOutput);
 LogOutput* CurrentLogOutput();
 
--- a/peridotquay/process/LogThrottle.h
+++ b/peridotquay/process/LogThrottle.h
@@ -1,4 +1,4 @@
-// Limits how often an event is logged that can occur with each call.
+// Limits the rate of log lines for events that can occur with every call.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -7,15 +7,15 @@
 
 namespace peridotquay {
 
-/// One for each event. Under overload an unlimited log would cost more than the calls themselves.
+/// Rate limit of one event. Under overload unlimited logging would cost more than the calls.
 struct LogThrottle
 {
   std::uint32_t perSecond_ = 10;
-  TimePoint second_{};        ///< Start of the present second.
-  std::uint32_t logged_ = 0;  ///< In the present second.
-  std::uint64_t skipped_ = 0; ///< Since the last line that was allowed.
+  TimePoint second_{};        ///< Start of the current second.
+  std::uint32_t logged_ = 0;  ///< Lines in the current second.
+  std::uint64_t skipped_ = 0; ///< Lines left out since the last one that was allowed.
 
-  /// Whether to write a line now. aSkipped is the number of lines left out before it.
+  /// Whether to write a line now. If so, aSkipped is set to the number of lines left out before it.
   bool Allow(TimePoint aNow, std::uint64_t& aSkipped)
   {
     if (aNow - second_ >= seconds(1)) {
--- a/peridotquay/process/LogTrace.cpp
+++ b/peridotquay/process/LogTrace.cpp
@@ -1,4 +1,4 @@
-// Reads structured log lines.
+// Finds the log lines of one request.
 #include "peridotquay/process/LogTrace.h"
 
 #include <algorithm>
@@ -9,14 +9,14 @@
 
 namespace {
 
-// The value of a field of a line; empty if absent.
+// Value of a field in a line; empty if absent.
 std::string_view FieldOf(std::string_view aLine, std::string_view aName)
 {
-  const std::string mark = std::string(aName) + "=";
-  for (std::size_t place = aLine.find(mark); place != std::string_view::npos;
-       place = aLine.find(mark, place + 1)) {
-    if (place == 0 || aLine[place - 1] == ' ') {
-      const std::string_view rest = aLine.substr(place + mark.size());
+  const std::string prefix = std::string(aName) + "=";
+  for (std::size_t position = aLine.find(prefix); position != std::string_view::npos;
+       position = aLine.find(prefix, position + 1)) {
+    if (position == 0 || aLine[position - 1] == ' ') {
+      const std::string_view rest = aLine.substr(position + prefix.size());
       return rest.substr(0, rest.find(' '));
     }
   }
@@ -33,7 +33,7 @@
     const std::string_view line = aLog.substr(0, end);
     aLog.remove_prefix(std::min(end + 1, aLog.size()));
     if (FieldOf(line, "id") == aRequestId) {
-      // Whatever a collector wrote before the line isn't part of it.
+      // Removes what a log collector put before the line.
       lines.emplace_back(line.substr(std::min(line.find("time="), line.size())));
     }
   }
--- a/peridotquay/process/LogTrace.h
+++ b/peridotquay/process/LogTrace.h
@@ -1,4 +1,4 @@
-// Finds what hosts logged of one request.
+// Finds the log lines of one request.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -10,11 +10,11 @@
 
 namespace peridotquay {
 
-/// Lines with field `id` equal to the request id, in order of their time. Lines of other formats
-/// are passed over.
+/// Returns the lines whose field `id` equals the request id, ordered by time. Lines in other
+/// formats are ignored.
 std::vector<std::string> TraceLines(std::string_view aLog, std::string_view aRequestId);
 
-/// Report of the lines in a file, which holds the logs of one or more hosts. Errors:
+/// Reports these lines of a file that holds the logs of one or more hosts. Errors:
 /// kFileUnreadable, kNotFound if no line names the request.
 OperatorReport TraceCommand(const std::string& aRequestId, const std::string& aFile);
 
--- a/peridotquay/process/RequestLedger.cpp
+++ b/peridotquay/process/RequestLedger.cpp
@@ -1,4 +1,4 @@
-// Issues, runs at most once, stores, expires and hands over records of request ids.
+// Issues request ids, runs each at most once, and stores, expires and hands over their records.
 #include "peridotquay/process/RequestLedger.h"
 
 #include <openssl/crypto.h>
@@ -19,13 +19,13 @@
 constexpr std::size_t kSecretBytes = 32;
 constexpr std::size_t kMacBytes = 16;
 
-/// Longest host name in an id; bounds the work on hostile ids.
+/// Maximum length of the host name in an id; bounds the work for hostile ids.
 constexpr std::size_t kMaxHostName = 255;
 
-/// Largest estimated size of a batch. The rest of the frame covers the message's own encoding.
+/// Maximum estimated size of a batch; the rest of the frame is for the encoding of the message.
 constexpr std::size_t kMaxBatchBytes = kMaxFrameBytes / 4 * 3;
 
-/// Estimated encoding of a record besides its strings.
+/// Estimated encoded size of a record without its strings, in bytes.
 constexpr std::size_t kRecordOverhead = 128;
 
 std::string ToHex(const unsigned char* aBytes, std::size_t aCount)
@@ -42,7 +42,7 @@
 
 bool ParseNumber(std::string_view aText, std::uint64_t& aNumber)
 {
-  // A second spelling of the same number would be a second id for one record.
+  // Leading zeros would give one record several ids.
   if (aText.empty() || (aText.size() > 1 && aText.front() == '0')) {
     return false;
   }
@@ -62,7 +62,7 @@
   return true;
 }
 
-/// HOST.INCARNATION.SEQUENCE, the text that the MAC covers.
+/// Returns HOST.INCARNATION.SEQUENCE, the text that the MAC covers.
 std::string SignedText(const HostId& aHost, Incarnation aIncarnation, std::uint64_t aSequence)
 {
   return aHost.value_ + "." + std::to_string(aIncarnation) + "." + std::to_string(aSequence);
@@ -87,7 +87,7 @@
 
 bool IsExpired(const RequestRecord& aRecord, TimePoint aNow)
 {
-  return aNow - aRecord.issued_ >= kRequestIdRetention;
+  return aNow - aRecord.issuedAt_ >= kRequestIdRetention;
 }
 
 std::size_t StoredBytes(const RequestRecord& aRecord)
@@ -95,7 +95,7 @@
   return aRecord.answer_ ? aRecord.answer_->body_.size() : 0;
 }
 
-/// Replaces the body of an answer by its digest.
+/// Replaces the body of an answer with its digest.
 void DropBody(Answer& aAnswer)
 {
   std::array<unsigned char, SHA256_DIGEST_LENGTH> digest{};
@@ -124,14 +124,14 @@
   HandoverRecord record;
   record.sequence_ = aSequence;
   record.ageMs_ = static_cast<std::uint64_t>(
-    std::max<std::int64_t>(0, std::chrono::ceil<milliseconds>(aNow - aRecord.issued_).count()));
+    std::max<std::int64_t>(0, std::chrono::ceil<milliseconds>(aNow - aRecord.issuedAt_).count()));
   record.done_ = aRecord.state_ != RecordState::kIssued;
   record.requestDigest_ = aRecord.requestDigest_;
   record.answer_ = aRecord.answer_;
   return record;
 }
 
-/// Ends a request whose result isn't known here any more, so that it never runs again anywhere.
+/// Ends a request whose result is no longer known here, so that it never runs again on any host.
 void EndUnknown(RequestRecord& aRecord)
 {
   aRecord.state_ = RecordState::kDone;
@@ -148,7 +148,7 @@
   ledger.host_ = aHost;
   ledger.incarnation_ = aIncarnation;
   std::array<unsigned char, kSecretBytes> secret{};
-  // Without random bytes ids could be forged.
+  // Ids could be forged with a predictable secret.
   if (RAND_bytes(secret.data(), static_cast<int>(secret.size())) != 1) {
     std::abort();
   }
@@ -178,7 +178,7 @@
                                                  std::uint32_t aCount,
                                                  TimePoint aNow)
 {
-  if (aLedger.closed_ || aLedger.adopted_) {
+  if (aLedger.closed_ || aLedger.imported_) {
     return Fail(ErrorCode::kDraining, "request ids");
   }
   if (aLedger.records_.size() + aCount > kMaxRequestIds) {
@@ -191,7 +191,7 @@
   ids.reserve(aCount);
   for (std::uint32_t i = 0; i < aCount; ++i) {
     const std::uint64_t sequence = aLedger.nextSequence_++;
-    aLedger.records_[sequence].issued_ = aNow;
+    aLedger.records_[sequence].issuedAt_ = aNow;
     const std::string text = SignedText(aLedger.host_, aLedger.incarnation_, sequence);
     ids.push_back(text + "." + Mac(aLedger.secret_, text));
   }
@@ -219,7 +219,7 @@
   }
   const auto entry = aLedger.records_.find(parts.sequence_);
   if (entry == aLedger.records_.end()) {
-    // A closed ledger may lack records that its successor or predecessor has.
+    // A closed ledger may lack records that its successor or predecessor holds.
     return Fail(aLedger.closed_ ? ErrorCode::kOutcomeUnknown : ErrorCode::kRequestIdExpired,
                 "Quay-Request-Id");
   }
@@ -238,7 +238,7 @@
     return BeginResult::kRepeat;
   }
   if (aLedger.closed_) {
-    // The successor may have run it, so that "not run" can't be claimed here.
+    // The successor may have run the request, so "not run" could be false.
     return Fail(ErrorCode::kOutcomeUnknown, "Quay-Request-Id");
   }
   record.state_ = RecordState::kRunning;
@@ -259,7 +259,7 @@
   }
   record.state_ = RecordState::kDone;
   record.answer_ = aAnswer;
-  if (aAnswer.body_.size() > kMaxStoredAnswer ||
+  if (aAnswer.body_.size() > kMaxStoredAnswerBytes ||
       aLedger.storedBytes_ + aAnswer.body_.size() > kMaxStoredBytes) {
     DropBody(*record.answer_);
   }
@@ -323,14 +323,14 @@
   if (aBatch.secret_.size() != kSecretBytes) {
     return Fail(ErrorCode::kFrameMalformed, "secret", std::to_string(kSecretBytes) + " bytes");
   }
-  if (!aLedger.adopted_) {
+  if (!aLedger.imported_) {
     if (!aLedger.secret_.empty()) {
       return Fail(ErrorCode::kFrameMalformed, aBatch.host_.value_, "a ledger for handovers");
     }
     aLedger.host_ = aBatch.host_;
     aLedger.incarnation_ = aBatch.incarnation_;
     aLedger.secret_ = aBatch.secret_;
-    aLedger.adopted_ = true;
+    aLedger.imported_ = true;
     aLedger.closed_ = true;
   }
   if (aLedger.host_ != aBatch.host_ || aLedger.incarnation_ != aBatch.incarnation_ ||
@@ -338,7 +338,7 @@
     return Fail(ErrorCode::kFrameMalformed, aBatch.host_.value_, aLedger.host_.value_);
   }
   for (const HandoverRecord& imported : aBatch.records_) {
-    // Older records could not be used anyway, and their age might not fit the clock.
+    // Older records have expired, and their age could underflow the clock.
     const auto retentionMs = std::chrono::ceil<milliseconds>(kRequestIdRetention).count();
     if (imported.ageMs_ >= static_cast<std::uint64_t>(retentionMs)) {
       continue;
@@ -346,14 +346,14 @@
     if (aLedger.records_.size() >= kMaxRequestIds) {
       return Fail(ErrorCode::kLimitReached, "request ids", std::to_string(kMaxRequestIds));
     }
-    // A batch that arrives twice must not reset a record that ran here in between.
+    // A duplicate batch must not reset a record whose request ran here after the first one.
     const auto [entry, isNew] = aLedger.records_.try_emplace(imported.sequence_);
     if (!isNew) {
       continue;
     }
     RequestRecord& record = entry->second;
     record.state_ = imported.done_ ? RecordState::kDone : RecordState::kIssued;
-    record.issued_ = aNow - milliseconds(imported.ageMs_);
+    record.issuedAt_ = aNow - milliseconds(imported.ageMs_);
     record.requestDigest_ = imported.requestDigest_;
     if (imported.done_) {
       record.answer_ = imported.answer_.value_or(Answer{});
--- a/peridotquay/process/RequestLog.cpp
+++ b/peridotquay/process/RequestLog.cpp
@@ -1,4 +1,4 @@
-// Sampling of request lines.
+// Limits and samples the log lines of requests.
 #include "peridotquay/process/RequestLog.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// FNV-1a, the same on every host.
+// FNV-1a; must give the same hash on every host.
 std::uint32_t HashId(std::string_view aId)
 {
   std::uint32_t hash = 2166136261U;
@@ -17,11 +17,12 @@
   return hash;
 }
 
+// Sets the threshold from the successes of the last second and starts a new second.
 void BeginSecond(RequestLogState& aState, TimePoint aNow)
 {
   const double offered = std::max(1U, aState.successes_);
-  const double part = std::min(1.0, aState.settings_.successesPerSecond_ / offered);
-  aState.threshold_ = static_cast<std::uint32_t>(part * UINT32_MAX);
+  const double fraction = std::min(1.0, aState.settings_.successesPerSecond_ / offered);
+  aState.threshold_ = static_cast<std::uint32_t>(fraction * UINT32_MAX);
   aState.second_ = aNow;
   aState.failures_ = 0;
   aState.successes_ = 0;
@@ -44,7 +45,7 @@
     allowed = ++aState.failures_ <= aState.settings_.failuresPerSecond_;
   } else {
     ++aState.successes_;
-    // A surge within a second is bounded before the next one adapts the threshold.
+    // The second condition bounds a surge until the next second adapts the threshold.
     allowed = HashId(aRequestId) <= aState.threshold_ &&
               aState.kept_ < 2 * aState.settings_.successesPerSecond_;
     aState.kept_ += allowed ? 1 : 0;
--- a/peridotquay/process/RequestLog.h
+++ b/peridotquay/process/RequestLog.h
@@ -1,5 +1,5 @@
-// Which requests are logged when there are too many: failures before successes, and the same
-// requests on every host that they cross.
+// Limits and samples the log lines of requests. Failures have a limit of their own. Successes are
+// sampled by a hash of the request id, so that all hosts on the path log the same requests.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -9,29 +9,30 @@
 
 namespace peridotquay {
 
-/// Settings of the log of requests at one host.
+/// Limits of the request log of one host.
 struct RequestLogSettings
 {
   std::uint32_t failuresPerSecond_ = 100; ///< Lines.
-  std::uint32_t successesPerSecond_ = 20; ///< Lines; above, requests are sampled by their id.
+  std::uint32_t successesPerSecond_ = 20; ///< Lines; above it requests are sampled by their id.
   bool operator==(const RequestLogSettings&) const = default;
 };
 
-/// State of the log of requests. Changed only through AllowRequestLine.
+/// State of the request log. Changed only through AllowRequestLine.
 struct RequestLogState
 {
   RequestLogSettings settings_;
-  TimePoint second_{}; ///< Start of the present second.
-  std::uint32_t failures_ = 0;
-  std::uint32_t successes_ = 0; ///< Offered in this second.
+  TimePoint second_{};          ///< Start of the current second.
+  std::uint32_t failures_ = 0;  ///< In this second, written or not.
+  std::uint32_t successes_ = 0; ///< In this second, written or not.
   std::uint32_t kept_ = 0;      ///< Successes written in this second.
-  /// Successes whose id hashes below it are kept; the sets of two hosts contain one another.
+  /// Successes are written if their id hashes to at most this value. Thus a host with a lower
+  /// threshold logs a subset of the requests that a host with a higher one logs.
   std::uint32_t threshold_ = UINT32_MAX;
-  std::uint64_t leftOut_ = 0; ///< Since the last line.
+  std::uint64_t leftOut_ = 0; ///< Lines left out since the last written one.
 };
 
-/// Whether a request's line is written. aLeftOut gets the lines left out since the last written
-/// one.
+/// Whether to write the line of a request. If so, aLeftOut is set to the number of lines left out
+/// since the last written one.
 bool AllowRequestLine(RequestLogState& aState,
                       std::string_view aRequestId,
                       bool aFailed,
--- a/tests/process/DeduplicationTableTest.cpp
+++ b/tests/process/DeduplicationTableTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the fates of calls that run at most once.
+// Tests of the duplicate suppression for calls that must run at most once.
 #include "peridotquay/process/DeduplicationTable.h"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
   return { { "h" }, aIncarnation, aCall };
 }
 
-Answer Ended(Outcome aOutcome, std::size_t aBytes = 0)
+Answer MakeAnswer(Outcome aOutcome, std::size_t aBytes = 0)
 {
   Answer answer;
   answer.outcome_ = aOutcome;
@@ -22,8 +22,9 @@
 
 } // namespace
 
-// Guards against a call that runs after its sender was told that it never arrived.
-TEST_CASE("a call that was asked about before it arrived never runs", "[fate]")
+// Guards against running a call after its sender was told that it never arrived: the call was
+// delayed in a lost connection and arrives after the status query.
+TEST_CASE("a call that was queried before it arrived never runs", "[fate]")
 {
   DeduplicationTable table;
   const TimePoint now = Clock::now();
@@ -33,13 +34,14 @@
   CHECK(RecordArrival(table, Key(1, 2), now) == ArrivalDecision::kRun);
   ExpireCalls(table, now + seconds(60));
   CHECK(RecordArrival(table, Key(1), now + seconds(60)) == ArrivalDecision::kRefuse);
-  // Even after the bar is dropped the call must not run.
+  // The call must not run after its tombstone has expired either.
   ExpireCalls(table, now + seconds(700));
   CHECK(RecordArrival(table, Key(1), now + seconds(700)) == ArrivalDecision::kDrop);
 }
 
-// Guards against a wrong fate for calls that did arrive.
-TEST_CASE("fates follow the life of a call", "[fate]")
+// Guards against a wrong status of calls that arrived, which would make a sender repeat a call that
+// ran.
+TEST_CASE("the status of a call follows its arrival, answer and eviction", "[fate]")
 {
   DeduplicationTable table;
   const TimePoint now = Clock::now();
@@ -47,48 +49,50 @@
     CHECK(RecordArrival(table, Key(call), now) == ArrivalDecision::kRun);
     CHECK(RecordArrival(table, Key(call), now) == ArrivalDecision::kDrop);
   }
-  RecordAnswer(table, Key(1), Ended(Outcome::kRan, 5), now);
-  RecordAnswer(table, Key(2), Ended(Outcome::kNotRun), now);
+  RecordAnswer(table, Key(1), MakeAnswer(Outcome::kRan, 5), now);
+  RecordAnswer(table, Key(2), MakeAnswer(Outcome::kNotRun), now);
   const CallStatusResult done = QueryCallStatus(table, Key(1), now);
   CHECK(done.fate_ == Fate::kDone);
   REQUIRE(done.answer_.has_value());
   CHECK(done.answer_->body_ == "xxxxx");
   CHECK(QueryCallStatus(table, Key(2), now).fate_ == Fate::kRefused);
   CHECK(QueryCallStatus(table, Key(3), now).fate_ == Fate::kRunning);
-  // After it was forgotten nothing may be claimed, above all not "never arrived".
+  // After its eviction the status is unknown; "never arrived" would be false.
   ExpireCalls(table, now + seconds(31));
   CHECK(QueryCallStatus(table, Key(1), now).fate_ == Fate::kForgotten);
   CHECK(RecordArrival(table, Key(2), now) == ArrivalDecision::kDrop);
   CHECK(QueryCallStatus(table, Key(3), now).fate_ == Fate::kRunning);
-  CHECK(table.bytes_ == 0);
+  CHECK(table.answerBytes_ == 0);
 }
 
-// Guards against a table that grows without bound or forgets calls that still run.
-TEST_CASE("the table is bounded", "[fate]")
+// Guards against unbounded memory and against the eviction of calls that still run.
+TEST_CASE("the table is bounded and keeps running calls", "[fate]")
 {
   DeduplicationTable table;
   TimePoint now = Clock::now();
   CHECK(RecordArrival(table, Key(1), now) == ArrivalDecision::kRun);
-  for (std::uint64_t call = 2; call < 3 * kMaxFates; ++call) {
+  for (std::uint64_t call = 2; call < 3 * kMaxDeduplicationEntries; ++call) {
     now += microseconds(500);
     REQUIRE(RecordArrival(table, Key(call), now) == ArrivalDecision::kRun);
-    RecordAnswer(table, Key(call), Ended(Outcome::kRan, 4096), now);
-    REQUIRE(table.entries_.size() <= kMaxFates);
-    REQUIRE(table.bytes_ <= kMaxFateBytes);
+    RecordAnswer(table, Key(call), MakeAnswer(Outcome::kRan, 4096), now);
+    REQUIRE(table.entries_.size() <= kMaxDeduplicationEntries);
+    REQUIRE(table.answerBytes_ <= kMaxKeptAnswerBytes);
   }
   CHECK(QueryCallStatus(table, Key(1), now).fate_ == Fate::kRunning);
-  // The body of the last answers found no room: the answer can't be given whole.
-  CHECK(QueryCallStatus(table, Key(3 * kMaxFates - 1), now).fate_ == Fate::kForgotten);
+  // There was no room for the body of the last answer, so it can't be returned complete.
+  CHECK(QueryCallStatus(table, Key(3 * kMaxDeduplicationEntries - 1), now).fate_ ==
+        Fate::kForgotten);
 }
 
-// Guards against a full table that claims "never arrived" without being able to bar the call.
-TEST_CASE("a full table of running calls refuses and claims nothing", "[fate]")
+// Guards against reporting "never arrived" without room for the tombstone, so that the call could
+// still run.
+TEST_CASE("a table full of running calls refuses new ones and reports an unknown status", "[fate]")
 {
   DeduplicationTable table;
   const TimePoint now = Clock::now();
-  for (std::uint64_t call = 1; call <= kMaxFates; ++call) {
+  for (std::uint64_t call = 1; call <= kMaxDeduplicationEntries; ++call) {
     REQUIRE(RecordArrival(table, Key(call), now) == ArrivalDecision::kRun);
   }
-  CHECK(RecordArrival(table, Key(kMaxFates + 1), now) == ArrivalDecision::kRefuse);
-  CHECK(QueryCallStatus(table, Key(kMaxFates + 1), now).fate_ == Fate::kForgotten);
+  CHECK(RecordArrival(table, Key(kMaxDeduplicationEntries + 1), now) == ArrivalDecision::kRefuse);
+  CHECK(QueryCallStatus(table, Key(kMaxDeduplicationEntries + 1), now).fate_ == Fate::kForgotten);
 }
--- a/tests/process/LogOutputTest.cpp
+++ b/tests/process/LogOutputTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the log output and of the choice of the requests that are logged.
+// Tests of the log output, the sampling of request lines, and traces.
 #include "peridotquay/process/LogOutput.h"
 
 #include "peridotquay/process/LogTrace.h"
@@ -12,8 +12,8 @@
 
 using namespace peridotquay;
 
-// Guards against a process that waits for whoever reads its log.
-TEST_CASE("a reader that stops reading blocks nothing", "[log]")
+// Guards against a process that blocks because the reader of its log stopped reading.
+TEST_CASE("a log reader that stops doesn't block the process", "[log]")
 {
   int ends[2];
   REQUIRE(pipe(ends) == 0);
@@ -26,7 +26,7 @@
   }
   CHECK(Clock::now() - start < seconds(2));
   CHECK(output.Dropped() > 1000);
-  // Once somebody reads, a line tells what is missing.
+  // Once the reader continues, a line reports how many were dropped.
   std::string read;
   std::string chunk(65536, '\0');
   for (int i = 0; i < 100; ++i) {
@@ -43,8 +43,9 @@
   close(ends[1]);
 }
 
-// Guards against a log whose volume grows with the load, and against failures that it hides.
-TEST_CASE("lines of requests are bounded, failures first", "[log]")
+// Guards against log volume that grows with the load, and against failures crowded out by
+// successes.
+TEST_CASE("request lines are bounded and failures take precedence", "[log]")
 {
   RequestLogState state;
   TimePoint now{ seconds(1000) };
@@ -68,8 +69,8 @@
   CHECK(failures + successes + reported + state.leftOut_ == 10'000);
 }
 
-// Guards against a request that is logged at one host and not at the next.
-TEST_CASE("hosts keep the same requests", "[log]")
+// Guards against hosts that sample different requests: a trace would then miss hosts on the path.
+TEST_CASE("a busy host logs a subset of the requests that a quiet host logs", "[log]")
 {
   RequestLogState busy;
   RequestLogState quiet;
@@ -92,7 +93,7 @@
   CHECK(kept > 60);
 }
 
-// Guards against lines of other requests in a trace, and against a wrong order.
+// Guards against a trace with lines of other requests or in the wrong order.
 TEST_CASE("a trace holds the lines of one request in order", "[log]")
 {
   const std::string log = "collector> time=2026-01-01T00:00:02Z host=b event=2004 id=r1 ms=3\n"
--- a/tests/process/RequestLedgerTest.cpp
+++ b/tests/process/RequestLedgerTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the ledger of request ids against a simple reference.
+// Tests of the ledger of request ids, in part against a reference model.
 #include "peridotquay/process/RequestLedger.h"
 
 #include <catch2/catch.hpp>
@@ -33,26 +33,27 @@
   return aResult.assume_error().code_;
 }
 
-/// What the reference knows of an id.
+/// Reference model of one id.
 struct Reference
 {
   std::string id_;
-  TimePoint issued_{};
-  bool mayHaveRun_ = false; ///< Runs, ran, or it isn't known whether it ran.
+  TimePoint issuedAt_{};
+  bool mayHaveRun_ = false; ///< It runs, ran, or may have run.
   bool running_ = false;
   std::string digest_;
-  std::string body_; ///< Of the stored answer.
+  std::string body_; ///< Body of the stored answer.
   bool answered_ = false;
 };
 
 } // namespace
 
 // Guards against a request that runs twice: over random orders of begin, finish, repeat, handover
-// and expiry, an id starts only while none of its earlier runs may have run.
+// and expiry, an id may start only if no earlier run of it may have run.
 TEST_CASE("an id runs at most once", "[ledger]")
 {
   CHECK(rc::check("random interleavings", [] {
-    // The first is the issuer, later ones are successors; only the last one is in charge.
+    // The first ledger issues the ids, the others are its successors; only the last one may run
+    // them.
     std::vector<RequestLedger> ledgers{ MakeLedger({ "host.a" }, 77) };
     std::vector<Reference> ids;
     TimePoint now = kStart;
@@ -80,7 +81,7 @@
         const std::string digest = *rc::gen::element<std::string>("one", "one", "one", "two");
         const auto result = BeginRequest(ledger, ref.id_, digest, now);
         if (!result) {
-          // "Not run" may be told only if it can't have run.
+          // "Not run" may be answered only if the request can't have run.
           RC_ASSERT(CodeOf(result) != ErrorCode::kDraining);
           if (inCharge && CodeOf(result) == ErrorCode::kBadRequestId) {
             RC_ASSERT(!ref.digest_.empty());
@@ -93,7 +94,7 @@
           case BeginResult::kRun:
             RC_ASSERT(inCharge);
             RC_ASSERT(!ref.mayHaveRun_);
-            RC_ASSERT(now - ref.issued_ < kRequestIdRetention);
+            RC_ASSERT(now - ref.issuedAt_ < kRequestIdRetention);
             ref.mayHaveRun_ = ref.running_ = true;
             ref.digest_ = digest;
             break;
@@ -127,20 +128,20 @@
           RC_ASSERT(ImportRecords(successor, batch, now).has_value());
         }
         ledgers.push_back(successor);
-        // Calls that still ran are lost with the leaving host.
+        // Calls still running on the leaving host are lost.
         for (Reference& other : ids) {
           other.running_ = false;
         }
-        // A batch that arrives again changes nothing.
+        // A duplicate batch has no effect.
         RC_ASSERT(ImportRecords(ledgers.back(), batches.back(), now).has_value());
       }
     }
   }));
 }
 
-// Guards against a successor that runs an id before it knows all records, and against a late
-// duplicate batch that resets a record which ran in between.
-TEST_CASE("a successor answers after the last batch only", "[ledger]")
+// Guards against a successor that runs an id before it has all records, and against a late
+// duplicate batch that resets a record whose request ran meanwhile.
+TEST_CASE("a successor runs ids only after the last batch", "[ledger]")
 {
   RequestLedger issuer = MakeLedger({ "a" }, 1);
   const auto ids = IssueRequestIds(issuer, 40, kStart).assume_value();
@@ -171,14 +172,14 @@
   CHECK(BeginRequest(successor, ids[39], "d", kStart).assume_value() == BeginResult::kWait);
   CHECK_FALSE(IssueRequestIds(successor, 1, kStart));
 
-  // Records of another incarnation don't mix.
+  // Records of another incarnation are rejected.
   RequestHandover other = batches.back();
   other.incarnation_ = 2;
   CHECK_FALSE(ImportRecords(successor, other, kStart));
   CHECK_FALSE(ImportRecords(issuer, batches.back(), kStart));
 }
 
-// Guards against forged ids, ids of other incarnations, and a second spelling of one id.
+// Guards against forged ids, ids of other incarnations, and several spellings of one id.
 TEST_CASE("only issued ids are accepted", "[ledger]")
 {
   RequestLedger ledger = MakeLedger({ "host.with.dots" }, 12);
@@ -209,8 +210,7 @@
   }));
 }
 
-// Guards against memory that grows without bound, and against a shortened answer passed on as
-// whole.
+// Guards against unbounded memory, and against passing on an answer without its body as complete.
 TEST_CASE("ids and stored answers are bounded", "[ledger]")
 {
   RequestLedger ledger = MakeLedger({ "a" }, 1);
@@ -221,7 +221,7 @@
   CHECK(full.assume_error().code_ == ErrorCode::kLimitReached);
   for (std::size_t i = 0; i < ids.size(); ++i) {
     REQUIRE(BeginRequest(ledger, ids[i], "d", kStart));
-    const std::size_t size = i == 0 ? kMaxStoredAnswer + 1 : kMaxStoredAnswer;
+    const std::size_t size = i == 0 ? kMaxStoredAnswerBytes + 1 : kMaxStoredAnswerBytes;
     FinishRequest(ledger, SequenceOf(ids[i]), MakeAnswer(Outcome::kRan, std::string(size, 'x')));
   }
   CHECK(ledger.storedBytes_ <= kMaxStoredBytes);
