--- a/peridotquay/process/DeduplicationTable.cpp
+++ b/peridotquay/process/DeduplicationTable.cpp
@@ -14,7 +14,7 @@
 // Even a full table keeps an answered call this long; a lost connection is detected after 500 ms.
 constexpr Duration kMinAnswerRetention = milliseconds(1500);
 
-// Maximum number of senders in forgottenUpTo_.
+// Maximum number of senders in watermarks_.
 constexpr std::size_t kMaxSenders = 8192;
 
 CallKey SenderOf(const CallKey& aKey)
@@ -22,10 +22,10 @@
   return { aKey.host_, aKey.incarnation_, 0 };
 }
 
-bool IsUpToWatermark(const DeduplicationTable& aTable, const CallKey& aKey)
+bool IsAtOrBelowWatermark(const DeduplicationTable& aTable, const CallKey& aKey)
 {
-  const auto sender = aTable.forgottenUpTo_.find(SenderOf(aKey));
-  return sender != aTable.forgottenUpTo_.end() && aKey.callId_ <= sender->second;
+  const auto sender = aTable.watermarks_.find(SenderOf(aKey));
+  return sender != aTable.watermarks_.end() && aKey.callId_ <= sender->second;
 }
 
 using EntryIterator = std::map<CallKey, DeduplicationEntry, CallKeyLess>::iterator;
@@ -35,7 +35,7 @@
   if (aEntry->second.answer_) {
     aTable.answerBytes_ -= aEntry->second.answer_->body_.size();
   }
-  auto& watermark = aTable.forgottenUpTo_[SenderOf(aEntry->first)];
+  auto& watermark = aTable.watermarks_[SenderOf(aEntry->first)];
   watermark = std::max(watermark, aEntry->first.callId_);
   return aTable.entries_.erase(aEntry);
 }
@@ -60,8 +60,7 @@
     Expire(aTable, retention, aNow);
   }
   return aTable.entries_.size() < kMaxDeduplicationEntries &&
-         (aTable.forgottenUpTo_.size() < kMaxSenders ||
-          aTable.forgottenUpTo_.contains(SenderOf(aKey)));
+         (aTable.watermarks_.size() < kMaxSenders || aTable.watermarks_.contains(SenderOf(aKey)));
 }
 
 } // namespace
@@ -83,7 +82,7 @@
   if (known != aTable.entries_.end()) {
     return known->second.tombstone_ ? ArrivalDecision::kRefuse : ArrivalDecision::kDrop;
   }
-  if (IsUpToWatermark(aTable, aKey)) {
+  if (IsAtOrBelowWatermark(aTable, aKey)) {
     return ArrivalDecision::kDrop;
   }
   if (!HasRoom(aTable, aKey, aNow)) {
@@ -127,7 +126,7 @@
     const bool refused = known.answer_->outcome_ == Outcome::kNotRun;
     return { refused ? Fate::kRefused : Fate::kDone, known.answer_ };
   }
-  if (IsUpToWatermark(aTable, aKey) || !HasRoom(aTable, aKey, aNow)) {
+  if (IsAtOrBelowWatermark(aTable, aKey) || !HasRoom(aTable, aKey, aNow)) {
     return { Fate::kForgotten, std::nullopt };
   }
   DeduplicationEntry& tombstone = aTable.entries_[aKey];
--- a/peridotquay/process/DeduplicationTable.h
+++ b/peridotquay/process/DeduplicationTable.h
@@ -32,7 +32,7 @@
   std::uint64_t callId_ = 0;
 };
 
-/// Orders keys.
+/// Strict order of keys.
 struct CallKeyLess
 {
   bool operator()(const CallKey& aLeft, const CallKey& aRight) const;
@@ -50,21 +50,20 @@
 /// Changed only through the functions below.
 struct DeduplicationTable
 {
-  std::map<CallKey, DeduplicationEntry, CallKeyLess>
-    entries_;                   ///< At most kMaxDeduplicationEntries.
+  /// At most kMaxDeduplicationEntries.
+  std::map<CallKey, DeduplicationEntry, CallKeyLess> entries_;
   std::size_t answerBytes_ = 0; ///< Invariant: total size of the kept answer bodies.
   /// Watermark of each sender: the highest call id that was evicted. The status of unlisted calls
   /// up to it is unknown. The keys have call id 0.
-  std::map<CallKey, std::uint64_t, CallKeyLess> forgottenUpTo_;
+  std::map<CallKey, std::uint64_t, CallKeyLess> watermarks_;
 };
 
 /// Decision about a call that arrived.
 enum class ArrivalDecision : std::uint8_t
 {
   kRun,
-  kRefuse, ///< Tombstone or full table: the call doesn't run and "not run" may be answered.
-  kDrop ///< Duplicate, or at most the watermark: the call must not run again, but "not run" could
-        ///< be false.
+  kRefuse, ///< Tombstone or full table: the call must not run; "not run" is certain.
+  kDrop    ///< Duplicate or at most the watermark: must not run; "not run" could be false.
 };
 
 /// Records the arrival of a call and decides whether it runs.
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -547,7 +547,7 @@
 std::vector<RequestHandover> Dispatcher::HandOver()
 {
   auto batches = ExportRecords(ledger_, loop_.Now());
-  for (auto& [key, ledger] : imported_) {
+  for (auto& [key, ledger] : importedLedgers_) {
     if (ledger.complete_) {
       auto more = ExportRecords(ledger, loop_.Now());
       std::move(more.begin(), more.end(), std::back_inserter(batches));
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -208,16 +208,16 @@
   RoutingState routing_;
   TokenCache tokens_;
   NaiveState naive_;
-  std::map<HostId, UpstreamLevel>
-    admissionLevels_;                           ///< By host of the guard; only hosts in targets_.
+  /// By host of the guard; only hosts in targets_.
+  std::map<HostId, UpstreamLevel> admissionLevels_;
   std::map<ServiceId, RetryRatio> retryRatios_; ///< Only services in config_.
   RequestLedger ledger_;
-  std::map<std::pair<HostId, Incarnation>, RequestLedger> imported_;
+  std::map<std::pair<HostId, Incarnation>, RequestLedger> importedLedgers_;
   /// Duplicates that wait for the answer of a running request, by ledger and sequence.
   std::map<std::tuple<HostId, Incarnation, std::uint64_t>, std::vector<CallPointer>>
     waitingDuplicates_;
-  std::map<ClientAccountId, std::deque<CallPointer>>
-    waiting_; ///< Calls that wait for tokens, oldest first.
+  /// Calls that wait for tokens, oldest first.
+  std::map<ClientAccountId, std::deque<CallPointer>> waiting_;
   std::unordered_map<ActiveCall*, CallPointer> calls_;
   std::unordered_map<std::string, std::vector<CallPointer>> deeperCalls_; ///< By context token.
   std::unordered_map<std::uint64_t, CallPointer> attempts_;               ///< By call id.
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -101,12 +101,12 @@
     return;
   }
   const std::uint64_t attempt = aCall->attemptCallId_;
-  const std::uint64_t localRun = aCall->localCallNumber_;
+  const std::uint64_t localCallNumber = aCall->localCallNumber_;
   EndAttempt(aCall,
              loop_.Now() >= aCall->deadline_ ? CallResult::kTimedOut : CallResult::kCancelled,
              nullptr);
-  if (localRun != 0) {
-    guard_.Cancel(localRun);
+  if (localCallNumber != 0) {
+    guard_.Cancel(localCallNumber);
   } else {
     hub_.CancelCall(attempt);
   }
--- a/peridotquay/process/DispatcherRequestIds.cpp
+++ b/peridotquay/process/DispatcherRequestIds.cpp
@@ -20,8 +20,8 @@
   if (aHost == settings_.host_ && aIncarnation == ledger_.incarnation_) {
     return &ledger_;
   }
-  const auto adopted = imported_.find({ aHost, aIncarnation });
-  return adopted == imported_.end() ? nullptr : &adopted->second;
+  const auto imported = importedLedgers_.find({ aHost, aIncarnation });
+  return imported == importedLedgers_.end() ? nullptr : &imported->second;
 }
 
 void Dispatcher::BeginWithId(const CallPointer& aCall)
@@ -173,18 +173,19 @@
 void Dispatcher::OnHandover(const RequestHandover& aBatch)
 {
   const auto key = std::make_pair(aBatch.host_, aBatch.incarnation_);
-  if (!imported_.contains(key) && imported_.size() >= kMaxImportedLedgers) {
-    for (auto& [adoptedKey, ledger] : imported_) {
+  if (!importedLedgers_.contains(key) && importedLedgers_.size() >= kMaxImportedLedgers) {
+    for (auto& [importedKey, ledger] : importedLedgers_) {
       ExpireRecords(ledger, loop_.Now());
     }
-    std::erase_if(imported_, [](const auto& aEntry) { return aEntry.second.records_.empty(); });
-    if (imported_.size() >= kMaxImportedLedgers) {
+    std::erase_if(importedLedgers_,
+                  [](const auto& aEntry) { return aEntry.second.records_.empty(); });
+    if (importedLedgers_.size() >= kMaxImportedLedgers) {
       return;
     }
   }
   // A batch that can't be imported leaves the ledger closed; its ids are then answered with outcome
   // unknown.
-  static_cast<void>(ImportRecords(imported_[key], aBatch, loop_.Now()));
+  static_cast<void>(ImportRecords(importedLedgers_[key], aBatch, loop_.Now()));
 }
 
 } // namespace peridotquay
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -554,7 +554,7 @@
           json.is_object() && json.contains("state") && json["state"].is_string()
             ? json["state"].get<std::string>()
             : std::string();
-        // Any other answer leaves the state unchanged.
+        // Any other answer leaves the state unchanged, because the endpoint may be misleading.
         if (state == "cold") {
           health_.state_ = TargetState::kCold;
         } else if (state == "ready") {
