--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -390,18 +390,18 @@
   }
   const auto queue = waiting_.find(account);
   const bool othersWait = queue != waiting_.end() && !queue->second.empty();
-  TakeStep step = TakeToken(
+  TakeStep acquired = TakeToken(
     tokens_, account, othersWait ? static_cast<std::uint32_t>(queue->second.size()) : 0, now);
-  if (step.ask_ && requestTokens_) {
-    requestTokens_(*step.ask_);
+  if (acquired.ask_ && requestTokens_) {
+    requestTokens_(*acquired.ask_);
   }
-  switch (step.result_) {
+  switch (acquired.result_) {
     case TakeResult::kTaken:
       StartCall(aCall);
       return;
     case TakeResult::kRefused:
       metrics_.Add(Counter::kRefusedRate);
-      Refuse(aCall, ErrorCode::kOverRate, step.retryAfterMs_);
+      Refuse(aCall, ErrorCode::kOverRate, acquired.retryAfterMs_);
       return;
     case TakeResult::kWait:
       break;
@@ -441,22 +441,22 @@
   while (!calls.empty()) {
     const CallPointer call = calls.front();
     calls.pop_front();
-    TakeStep step =
+    TakeStep acquired =
       TakeToken(tokens_, aAccount, static_cast<std::uint32_t>(calls.size()), loop_.Now());
-    if (step.ask_ && requestTokens_) {
-      requestTokens_(*step.ask_);
+    if (acquired.ask_ && requestTokens_) {
+      requestTokens_(*acquired.ask_);
     }
-    if (step.result_ == TakeResult::kWait) {
+    if (acquired.result_ == TakeResult::kWait) {
       calls.push_front(call);
       break;
     }
     loop_.CancelTimer(call->tokenTimer_);
     call->tokenTimer_ = 0;
-    if (step.result_ == TakeResult::kTaken) {
+    if (acquired.result_ == TakeResult::kTaken) {
       StartCall(call);
     } else {
       metrics_.Add(Counter::kRefusedRate);
-      Refuse(call, ErrorCode::kOverRate, step.retryAfterMs_);
+      Refuse(call, ErrorCode::kOverRate, acquired.retryAfterMs_);
     }
   }
   if (!calls.empty()) {
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -341,14 +341,14 @@
   const CallPointer call = entry->second;
   const Hello* peer = hub_.PeerOf(aReply.callId_);
   // A new incarnation has a new table, so its "never arrived" says nothing about the call.
-  const bool same = peer != nullptr && *peer == call->guard_;
-  if (same && (aReply.fate_ == Fate::kRunning || aReply.fate_ == Fate::kDone ||
-               aReply.fate_ == Fate::kRefused)) {
+  const bool sameIncarnation = peer != nullptr && *peer == call->guard_;
+  if (sameIncarnation && (aReply.fate_ == Fate::kRunning || aReply.fate_ == Fate::kDone ||
+                          aReply.fate_ == Fate::kRefused)) {
     // The answer follows on this connection, which is monitored for silence as for any call.
     return;
   }
   hub_.EndCall(aReply.callId_);
-  if (same && aReply.fate_ == Fate::kNeverArrived) {
+  if (sameIncarnation && aReply.fate_ == Fate::kNeverArrived) {
     Answer answer = MakeAnswer(Outcome::kNotRun, ErrorCode::kTargetUnreachable);
     answer.retriesUnused_ = call->lentRetries_;
     EndAttempt(call, CallResult::kFailed, &answer);
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -87,8 +87,8 @@
   }
   // A duplicate that waits for a running request: that request may have run, so "not run" would be
   // false.
-  const bool repeat = !aCall->requestId_.empty() && !aCall->requestDigest_.empty();
-  if (repeat) {
+  const bool waitsAsDuplicate = !aCall->requestId_.empty() && !aCall->requestDigest_.empty();
+  if (waitsAsDuplicate) {
     EndUnknown(aCall, ErrorCode::kDeadlineExceeded);
   } else {
     Refuse(aCall, ErrorCode::kDeadlineExceeded);
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -137,12 +137,12 @@
   ScheduleQueueCheck();
 }
 
-void Guard::Apply(const AdmissionStep& aStep)
+void Guard::Apply(const AdmissionStep& aActions)
 {
-  for (const auto& refused : aStep.refuse_) {
+  for (const auto& refused : aActions.refuse_) {
     Refuse(refused.id_, refused.code_, refused.retryAfterMs_);
   }
-  for (const std::uint64_t number : aStep.start_) {
+  for (const std::uint64_t number : aActions.start_) {
     Start(number);
   }
 }
@@ -284,10 +284,11 @@
       onContextClosed_(running.contextToken_);
     }
   }
-  AdmissionStep step;
+  AdmissionStep actions;
   if (!settings_.naive_) {
     const Duration total = now - running.started_;
-    step = FinishCall(admission_, aEnd, { total, total - deeperTime }, now, running.call_.route_);
+    actions =
+      FinishCall(admission_, aEnd, { total, total - deeperTime }, now, running.call_.route_);
     RecordTargetOutcome(aEnd, aAnswer);
   }
   FillLoad(aAnswer);
@@ -295,7 +296,7 @@
   if (running.done_) {
     running.done_(std::move(aAnswer));
   }
-  Apply(step);
+  Apply(actions);
 }
 
 // Cancelled calls and refusals don't count: they don't show whether the target fails calls that it
--- a/peridotquay/process/Guard.h
+++ b/peridotquay/process/Guard.h
@@ -101,7 +101,7 @@
     std::uint64_t deadlineTimer_ = 0;
   };
 
-  void Apply(const AdmissionStep& aStep);
+  void Apply(const AdmissionStep& aActions);
   void Start(std::uint64_t aCall);
   void OnTargetResult(std::uint64_t aCall, TargetResult aResult);
   void OnDeadline(std::uint64_t aCall);
--- a/peridotquay/process/HttpDialect.cpp
+++ b/peridotquay/process/HttpDialect.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-constexpr std::uint32_t kLongestHintMs = 60'000;
+constexpr std::uint32_t kMaxRetryAfterMs = 60'000;
 
 void QuayToGuard(HeaderList& aHeaders, const ServiceId& /*aOwnService*/)
 {
@@ -42,7 +42,7 @@
     return std::nullopt;
   }
   const auto hint = FindHeader(aResponse.headers_, "Quay-Retry-After-Ms");
-  return static_cast<std::uint32_t>(hint ? ParseNumber(*hint, kLongestHintMs).value_or(0) : 0);
+  return static_cast<std::uint32_t>(hint ? ParseNumber(*hint, kMaxRetryAfterMs).value_or(0) : 0);
 }
 
 std::optional<TargetLoad> QuayLoad(const HttpResponse& /*aResponse*/)
--- a/peridotquay/process/RequestLog.cpp
+++ b/peridotquay/process/RequestLog.cpp
@@ -26,7 +26,7 @@
   aState.second_ = aNow;
   aState.failures_ = 0;
   aState.successes_ = 0;
-  aState.kept_ = 0;
+  aState.successesWritten_ = 0;
 }
 
 } // namespace
@@ -47,8 +47,8 @@
     ++aState.successes_;
     // The second condition bounds a surge until the next second adapts the threshold.
     allowed = HashId(aRequestId) <= aState.threshold_ &&
-              aState.kept_ < 2 * aState.settings_.successesPerSecond_;
-    aState.kept_ += allowed ? 1 : 0;
+              aState.successesWritten_ < 2 * aState.settings_.successesPerSecond_;
+    aState.successesWritten_ += allowed ? 1 : 0;
   }
   if (!allowed) {
     ++aState.leftOut_;
--- a/peridotquay/process/RequestLog.h
+++ b/peridotquay/process/RequestLog.h
@@ -21,10 +21,10 @@
 struct RequestLogState
 {
   RequestLogSettings settings_;
-  TimePoint second_{};          ///< Start of the current second.
-  std::uint32_t failures_ = 0;  ///< In this second, written or not.
-  std::uint32_t successes_ = 0; ///< In this second, written or not.
-  std::uint32_t kept_ = 0;      ///< Successes written in this second.
+  TimePoint second_{};                 ///< Start of the current second.
+  std::uint32_t failures_ = 0;         ///< In this second, written or not.
+  std::uint32_t successes_ = 0;        ///< In this second, written or not.
+  std::uint32_t successesWritten_ = 0; ///< Successes written in this second.
   /// Successes are written if their id hashes to at most this value. Thus a host with a lower
   /// threshold logs a subset of the requests that a host with a higher one logs.
   std::uint32_t threshold_ = UINT32_MAX;
