--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -437,7 +437,7 @@
       change.edits_ = { { "account/account-0",
                           R"({"burst":20,"rate":)" + std::to_string(10 + i) + "}" } };
       static_cast<void>(ApplyChange(entities, change));
-      TouchEntities(cache, change.edits_);
+      MarkEntitiesChanged(cache, change.edits_);
       config = CompileConfig(cache, entities, { "dc0" }, change.version_);
     }
     const auto each = (CpuSeconds() - started) / kChanges;
@@ -588,7 +588,7 @@
 void MeasureIdle()
 {
   const auto residentBefore = ResidentBytes();
-  SocketPort port;
+  DataPlaneCallbacks port;
   port.sendPeer_ = [](const Address&, PeerMessage) {};
   port.sendDatagram_ = [](const Address&, PeerMessage) {};
   port.publishConfig_ = [](std::shared_ptr<const Config>) {};
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -3,7 +3,7 @@
 
 #include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
-#include "peridotquay/request/RandomStep.h"
+#include "peridotquay/request/Random.h"
 
 #include <nlohmann/json.hpp>
 
@@ -42,8 +42,8 @@
 {
   routing_.dataCentre_ = aSettings.dataCentre_;
   routing_.region_ = aSettings.region_;
-  routing_.random_ = aSettings.seed_ != 0
-                       ? aSettings.seed_
+  routing_.random_ = aSettings.randomSeed_ != 0
+                       ? aSettings.randomSeed_
                        : static_cast<std::uint64_t>(Clock::now().time_since_epoch().count()) | 1U;
   guard_.onContextClosed_ = [this](const std::string& aToken) {
     const auto entry = deeperCalls_.find(aToken);
@@ -93,7 +93,7 @@
     return Refusal{ ErrorCode::kMissingKey };
   }
   key->remove_prefix(dialect_.keyScheme_.size());
-  const ClientAccount* account = FindKey(*config_, KeyDigest(*key));
+  const ClientAccount* account = FindAccountByKeyDigest(*config_, KeyDigest(*key));
   if (account == nullptr) {
     return Refusal{ ErrorCode::kUnknownKey };
   }
@@ -123,11 +123,11 @@
 const ServiceId& Dispatcher::ChooseService(const Route& aRoute)
 {
   double total = 0;
-  for (const RoutePart& part : aRoute.split_) {
+  for (const WeightedService& part : aRoute.split_) {
     total += part.weight_;
   }
   double remaining = RandomFraction(routing_.random_) * total;
-  for (const RoutePart& part : aRoute.split_) {
+  for (const WeightedService& part : aRoute.split_) {
     remaining -= part.weight_;
     if (remaining < 0) {
       return part.service_;
@@ -183,7 +183,7 @@
     return;
   }
   if (!config_) {
-    metrics_.Add(Counter::kRefusedNotFresh);
+    metrics_.Add(Counter::kRefusedStaleConfig);
     RefuseExchange(aExchange, { ErrorCode::kConfigurationNotFresh, kShedRetryAfterMs });
     return;
   }
@@ -210,7 +210,7 @@
   }
   if (refusal) {
     const bool notFresh = refusal->code_ == ErrorCode::kConfigurationNotFresh;
-    metrics_.Add(notFresh ? Counter::kRefusedNotFresh : Counter::kRefusedKey);
+    metrics_.Add(notFresh ? Counter::kRefusedStaleConfig : Counter::kRefusedKey);
     RefuseExchange(aExchange, *refusal);
     return;
   }
@@ -390,24 +390,24 @@
   }
   const auto queue = waiting_.find(account);
   const bool othersWait = queue != waiting_.end() && !queue->second.empty();
-  TakeStep acquired = TakeToken(
+  AcquireResult acquired = AcquireToken(
     tokens_, account, othersWait ? static_cast<std::uint32_t>(queue->second.size()) : 0, now);
-  if (acquired.ask_ && requestTokens_) {
-    requestTokens_(*acquired.ask_);
+  if (acquired.shareRequest_ && requestTokens_) {
+    requestTokens_(*acquired.shareRequest_);
   }
-  switch (acquired.result_) {
-    case TakeResult::kTaken:
+  switch (acquired.status_) {
+    case AcquireStatus::kAcquired:
       StartCall(aCall);
       return;
-    case TakeResult::kRefused:
+    case AcquireStatus::kRefused:
       metrics_.Add(Counter::kRefusedRate);
       Refuse(aCall, ErrorCode::kOverRate, acquired.retryAfterMs_);
       return;
-    case TakeResult::kWait:
+    case AcquireStatus::kPending:
       break;
   }
   waiting_[account].push_back(aCall);
-  WaitForTokens(aCall, kTokenWait, true);
+  WaitForTokens(aCall, kMaxTokenWait, true);
 }
 
 void Dispatcher::WaitForTokens(const CallPointer& aCall, Duration aWait, bool aExtend)
@@ -441,18 +441,18 @@
   while (!calls.empty()) {
     const CallPointer call = calls.front();
     calls.pop_front();
-    TakeStep acquired =
-      TakeToken(tokens_, aAccount, static_cast<std::uint32_t>(calls.size()), loop_.Now());
-    if (acquired.ask_ && requestTokens_) {
-      requestTokens_(*acquired.ask_);
+    AcquireResult acquired =
+      AcquireToken(tokens_, aAccount, static_cast<std::uint32_t>(calls.size()), loop_.Now());
+    if (acquired.shareRequest_ && requestTokens_) {
+      requestTokens_(*acquired.shareRequest_);
     }
-    if (acquired.result_ == TakeResult::kWait) {
+    if (acquired.status_ == AcquireStatus::kPending) {
       calls.push_front(call);
       break;
     }
     loop_.CancelTimer(call->tokenTimer_);
     call->tokenTimer_ = 0;
-    if (acquired.result_ == TakeResult::kTaken) {
+    if (acquired.status_ == AcquireStatus::kAcquired) {
       StartCall(call);
     } else {
       metrics_.Add(Counter::kRefusedRate);
@@ -470,7 +470,7 @@
   if (!calls_.contains(aCall.get())) {
     return;
   }
-  NoteFirstTry(retryRatios_[aCall->call_.service_], RetrySettings(*aCall));
+  RecordFirstAttempt(retryRatios_[aCall->call_.service_], RetrySettings(*aCall));
   StartAttempt(aCall);
 }
 
@@ -484,10 +484,11 @@
   routing_.settings_.waitBetweenRegions_ = config_->policy_.waitBetweenRegions_;
   std::erase_if(retryRatios_, [this](const auto& aEntry) {
     return std::none_of(config_->routes_.begin(), config_->routes_.end(), [&](const Route& aRoute) {
-      return aRoute.service_ == aEntry.first ||
-             std::any_of(aRoute.split_.begin(), aRoute.split_.end(), [&](const RoutePart& aPart) {
-               return aPart.service_ == aEntry.first;
-             });
+      return aRoute.service_ == aEntry.first || std::any_of(aRoute.split_.begin(),
+                                                            aRoute.split_.end(),
+                                                            [&](const WeightedService& aPart) {
+                                                              return aPart.service_ == aEntry.first;
+                                                            });
     });
   });
 }
@@ -495,7 +496,7 @@
 void Dispatcher::SetTargets(std::shared_ptr<const TargetView> aTargets)
 {
   targets_ = std::move(aTargets);
-  ForgetAbsent(routing_, *targets_);
+  RemoveAbsentHosts(routing_, *targets_);
   std::erase_if(admissionLevels_,
                 [this](const auto& aEntry) { return !targets_->hosts_.contains(aEntry.first); });
 }
@@ -632,7 +633,8 @@
         entry["ejected"] = now < stats->second.ejectedUntil_;
       }
       const auto level = admissionLevels_.find(target.host_);
-      if (level != admissionLevels_.end() && now - level->second.heard_ < kLevelLifetime) {
+      if (level != admissionLevels_.end() &&
+          now - level->second.receivedAt_ < kAdmissionLevelLifetime) {
         entry["lowest_admitted"] = ImportanceName(level->second.level_.lowestAdmitted_);
         entry["admitted_fraction"] = level->second.level_.admittedFraction_;
       }
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -171,7 +171,7 @@
   void StartAttempt(const CallPointer& aCall);
   Duration AnswerReserve(const Target& aTarget) const;
   void SendAttempt(const CallPointer& aCall, const Target& aTarget);
-  void EndAttempt(const CallPointer& aCall, CallResult aResult, const Answer* aAnswer);
+  void EndAttempt(const CallPointer& aCall, AttemptResult aResult, const Answer* aAnswer);
   void OnAttemptAnswer(const CallPointer& aCall, Answer aAnswer);
   void QueryCallStatus(const CallPointer& aCall);
   bool AcquireRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget);
@@ -209,7 +209,7 @@
   TokenCache tokens_;
   NaiveState naive_;
   /// By host of the guard; only hosts in targets_.
-  std::map<HostId, UpstreamLevel> admissionLevels_;
+  std::map<HostId, ReceivedAdmissionLevel> admissionLevels_;
   std::map<ServiceId, RetryRatio> retryRatios_; ///< Only services in config_.
   RequestLedger ledger_;
   std::map<std::pair<HostId, Incarnation>, RequestLedger> importedLedgers_;
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -49,13 +49,13 @@
   std::vector<HostId> excluded = aCall->excludedHosts_;
   while (true) {
     auto target =
-      ChooseTarget(routing_, *targets_, service, excluded, now, aCall->route_->objective_);
+      ChooseTarget(routing_, *targets_, service, excluded, now, aCall->route_->latencyObjective_);
     if (!target || std::find(excluded.begin(), excluded.end(), target->host_) != excluded.end()) {
       return std::nullopt;
     }
     const auto level = admissionLevels_.find(target->host_);
     if (level == admissionLevels_.end() ||
-        UpstreamAdmits(level->second, aCall->call_.importance_, now)) {
+        ShouldSendCall(level->second, aCall->call_.importance_, now)) {
       return target;
     }
     aShedUpstream = true;
@@ -103,7 +103,7 @@
   call.call_.deadlineMs_ = static_cast<std::uint32_t>(std::max<std::int64_t>(1, left));
   attempts_[call.attemptCallId_] = aCall;
   if (!settings_.naive_) {
-    NoteSent(routing_, aTarget);
+    RecordCallSent(routing_, aTarget);
   }
   if (aTarget.host_ != settings_.host_) {
     hub_.SendCall(aTarget.peer_, call.attemptCallId_, call.call_);
@@ -134,7 +134,7 @@
   OnAttemptAnswer(call, std::move(aAnswer));
 }
 
-void Dispatcher::EndAttempt(const CallPointer& aCall, CallResult aResult, const Answer* aAnswer)
+void Dispatcher::EndAttempt(const CallPointer& aCall, AttemptResult aResult, const Answer* aAnswer)
 {
   ActiveCall& call = *aCall;
   attempts_.erase(call.attemptCallId_);
@@ -148,20 +148,20 @@
     return;
   }
   const TimePoint now = loop_.Now();
-  NoteEnded(routing_,
-            call.target_,
-            aResult,
-            now - call.sent_,
-            aAnswer == nullptr ? -1 : ReportedLoadFraction(*aAnswer),
-            now);
+  RecordCallEnded(routing_,
+                  call.target_,
+                  aResult,
+                  now - call.sent_,
+                  aAnswer == nullptr ? -1 : ReportedLoadFraction(*aAnswer),
+                  now);
   if (aAnswer != nullptr && aAnswer->limit_ != 0) {
-    NoteFailedPart(routing_, call.target_, aAnswer->failedPercent_ / 100.0, now);
+    RecordFailureFraction(routing_, call.target_, aAnswer->failedPercent_ / 100.0, now);
     const auto [level, isNew] = admissionLevels_.try_emplace(call.target_.host_);
     if (isNew) {
       // Each guard has its own random sequence, so that probes of several guards don't coincide.
       level->second.random_ ^= routing_.random_ * nextCallId_;
     }
-    NoteLevel(level->second, aAnswer->level_, now);
+    RecordAdmissionLevel(level->second, aAnswer->level_, now);
   }
 }
 
@@ -175,14 +175,14 @@
     aAnswer.retriesUnused_ = unused;
   }
   const bool owner = aCall->isOwnerCall_;
-  CallResult result = CallResult::kAnswered;
+  AttemptResult result = AttemptResult::kAnswered;
   if (aAnswer.outcome_ == Outcome::kNotRun) {
     const bool unreachable =
       aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kTargetUnreachable);
-    result = unreachable ? CallResult::kUnreachable : CallResult::kRefused;
+    result = unreachable ? AttemptResult::kUnreachable : AttemptResult::kRefused;
   } else if (aAnswer.outcome_ == Outcome::kUnknown && aAnswer.status_ == 0) {
     const bool late = aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kDeadlineExceeded);
-    result = late ? CallResult::kTimedOut : CallResult::kFailed;
+    result = late ? AttemptResult::kTimedOut : AttemptResult::kFailed;
   }
   EndAttempt(aCall, result, &aAnswer);
   if (owner) {
@@ -196,9 +196,10 @@
 RetryRatioSettings Dispatcher::RetrySettings(const ActiveCall& aCall) const
 {
   const Policy& policy = aCall.config_->policy_;
-  return {
-    policy.retryRatio_, policy.retryCap_, policy.leastRetryInterval_, policy.retryMayHaveRunCost_
-  };
+  return { policy.retryRatio_,
+           policy.retryBudgetCapacity_,
+           policy.guaranteedRetryInterval_,
+           policy.retryMayHaveRunCost_ };
 }
 
 bool Dispatcher::AcquireRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget)
@@ -215,10 +216,10 @@
   }
   // The retry ratio protects slow or failing services. An attempt that reached no host added no
   // load to them.
-  const bool inRatio = !aReachedHost || TakeRetryToken(retryRatios_[aCall->call_.service_],
-                                                       RetrySettings(*aCall),
-                                                       loop_.Now(),
-                                                       aCall->mayHaveRun_);
+  const bool inRatio = !aReachedHost || ConsumeRetryToken(retryRatios_[aCall->call_.service_],
+                                                          RetrySettings(*aCall),
+                                                          loop_.Now(),
+                                                          aCall->mayHaveRun_);
   if (aCall->budget_.left_ == 0 || !inRatio) {
     metrics_.Add(Counter::kRetriesDenied);
     return false;
@@ -285,13 +286,13 @@
     }
     // The host can no longer be reached, or all queries are used up.
     Answer answer = MakeAnswer(Outcome::kUnknown, ErrorCode::kOutcomeUnknown);
-    EndAttempt(call, CallResult::kFailed, nullptr);
+    EndAttempt(call, AttemptResult::kFailed, nullptr);
     RetryOrEnd(call, std::move(answer));
     return;
   }
   if (call->isOwnerCall_) {
     // The request id makes it safe to forward the call to the owner again.
-    EndAttempt(call, CallResult::kFailed, nullptr);
+    EndAttempt(call, AttemptResult::kFailed, nullptr);
     if (aCall.sent_ && AcquireRetry(call, true, true)) {
       metrics_.Add(Counter::kRetries);
       ++call->retries_;
@@ -305,7 +306,7 @@
   if (!aCall.sent_) {
     Answer answer = MakeAnswer(Outcome::kNotRun, ErrorCode::kTargetUnreachable);
     answer.retriesUnused_ = call->lentRetries_;
-    EndAttempt(call, CallResult::kUnreachable, &answer);
+    EndAttempt(call, AttemptResult::kUnreachable, &answer);
     RetryOrEnd(call, std::move(answer));
     return;
   }
@@ -314,7 +315,7 @@
     QueryCallStatus(call);
     return;
   }
-  EndAttempt(call, CallResult::kFailed, nullptr);
+  EndAttempt(call, AttemptResult::kFailed, nullptr);
   // A silent connection says nothing about its host, which may be chosen again.
   RetryOrEnd(call,
              MakeAnswer(Outcome::kUnknown, ErrorCode::kOutcomeUnknown),
@@ -323,7 +324,7 @@
 
 void Dispatcher::QueryCallStatus(const CallPointer& aCall)
 {
-  metrics_.Add(Counter::kFatesAsked);
+  metrics_.Add(Counter::kFateQueries);
   aCall->queriesStatus_ = true;
   ++aCall->statusQueries_;
   hub_.SendCall(aCall->target_.peer_,
@@ -351,12 +352,12 @@
   if (sameIncarnation && aReply.fate_ == Fate::kNeverArrived) {
     Answer answer = MakeAnswer(Outcome::kNotRun, ErrorCode::kTargetUnreachable);
     answer.retriesUnused_ = call->lentRetries_;
-    EndAttempt(call, CallResult::kFailed, &answer);
+    EndAttempt(call, AttemptResult::kFailed, &answer);
     // The host has just replied, so it may be chosen again.
     RetryOrEnd(call, std::move(answer), false);
     return;
   }
-  EndAttempt(call, CallResult::kFailed, nullptr);
+  EndAttempt(call, AttemptResult::kFailed, nullptr);
   EndUnknown(call, ErrorCode::kOutcomeUnknown);
 }
 
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -103,7 +103,7 @@
   const std::uint64_t attempt = aCall->attemptCallId_;
   const std::uint64_t localCallNumber = aCall->localCallNumber_;
   EndAttempt(aCall,
-             loop_.Now() >= aCall->deadline_ ? CallResult::kTimedOut : CallResult::kCancelled,
+             loop_.Now() >= aCall->deadline_ ? AttemptResult::kTimedOut : AttemptResult::kCancelled,
              nullptr);
   if (localCallNumber != 0) {
     guard_.Cancel(localCallNumber);
@@ -171,8 +171,8 @@
   }
   if (call.contextToken_.empty()) {
     const Duration time = loop_.Now() - call.arrivedAt_;
-    metrics_.Note(Timing::kCaller, time);
-    metrics_.NoteRoute(call.call_.route_.value_, time);
+    metrics_.RecordTime(Stage::kCaller, time);
+    metrics_.RecordRouteTime(call.call_.route_.value_, time);
   }
   LogEnd(call, aAnswer);
   const Done done = std::move(call.done_);
--- a/peridotquay/process/DispatcherRequestIds.cpp
+++ b/peridotquay/process/DispatcherRequestIds.cpp
@@ -85,7 +85,7 @@
         aCall);
       return;
     case BeginResult::kRepeat: {
-      metrics_.Add(Counter::kRepeatsAnswered);
+      metrics_.Add(Counter::kDuplicatesAnswered);
       const RequestRecord* record = FindRecord(aLedger, aSequence);
       End(aCall, *record->answer_);
       return;
@@ -163,7 +163,7 @@
   const std::vector<CallPointer> calls = std::move(waiting->second);
   waitingDuplicates_.erase(waiting);
   for (const auto& call : calls) {
-    metrics_.Add(Counter::kRepeatsAnswered);
+    metrics_.Add(Counter::kDuplicatesAnswered);
     Answer answer = aAnswer;
     answer.retriesUnused_ = call->budget_.left_;
     End(call, std::move(answer));
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -76,7 +76,7 @@
   , dialect_(aDialect)
   , client_(aLoop,
             { .target_ = aSettings.target_,
-              .maxConnections_ = aSettings.targetConnections_,
+              .maxConnections_ = aSettings.maxTargetConnections_,
               .maxBodyBytes_ = aSettings.maxBodyBytes_,
               .maxHeaderBytes_ = aSettings.maxHeaderBytes_,
               .idleTimeout_ = aSettings.targetIdleTimeout_,
@@ -87,7 +87,7 @@
 {
   admission_.settings_.adaptive_ = !aDialect.slotsAreLimit_;
   admission_.settings_.maxLimit_ =
-    std::min(admission_.settings_.maxLimit_, aSettings.targetConnections_);
+    std::min(admission_.settings_.maxLimit_, aSettings.maxTargetConnections_);
 }
 
 Guard::~Guard() = default;
@@ -137,7 +137,7 @@
   ScheduleQueueCheck();
 }
 
-void Guard::Apply(const AdmissionStep& aActions)
+void Guard::Apply(const AdmissionActions& aActions)
 {
   for (const auto& refused : aActions.refuse_) {
     Refuse(refused.id_, refused.code_, refused.retryAfterMs_);
@@ -155,16 +155,18 @@
   }
   GuardedCall& running = entry->second;
   running.started_ = loop_.Now();
-  metrics_.Note(Timing::kQueue, running.started_ - running.arrived_);
+  metrics_.RecordTime(Stage::kQueue, running.started_ - running.arrived_);
   CallContext context;
   context.budget_.left_ = running.call_.retries_;
   context.deadline_ = running.deadline_;
   context.clientAccount_ = running.call_.clientAccount_;
   context.importance_ = running.call_.importance_;
   context.depth_ = running.call_.depth_;
-  std::string token = NewToken();
+  std::string token = NewContextToken();
   if (!OpenContext(contexts_, token, context)) {
-    Finish(aCall, CallEnd::kCancelled, RefusedAnswer(running.call_, ErrorCode::kLimitReached, 0));
+    Finish(aCall,
+           ExecutionResult::kCancelled,
+           RefusedAnswer(running.call_, ErrorCode::kLimitReached, 0));
     return;
   }
   running.contextToken_ = std::move(token);
@@ -200,20 +202,22 @@
   const Call& call = running.call_;
   switch (aResult.end_) {
     case TargetEnd::kNotSent:
-      Finish(aCall, CallEnd::kTargetRefused, RefusedAnswer(call, ErrorCode::kTargetUnreachable, 0));
+      Finish(aCall,
+             ExecutionResult::kTargetRefused,
+             RefusedAnswer(call, ErrorCode::kTargetUnreachable, 0));
       return;
     case TargetEnd::kLost:
-      metrics_.Add(Counter::kTargetLost);
-      Finish(aCall, CallEnd::kCancelled, UnknownAnswer(call, ErrorCode::kOutcomeUnknown));
+      metrics_.Add(Counter::kTargetAnswersLost);
+      Finish(aCall, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kOutcomeUnknown));
       return;
     case TargetEnd::kTruncated:
-      metrics_.Add(Counter::kTargetTruncated);
-      Finish(aCall, CallEnd::kCancelled, UnknownAnswer(call, ErrorCode::kTruncatedAnswer));
+      metrics_.Add(Counter::kTargetAnswersTruncated);
+      Finish(aCall, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kTruncatedAnswer));
       return;
     case TargetEnd::kAnswered:
       break;
   }
-  metrics_.Note(Timing::kTarget, loop_.Now() - running.started_);
+  metrics_.RecordTime(Stage::kTarget, loop_.Now() - running.started_);
   if (const auto load = dialect_.load_(aResult.response_)) {
     SetSlots(load->slots_);
   }
@@ -224,11 +228,14 @@
       LogEvent(Event::kTargetRefusing,
                { { "route", call.route_.value_ }, { "skipped", std::to_string(skipped) } });
     }
-    Finish(aCall, CallEnd::kTargetRefused, RefusedAnswer(call, ErrorCode::kTargetRefused, *hint));
+    Finish(aCall,
+           ExecutionResult::kTargetRefused,
+           RefusedAnswer(call, ErrorCode::kTargetRefused, *hint));
     return;
   }
-  Finish(
-    aCall, CallEnd::kAnswered, AnswerFromResponse(dialect_, call, std::move(aResult.response_)));
+  Finish(aCall,
+         ExecutionResult::kAnswered,
+         AnswerFromResponse(dialect_, call, std::move(aResult.response_)));
 }
 
 void Guard::OnDeadline(std::uint64_t aCall)
@@ -246,7 +253,7 @@
   }
   const bool sent = client_.Cancel(running.targetRequest_);
   Finish(aCall,
-         sent ? CallEnd::kTimedOut : CallEnd::kTargetRefused,
+         sent ? ExecutionResult::kTimedOut : ExecutionResult::kTargetRefused,
          sent ? UnknownAnswer(running.call_, ErrorCode::kDeadlineExceeded)
               : RefusedAnswer(running.call_, ErrorCode::kDeadlineExceeded, 0));
 }
@@ -267,7 +274,7 @@
   done(std::move(answer));
 }
 
-void Guard::Finish(std::uint64_t aCall, CallEnd aEnd, Answer aAnswer)
+void Guard::Finish(std::uint64_t aCall, ExecutionResult aEnd, Answer aAnswer)
 {
   const auto entry = calls_.find(aCall);
   const GuardedCall running = std::move(entry->second);
@@ -284,7 +291,7 @@
       onContextClosed_(running.contextToken_);
     }
   }
-  AdmissionStep actions;
+  AdmissionActions actions;
   if (!settings_.naive_) {
     const Duration total = now - running.started_;
     actions =
@@ -301,13 +308,13 @@
 
 // Cancelled calls and refusals don't count: they don't show whether the target fails calls that it
 // accepts.
-void Guard::RecordTargetOutcome(CallEnd aEnd, const Answer& aAnswer)
+void Guard::RecordTargetOutcome(ExecutionResult aEnd, const Answer& aAnswer)
 {
   const bool lost = aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kOutcomeUnknown) ||
                     aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kTruncatedAnswer);
-  if (aEnd == CallEnd::kAnswered || aEnd == CallEnd::kTimedOut || lost) {
-    const bool failed = aEnd != CallEnd::kAnswered || aAnswer.status_ >= 500;
-    NoteOutcome(failures_, failed, loop_.Now());
+  if (aEnd == ExecutionResult::kAnswered || aEnd == ExecutionResult::kTimedOut || lost) {
+    const bool failed = aEnd != ExecutionResult::kAnswered || aAnswer.status_ >= 500;
+    RecordAnswer(failures_, failed, loop_.Now());
   }
 }
 
@@ -353,7 +360,7 @@
   aAnswer.inFlight_ = admission_.running_;
   aAnswer.limit_ = static_cast<std::uint32_t>(admission_.limit_);
   aAnswer.queued_ = static_cast<std::uint32_t>(admission_.queued_);
-  aAnswer.level_ = CurrentLevel(admission_, loop_.Now());
+  aAnswer.level_ = CurrentAdmissionLevel(admission_, loop_.Now());
   aAnswer.failedPercent_ = FailedPercent(failures_, loop_.Now());
 }
 
@@ -442,15 +449,16 @@
       silent.push_back(number);
     }
   }
-  metrics_.Add(Counter::kTargetLost, silent.size());
+  metrics_.Add(Counter::kTargetAnswersLost, silent.size());
   for (const std::uint64_t number : silent) {
     const auto entry = calls_.find(number);
     if (entry == calls_.end()) {
       continue;
     }
     client_.Cancel(entry->second.targetRequest_);
-    Finish(
-      number, CallEnd::kCancelled, UnknownAnswer(entry->second.call_, ErrorCode::kOutcomeUnknown));
+    Finish(number,
+           ExecutionResult::kCancelled,
+           UnknownAnswer(entry->second.call_, ErrorCode::kOutcomeUnknown));
   }
 }
 
@@ -469,7 +477,7 @@
     return;
   }
   client_.Cancel(running.targetRequest_);
-  Finish(aCall, CallEnd::kCancelled, Answer{});
+  Finish(aCall, ExecutionResult::kCancelled, Answer{});
 }
 
 void Guard::Abort()
@@ -483,7 +491,7 @@
     }
     client_.Cancel(entry->second.targetRequest_);
     Finish(entry->first,
-           CallEnd::kCancelled,
+           ExecutionResult::kCancelled,
            UnknownAnswer(entry->second.call_, ErrorCode::kOutcomeUnknown));
   }
 }
@@ -612,7 +620,7 @@
     fresh.limit_ = fresh.settings_.initialLimit_;
     admission_ = fresh;
   }
-  AnnounceSlots(admission_, health_.slots_);
+  ApplyAnnouncedSlots(admission_, health_.slots_);
 }
 
 CallContext* Guard::Context(std::string_view aToken)
--- a/peridotquay/process/Guard.h
+++ b/peridotquay/process/Guard.h
@@ -101,14 +101,14 @@
     std::uint64_t deadlineTimer_ = 0;
   };
 
-  void Apply(const AdmissionStep& aActions);
+  void Apply(const AdmissionActions& aActions);
   void Start(std::uint64_t aCall);
   void OnTargetResult(std::uint64_t aCall, TargetResult aResult);
   void OnDeadline(std::uint64_t aCall);
   void Refuse(std::uint64_t aCall, ErrorCode aCode, std::uint32_t aRetryAfterMs);
   /// Ends a started call: frees its slot, closes its context and passes the answer on.
-  void Finish(std::uint64_t aCall, CallEnd aEnd, Answer aAnswer);
-  void RecordTargetOutcome(CallEnd aEnd, const Answer& aAnswer);
+  void Finish(std::uint64_t aCall, ExecutionResult aEnd, Answer aAnswer);
+  void RecordTargetOutcome(ExecutionResult aEnd, const Answer& aAnswer);
   void FillLoad(Answer& aAnswer);
   void LogEnd(const GuardedCall& aRunning, const Answer& aAnswer);
   void ScheduleQueueCheck();
--- a/peridotquay/process/OperatorReport.cpp
+++ b/peridotquay/process/OperatorReport.cpp
@@ -1,4 +1,4 @@
-// Reports and exit codes of quayctl.
+// Error reports and exit codes of quayctl.
 #include "peridotquay/process/OperatorReport.h"
 
 namespace peridotquay {
@@ -54,7 +54,7 @@
 OperatorReport ReportError(const Error& aError)
 {
   OperatorReport report;
-  report.exit_ = ExitCode(aError.code_);
+  report.exitCode_ = ExitCode(aError.code_);
   nlohmann::json error = { { "type", ErrorName(aError.code_) },
                            { "subject", aError.subject_ },
                            { "allowed", aError.allowed_ } };
--- a/tests/process/PlatformJsonTest.cpp
+++ b/tests/process/PlatformJsonTest.cpp
@@ -8,8 +8,9 @@
 
 using namespace peridotquay;
 
-// Guards against bodies that lose fields on the way, and against hostile bodies that crash; seed 4.
-TEST_CASE("platform bodies survive the way back and mutations", "[platform]")
+// Guards against fields that are lost by encoding and decoding, and against malformed bodies that
+// crash the decoders (mutations with seed 4).
+TEST_CASE("platform JSON round-trips and mutated bodies don't crash the decoders", "[platform]")
 {
   const PlatformRow row{ "share/north", 7, "{\"a\":\"ü\"}" };
   const PlatformTransaction transaction{ "op",
@@ -18,12 +19,14 @@
   CHECK(Value(DecodePlatformRow(EncodePlatformRow(row))) == row);
   CHECK(Value(DecodePlatformRows(EncodePlatformRows({ row, row }))).size() == 2);
   CHECK(Value(DecodePlatformTransaction(EncodePlatformTransaction(transaction))) == transaction);
-  CHECK(Value(DecodePlatformResult(EncodePlatformResult({ "k", 5 }))) == PlatformResult{ "k", 5 });
+  CHECK(Value(DecodePlatformTransactionResult(EncodePlatformTransactionResult({ "k", 5 }))) ==
+        PlatformTransactionResult{ "k", 5 });
   std::mt19937_64 random(4);
   for (int i = 0; i < 5000; ++i) {
     static_cast<void>(DecodePlatformRows(Mutate(EncodePlatformRows({ row }), random)));
     static_cast<void>(
       DecodePlatformTransaction(Mutate(EncodePlatformTransaction(transaction), random)));
-    static_cast<void>(DecodePlatformResult(Mutate(EncodePlatformResult({ "k", 5 }), random)));
+    static_cast<void>(
+      DecodePlatformTransactionResult(Mutate(EncodePlatformTransactionResult({ "k", 5 }), random)));
   }
 }
--- a/tests/request/OutcomeTest.cpp
+++ b/tests/request/OutcomeTest.cpp
@@ -5,10 +5,10 @@
 
 using namespace peridotquay;
 
-// Guards against an importance name that can be written but not read back.
+// Guards against an importance name that is written but can't be parsed.
 TEST_CASE("importance names parse back", "[outcome]")
 {
-  for (int i = 0; i < kImportanceClasses; ++i) {
+  for (int i = 0; i < kImportanceClassCount; ++i) {
     const auto importance = static_cast<Importance>(i);
     CHECK(ParseImportance(ImportanceName(importance)) == importance);
   }
--- a/tests/request/RetryBudgetTest.cpp
+++ b/tests/request/RetryBudgetTest.cpp
@@ -15,8 +15,9 @@
   return aBudget.left_ + aBudget.lent_ + aBudget.spent_;
 }
 
-/// Runs one call with random fan-out, retries, and answers that are lost or claim too much. Returns
-/// the retries that were really made in the tree; aUnused receives what the call would return.
+/// Simulates one call with random fan-out, retries, and answers that are lost or claim too many
+/// unused retries. Returns the retries made in its tree; aUnused receives the retries that it
+/// returns.
 std::uint32_t RunCall(std::uint32_t aRetries, int aDepth, std::uint32_t& aUnused)
 {
   RetryBudget budget{ aRetries, 0, 0 };
@@ -33,7 +34,7 @@
       made += RunCall(retries, aDepth + 1, unused);
       const int answer = *rc::gen::inRange(0, 4);
       const std::uint32_t claimed = answer == 0 ? 0 : answer == 1 ? unused + 100 : unused;
-      // A claim above what was lent returns at most what was lent; the guard's own count is right.
+      // The guard limits a claim that is too large to its own count of unused retries.
       ReturnRetries(budget, retries, answer == 1 ? std::min(claimed, unused) : claimed);
       RC_ASSERT(Sum(budget) == aRetries);
     }
@@ -49,7 +50,7 @@
 
 } // namespace
 
-// Guards against retries that multiply down a chain of calls.
+// Guards against retries that multiply at each hop of a call chain.
 TEST_CASE("retries of a tree of calls stay within the budget", "[retry]")
 {
   CHECK(rc::check("budget of a random tree", [] {
@@ -76,8 +77,8 @@
   }));
 }
 
-// Guards against a copy of the budget for a deeper call, and against a last retry that can't be
-// lent.
+// Guards against a budget that is copied to a deeper call instead of shared with it, and against a
+// last retry that can't be lent.
 TEST_CASE("half of the budget is lent, rounded up", "[retry]")
 {
   RetryBudget budget{ 3, 0, 0 };
@@ -89,28 +90,30 @@
   CHECK(budget == RetryBudget{ 1, 1, 1 });
 }
 
-// Guards against repeated runs whose own calls exceed the ratio of deeper services.
+// Guards against retries of calls that ran, whose repeated deeper calls exceed the retry ratio of
+// deeper services.
 TEST_CASE("a retry of a call that may have run costs more", "[retry]")
 {
-  const RetryRatioSettings settings{ .perFirstTry_ = 0.5,
-                                     .leastInterval_ = seconds(100),
+  const RetryRatioSettings settings{ .tokensPerFirstAttempt_ = 0.5,
+                                     .minInterval_ = seconds(100),
                                      .mayHaveRunCost_ = 2 };
   RetryRatio state;
   const TimePoint now{ seconds(1000) };
-  state.last_ = now;
-  CHECK_FALSE(TakeRetryToken(state, settings, now, true));
-  NoteFirstTry(state, settings);
-  NoteFirstTry(state, settings);
-  CHECK(TakeRetryToken(state, settings, now, true));
-  CHECK_FALSE(TakeRetryToken(state, settings, now, false));
+  state.lastRetryAt_ = now;
+  CHECK_FALSE(ConsumeRetryToken(state, settings, now, true));
+  RecordFirstAttempt(state, settings);
+  RecordFirstAttempt(state, settings);
+  CHECK(ConsumeRetryToken(state, settings, now, true));
+  CHECK_FALSE(ConsumeRetryToken(state, settings, now, false));
 }
 
-// Guards against retry storms on one route, and against a quiet route that may never retry.
+// Guards against retry storms on one service, and against a service with few calls that may never
+// retry.
 TEST_CASE("retries are at most the ratio and one a second", "[retry]")
 {
   const RetryRatioSettings settings;
   CHECK(rc::check("ratio over random traffic", [] {
-    const RetryRatioSettings drawn{ .perFirstTry_ = *rc::gen::element(0.0, 0.1, 0.3) };
+    const RetryRatioSettings drawn{ .tokensPerFirstAttempt_ = *rc::gen::element(0.0, 0.1, 0.3) };
     RetryRatio state;
     TimePoint now{ seconds(1000) };
     const TimePoint start = now;
@@ -120,32 +123,33 @@
     for (const int step : steps) {
       now += milliseconds(step);
       if (step % 3 != 0) {
-        NoteFirstTry(state, drawn);
+        RecordFirstAttempt(state, drawn);
         tries += 1;
-      } else if (TakeRetryToken(state, drawn, now)) {
+      } else if (ConsumeRetryToken(state, drawn, now)) {
         retries += 1;
       }
-      RC_ASSERT(retries <= 2 + drawn.perFirstTry_ * tries + ToSeconds(now - start) + 1e-6);
+      RC_ASSERT(retries <=
+                2 + drawn.tokensPerFirstAttempt_ * tries + ToSeconds(now - start) + 1e-6);
     }
   }));
 
   RetryRatio state;
   const TimePoint now{ seconds(1000) };
-  CHECK(TakeRetryToken(state, settings, now));
-  CHECK_FALSE(TakeRetryToken(state, settings, now + milliseconds(999)));
-  CHECK(TakeRetryToken(state, settings, now + milliseconds(1000)));
+  CHECK(ConsumeRetryToken(state, settings, now));
+  CHECK_FALSE(ConsumeRetryToken(state, settings, now + milliseconds(999)));
+  CHECK(ConsumeRetryToken(state, settings, now + milliseconds(1000)));
   for (int i = 0; i < 10; ++i) {
-    NoteFirstTry(state, settings);
+    RecordFirstAttempt(state, settings);
   }
-  CHECK(TakeRetryToken(state, settings, now + milliseconds(1001)));
+  CHECK(ConsumeRetryToken(state, settings, now + milliseconds(1001)));
 
-  // A long quiet time must not pay for a burst of retries.
+  // A long time without retries must not allow a large burst of them.
   for (int i = 0; i < 100000; ++i) {
-    NoteFirstTry(state, settings);
+    RecordFirstAttempt(state, settings);
   }
   int burst = 0;
-  while (TakeRetryToken(state, settings, now + milliseconds(1002))) {
+  while (ConsumeRetryToken(state, settings, now + milliseconds(1002))) {
     ++burst;
   }
-  CHECK(burst == static_cast<int>(settings.cap_));
+  CHECK(burst == static_cast<int>(settings.maxTokens_));
 }
