--- a/peridotquay/process/DeduplicationTable.h
+++ b/peridotquay/process/DeduplicationTable.h
@@ -78,7 +78,7 @@
 /// Status of a call, with its answer for kDone and kRefused.
 struct CallStatusResult
 {
-  Fate fate_ = Fate::kForgotten;
+  CallStatus callStatus_ = CallStatus::kForgotten;
   std::optional<Answer> answer_;
 };
 
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -62,7 +62,7 @@
   /// expects on that link is dropped and counted.
   void OnAnswer(Answer aAnswer, std::uint64_t aLink);
   /// Handles the reply to a status query that was sent after the connection of a call was lost.
-  void OnCallStatusReply(const CallFateReply& aReply, std::uint64_t aLink);
+  void OnCallStatusReply(const CallStatusReply& aReply, std::uint64_t aLink);
   /// Handles a call whose connection ended before its answer arrived.
   void OnCallLost(const LostCall& aCall);
   /// Imports records of request ids from a leaving host.
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -119,7 +119,7 @@
 {
   const auto entry = attempts_.find(aAnswer.callId_);
   // The answer counts only on the connection on which the call expects it.
-  if (entry == attempts_.end() || hub_.LinkOf(aAnswer.callId_) != aLink) {
+  if (entry == attempts_.end() || hub_.LinkOfCall(aAnswer.callId_) != aLink) {
     metrics_.Add(Counter::kDroppedAnswers);
     std::uint64_t skipped = 0;
     if (droppedAnswerThrottle_.Allow(loop_.Now(), skipped)) {
@@ -169,7 +169,7 @@
 {
   // A body shorter than the guard declared is reported as truncated.
   if (aAnswer.outcome_ != Outcome::kNotRun && aCall->call_.method_ != "HEAD" &&
-      aAnswer.bodyBytes_ != aAnswer.body_.size()) {
+      aAnswer.declaredBodyBytes_ != aAnswer.body_.size()) {
     const std::uint32_t unused = aAnswer.retriesUnused_;
     aAnswer = MakeAnswer(Outcome::kUnknown, ErrorCode::kTruncatedAnswer);
     aAnswer.retriesUnused_ = unused;
@@ -319,7 +319,7 @@
   // A silent connection says nothing about its host, which may be chosen again.
   RetryOrEnd(call,
              MakeAnswer(Outcome::kUnknown, ErrorCode::kOutcomeUnknown),
-             aCall.end_ != LinkEnd::kSilent);
+             aCall.reason_ != LinkEndReason::kSilent);
 }
 
 void Dispatcher::QueryCallStatus(const CallPointer& aCall)
@@ -329,27 +329,28 @@
   ++aCall->statusQueries_;
   hub_.SendCall(aCall->target_.peer_,
                 aCall->attemptCallId_,
-                CallFate{ ledger_.incarnation_, aCall->attemptCallId_ });
+                CallStatusQuery{ ledger_.incarnation_, aCall->attemptCallId_ });
 }
 
-void Dispatcher::OnCallStatusReply(const CallFateReply& aReply, std::uint64_t aLink)
+void Dispatcher::OnCallStatusReply(const CallStatusReply& aReply, std::uint64_t aLink)
 {
   const auto entry = attempts_.find(aReply.callId_);
   if (entry == attempts_.end() || !entry->second->queriesStatus_ ||
-      hub_.LinkOf(aReply.callId_) != aLink) {
+      hub_.LinkOfCall(aReply.callId_) != aLink) {
     return;
   }
   const CallPointer call = entry->second;
-  const Hello* peer = hub_.PeerOf(aReply.callId_);
+  const Hello* peer = hub_.PeerOfCall(aReply.callId_);
   // A new incarnation has a new table, so its "never arrived" says nothing about the call.
   const bool sameIncarnation = peer != nullptr && *peer == call->guard_;
-  if (sameIncarnation && (aReply.fate_ == Fate::kRunning || aReply.fate_ == Fate::kDone ||
-                          aReply.fate_ == Fate::kRefused)) {
+  if (sameIncarnation &&
+      (aReply.callStatus_ == CallStatus::kRunning || aReply.callStatus_ == CallStatus::kDone ||
+       aReply.callStatus_ == CallStatus::kRefused)) {
     // The answer follows on this connection, which is monitored for silence as for any call.
     return;
   }
   hub_.EndCall(aReply.callId_);
-  if (sameIncarnation && aReply.fate_ == Fate::kNeverArrived) {
+  if (sameIncarnation && aReply.callStatus_ == CallStatus::kNeverArrived) {
     Answer answer = MakeAnswer(Outcome::kNotRun, ErrorCode::kTargetUnreachable);
     answer.retriesUnused_ = call->lentRetries_;
     EndAttempt(call, AttemptResult::kFailed, &answer);
--- a/peridotquay/process/HttpDialect.h
+++ b/peridotquay/process/HttpDialect.h
@@ -49,7 +49,7 @@
   /// The announced slots of the target are the concurrency limit; latency doesn't adapt it.
   bool slotsAreLimit_ = false;
   /// An answer without a length is complete when its connection closes; otherwise it is truncated.
-  bool endsByClose_ = false;
+  bool allowsCloseDelimited_ = false;
   /// Prepares the headers of a caller's request for a guard. Always removes the key.
   void (*rewriteForGuard_)(HeaderList& aHeaders, const ServiceId& aOwnService);
   /// Prepares the headers of a call for the target.
--- a/peridotquay/process/Node.cpp
+++ b/peridotquay/process/Node.cpp
@@ -112,7 +112,9 @@
   Result<void> Open()
   {
     PeerLinkSettings links;
-    links.own_ = { kPeerProtocolVersion, settings_.host_, incarnation_, settings_.dataCentre_ };
+    links.ownHello_ = {
+      kPeerProtocolVersion, settings_.host_, incarnation_, settings_.dataCentre_
+    };
     PeerHubEvents events;
     events.onMessage_ = [this](const PeerSource& aSource, PeerMessage aMessage) {
       OnPeerMessage(aSource, std::move(aMessage));
@@ -287,9 +289,9 @@
       dispatcher_->OnAnswer(std::move(*answer), aSource.link_);
     } else if (const auto* cancel = std::get_if<Cancel>(&aMessage)) {
       OnCancel(aSource.link_, cancel->callId_);
-    } else if (const auto* statusQuery = std::get_if<CallFate>(&aMessage)) {
+    } else if (const auto* statusQuery = std::get_if<CallStatusQuery>(&aMessage)) {
       OnCallStatusQuery(aSource, *statusQuery);
-    } else if (const auto* statusReply = std::get_if<CallFateReply>(&aMessage)) {
+    } else if (const auto* statusReply = std::get_if<CallStatusReply>(&aMessage)) {
       dispatcher_->OnCallStatusReply(*statusReply, aSource.link_);
     } else if (auto* owner = std::get_if<OwnerCall>(&aMessage)) {
       const std::uint64_t callId = owner->call_.callId_;
@@ -373,12 +375,12 @@
   }
 
   // Answers whether a call ran, with its answer if it is kept. A running call answers on this link.
-  void OnCallStatusQuery(const PeerSource& aSource, const CallFate& aQuery)
+  void OnCallStatusQuery(const PeerSource& aSource, const CallStatusQuery& aQuery)
   {
     const CallKey key{ aSource.hello_.host_, aQuery.incarnation_, aQuery.callId_ };
     CallStatusResult status = QueryCallStatus(deduplication_, key, loop_.Now());
-    hub_->Reply(aSource.link_, CallFateReply{ aQuery.callId_, status.fate_ });
-    if (status.fate_ == Fate::kRunning) {
+    hub_->Reply(aSource.link_, CallStatusReply{ aQuery.callId_, status.callStatus_ });
+    if (status.callStatus_ == CallStatus::kRunning) {
       RedirectAnswer(key, aSource.link_);
     } else if (status.answer_) {
       status.answer_->callId_ = aQuery.callId_;
@@ -504,7 +506,7 @@
       { "calls", dispatcher_->ActiveCalls() },
       { "guard_calls", guard_->ActiveCalls() },
       { "targets_in_view", dispatcher_->TargetCount() },
-      { "peer_links", hub_->OpenLinks() },
+      { "peer_links", hub_->OpenLinkCount() },
       { "control",
         { { "version", control.version_ },
           { "freshness_age_ms", control.freshnessAgeMs_ },
@@ -532,11 +534,11 @@
              { "admission_limit", admission.limit_ },
              { "admission_running", static_cast<double>(admission.running_) },
              { "admission_queued", static_cast<double>(admission.queued_) },
-             { "caller_connections", static_cast<double>(callers_->Connections()) },
+             { "caller_connections", static_cast<double>(callers_->ConnectionCount()) },
              { "target_connections", static_cast<double>(guard_->TargetConnections()) },
-             { "peer_links", static_cast<double>(hub_->OpenLinks()) },
-             { "http_rejected", static_cast<double>(callers_->Rejected()) },
-             { "datagrams_dropped", static_cast<double>(datagram_->Dropped()) },
+             { "peer_links", static_cast<double>(hub_->OpenLinkCount()) },
+             { "http_rejected", static_cast<double>(callers_->RejectedRequests()) },
+             { "datagrams_dropped", static_cast<double>(datagram_->DroppedDatagrams()) },
              { "draining", draining_ ? 1.0 : 0.0 } };
   }
 
@@ -579,8 +581,8 @@
   bool IsDrained() const
   {
     return !acceptingRequests_ && dispatcher_->ActiveCalls() == 0 && guard_->ActiveCalls() == 0 &&
-           callers_->PendingAnswers() == 0 && outbound_->PendingAnswers() == 0 &&
-           admin_->PendingAnswers() == 0;
+           callers_->PendingAnswerCount() == 0 && outbound_->PendingAnswerCount() == 0 &&
+           admin_->PendingAnswerCount() == 0;
   }
 
   // Leaves once the drain is complete or timed out; otherwise checks again after an interval.
--- a/peridotquay/request/Admission.cpp
+++ b/peridotquay/request/Admission.cpp
@@ -686,10 +686,10 @@
   const bool known =
     aReceived.receivedAt_ != TimePoint{} && aNow - aReceived.receivedAt_ < kAdmissionLevelLifetime;
   if (!known || aImportance == Importance::kCritical ||
-      aImportance < aReceived.level_.lowestAdmitted_) {
+      aImportance < aReceived.level_.minAdmittedImportance_) {
     return true;
   }
-  const double fraction = aImportance == aReceived.level_.lowestAdmitted_
+  const double fraction = aImportance == aReceived.level_.minAdmittedImportance_
                             ? std::max(kMinProbeFraction, aReceived.level_.admittedFraction_)
                             : kMinProbeFraction;
   return fraction >= 1 || RandomFraction(aReceived.random_) < fraction;
--- a/peridotquay/version/StoreFeed.cpp
+++ b/peridotquay/version/StoreFeed.cpp
@@ -64,7 +64,7 @@
   const Duration elapsed =
     (aNow - aState.questionSentAt_) + (aSuspended - aState.suspendedWhenSent_);
   const auto age = [&](std::uint64_t aMs) {
-    return elapsed + milliseconds(static_cast<std::int64_t>(std::min(aMs, kLongestProofAgeMs + 1)));
+    return elapsed + milliseconds(static_cast<std::int64_t>(std::min(aMs, kMaxProofAgeMs + 1)));
   };
   const bool storeAnsweredSource = age(aAnswer.answerAgeMs_) <= aState.settings_.maxStoreAnswerAge_;
   const bool lacksConfig = aAnswer.newest_.config_ > aHeld.config_;
@@ -77,7 +77,7 @@
     result.readHosts_ = lacksHosts;
   }
   aState.followingSource_ = storeAnsweredSource && (aState.followingSource_ || !lacksConfig);
-  if (!lacksConfig && aAnswer.proofAgeMs_ <= kLongestProofAgeMs) {
+  if (!lacksConfig && aAnswer.proofAgeMs_ <= kMaxProofAgeMs) {
     result.provedAt_ = aNow - age(aAnswer.proofAgeMs_);
   }
   return result;
--- a/tests/process/DeduplicationTableTest.cpp
+++ b/tests/process/DeduplicationTableTest.cpp
@@ -28,8 +28,8 @@
 {
   DeduplicationTable table;
   const TimePoint now = Clock::now();
-  CHECK(QueryCallStatus(table, Key(1), now).fate_ == Fate::kNeverArrived);
-  CHECK(QueryCallStatus(table, Key(1), now).fate_ == Fate::kNeverArrived);
+  CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kNeverArrived);
+  CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kNeverArrived);
   CHECK(RecordArrival(table, Key(1), now) == ArrivalDecision::kRefuse);
   CHECK(RecordArrival(table, Key(1, 2), now) == ArrivalDecision::kRun);
   ExpireCalls(table, now + seconds(60));
@@ -52,16 +52,16 @@
   RecordAnswer(table, Key(1), MakeAnswer(Outcome::kRan, 5), now);
   RecordAnswer(table, Key(2), MakeAnswer(Outcome::kNotRun), now);
   const CallStatusResult done = QueryCallStatus(table, Key(1), now);
-  CHECK(done.fate_ == Fate::kDone);
+  CHECK(done.callStatus_ == CallStatus::kDone);
   REQUIRE(done.answer_.has_value());
   CHECK(done.answer_->body_ == "xxxxx");
-  CHECK(QueryCallStatus(table, Key(2), now).fate_ == Fate::kRefused);
-  CHECK(QueryCallStatus(table, Key(3), now).fate_ == Fate::kRunning);
+  CHECK(QueryCallStatus(table, Key(2), now).callStatus_ == CallStatus::kRefused);
+  CHECK(QueryCallStatus(table, Key(3), now).callStatus_ == CallStatus::kRunning);
   // After its eviction the status is unknown; "never arrived" would be false.
   ExpireCalls(table, now + seconds(31));
-  CHECK(QueryCallStatus(table, Key(1), now).fate_ == Fate::kForgotten);
+  CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kForgotten);
   CHECK(RecordArrival(table, Key(2), now) == ArrivalDecision::kDrop);
-  CHECK(QueryCallStatus(table, Key(3), now).fate_ == Fate::kRunning);
+  CHECK(QueryCallStatus(table, Key(3), now).callStatus_ == CallStatus::kRunning);
   CHECK(table.answerBytes_ == 0);
 }
 
@@ -78,10 +78,10 @@
     REQUIRE(table.entries_.size() <= kMaxDeduplicationEntries);
     REQUIRE(table.answerBytes_ <= kMaxKeptAnswerBytes);
   }
-  CHECK(QueryCallStatus(table, Key(1), now).fate_ == Fate::kRunning);
+  CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kRunning);
   // There was no room for the body of the last answer, so it can't be returned complete.
-  CHECK(QueryCallStatus(table, Key(3 * kMaxDeduplicationEntries - 1), now).fate_ ==
-        Fate::kForgotten);
+  CHECK(QueryCallStatus(table, Key(3 * kMaxDeduplicationEntries - 1), now).callStatus_ ==
+        CallStatus::kForgotten);
 }
 
 // Guards against reporting "never arrived" without room for the tombstone, so that the call could
@@ -94,5 +94,6 @@
     REQUIRE(RecordArrival(table, Key(call), now) == ArrivalDecision::kRun);
   }
   CHECK(RecordArrival(table, Key(kMaxDeduplicationEntries + 1), now) == ArrivalDecision::kRefuse);
-  CHECK(QueryCallStatus(table, Key(kMaxDeduplicationEntries + 1), now).fate_ == Fate::kForgotten);
+  CHECK(QueryCallStatus(table, Key(kMaxDeduplicationEntries + 1), now).callStatus_ ==
+        CallStatus::kForgotten);
 }
--- a/tests/version/StoreFeedTest.cpp
+++ b/tests/version/StoreFeedTest.cpp
@@ -120,7 +120,7 @@
   REQUIRE(old.provedAt_);
   CHECK(*old.provedAt_ == follower.now_ - milliseconds(2600));
   CHECK(follower.state_.followingSource_);
-  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), kLongestProofAgeMs + 1).provedAt_);
+  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), kMaxProofAgeMs + 1).provedAt_);
   CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), ~std::uint64_t{ 0 }).provedAt_);
 }
 
