--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -153,8 +153,8 @@
       }
     }
     tableBytes_ = EncodePeerMessage(MemberTable{ true, entries }).size() + kFrameOverhead;
-    tableSeconds_ = std::max(ToSeconds(membership_.settings_.tableInterval_),
-                             ToSeconds(membership_.settings_.tableIntervalPerMember_) *
+    tableSeconds_ = std::max(ToSeconds(membership_.settings_.antiEntropyInterval_),
+                             ToSeconds(membership_.settings_.antiEntropyIntervalPerMember_) *
                                static_cast<double>(entries.size()));
     MembershipEffects ignored;
     HandleMembershipMessage(
@@ -185,7 +185,7 @@
       centre.pending_.clear();
       centre.pendingSet_.clear();
     }
-    membership_.nextTable_ = now_ + std::chrono::hours(1);
+    membership_.nextAntiEntropyAt_ = now_ + std::chrono::hours(1);
     sent_.clear();
     received_.clear();
     cpu_ = 0;
@@ -304,7 +304,7 @@
       std::holds_alternative<TransactCall>(*aEffects.call_) ? ++platformWrites_ : ++platformReads_;
       const auto started = CpuSeconds();
       DisseminationEffects effects;
-      HandleVersionAnswer(versions_, answer, now_, effects);
+      HandlePlatformAnswer(versions_, answer, now_, effects);
       cpu_ += CpuSeconds() - started;
       Answer(effects);
     }
--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -60,7 +60,7 @@
   const auto fresh = FreshUntil(versions);
   status.freshnessAgeMs_ =
     fresh ? static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *fresh).count())
-          : kNoProof;
+          : kUnknownAgeMs;
   status.delegate_ = IsDelegate(versions);
   status.platformReachable_ = versions.platformReachable_;
   status.minDataCentreVersion_ = versions.watermark_;
@@ -74,7 +74,7 @@
   aSelf->request(aSelf->state.platform_, caf::infinite, PlatformJob{ std::move(aCall) })
     .then([aSelf](const PlatformAnswer& aAnswer) {
       DisseminationEffects effects;
-      HandleVersionAnswer(aSelf->state.versions_, aAnswer, aSelf->clock().now(), effects);
+      HandlePlatformAnswer(aSelf->state.versions_, aAnswer, aSelf->clock().now(), effects);
       CarryOut(aSelf, effects);
     });
 }
@@ -83,7 +83,7 @@
 {
   auto& state = aSelf->state;
   const auto& port = state.context_.port_;
-  if (aEffects.config_ != nullptr || aEffects.freshness_) {
+  if (aEffects.config_ != nullptr || aEffects.freshUntil_) {
     PublishStatus(state, aSelf->clock().now());
   }
   // The configuration goes first: freshness must never be published for a version not in force yet.
@@ -91,8 +91,8 @@
     port.publishConfig_(aEffects.config_);
     aSelf->send(state.shares_, ConfigNews{ aEffects.config_ });
   }
-  if (aEffects.freshness_) {
-    port.publishFreshness_(*aEffects.freshness_);
+  if (aEffects.freshUntil_) {
+    port.publishFreshness_(*aEffects.freshUntil_);
   }
   for (auto& message : aEffects.messages_) {
     port.sendPeer_(message.to_, std::move(message.message_));
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -60,7 +60,7 @@
   const auto after = FreshUntil(aState);
   assert(!aBefore || (after && *after >= *aBefore));
   if (after != aBefore) {
-    aEffects.freshness_ = after;
+    aEffects.freshUntil_ = after;
   }
 }
 
@@ -256,7 +256,7 @@
 std::uint64_t AgeMs(const std::optional<TimePoint>& aTime, TimePoint aNow)
 {
   if (!aTime) {
-    return kNoProof;
+    return kUnknownAgeMs;
   }
   return static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *aTime).count());
 }
@@ -387,7 +387,7 @@
 std::optional<TimePoint> ProvenTime(TimePoint aSent, std::uint64_t aAgeMs)
 {
   const auto since = std::chrono::duration_cast<milliseconds>(aSent.time_since_epoch());
-  if (aAgeMs == kNoProof || aAgeMs > static_cast<std::uint64_t>(since.count())) {
+  if (aAgeMs == kUnknownAgeMs || aAgeMs > static_cast<std::uint64_t>(since.count())) {
     return std::nullopt;
   }
   return aSent - milliseconds(aAgeMs);
@@ -904,10 +904,10 @@
   }
 }
 
-void HandleVersionAnswer(Dissemination& aState,
-                         const PlatformAnswer& aAnswer,
-                         TimePoint aNow,
-                         DisseminationEffects& aEffects)
+void HandlePlatformAnswer(Dissemination& aState,
+                          const PlatformAnswer& aAnswer,
+                          TimePoint aNow,
+                          DisseminationEffects& aEffects)
 {
   if (!aState.call_) {
     return;
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -25,7 +25,7 @@
 namespace peridotquay {
 
 /// SyncReply::ageMs_ and outageAgeMs_ without a proof.
-inline constexpr std::uint64_t kNoProof = ~std::uint64_t{ 0 };
+inline constexpr std::uint64_t kUnknownAgeMs = ~std::uint64_t{ 0 };
 
 /// Settings of dissemination.
 struct DisseminationSettings
@@ -171,9 +171,10 @@
 struct DisseminationEffects
 {
   std::vector<ControlMessage> messages_;
-  std::optional<PlatformCall> call_; ///< At most one at a time; answer through HandleVersionAnswer.
+  std::optional<PlatformCall>
+    call_; ///< At most one at a time; answer through HandlePlatformAnswer.
   std::shared_ptr<const Config> config_; ///< To publish.
-  std::optional<TimePoint> freshness_;   ///< To publish.
+  std::optional<TimePoint> freshUntil_;  ///< To publish.
   std::vector<Address> contacts_;        ///< For membership.
   std::vector<DisseminationEvent> events_;
 };
@@ -206,10 +207,10 @@
                           DisseminationEffects& aEffects);
 
 /// Handles the answer to the call in DisseminationEffects::call_.
-void HandleVersionAnswer(Dissemination& aState,
-                         const PlatformAnswer& aAnswer,
-                         TimePoint aNow,
-                         DisseminationEffects& aEffects);
+void HandlePlatformAnswer(Dissemination& aState,
+                          const PlatformAnswer& aAnswer,
+                          TimePoint aNow,
+                          DisseminationEffects& aEffects);
 
 /// Adds version, freshness and platform state to a summary.
 void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow);
--- a/peridotquay/version/Membership.cpp
+++ b/peridotquay/version/Membership.cpp
@@ -741,16 +741,16 @@
 // Compares whole tables with one member now and then, for news that probes lost.
 void CompareTables(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  if (aNow < aState.nextTable_) {
+  if (aNow < aState.nextAntiEntropyAt_) {
     return;
   }
   const auto& settings = aState.settings_;
   const auto members = static_cast<Duration::rep>(aState.members_.size());
   // Soon after the start and then more rarely: nodes that start together miss each other's news.
   const auto interval =
-    std::max(settings.tableInterval_, settings.tableIntervalPerMember_ * members);
+    std::max(settings.antiEntropyInterval_, settings.antiEntropyIntervalPerMember_ * members);
   aState.tableWait_ = std::min(interval, 2 * aState.tableWait_);
-  aState.nextTable_ = aNow + aState.tableWait_;
+  aState.nextAntiEntropyAt_ = aNow + aState.tableWait_;
   const auto hosts = OwnHosts(aState, true);
   if (hosts.empty()) {
     return;
@@ -938,7 +938,7 @@
                                                static_cast<std::uint64_t>(aInterval.count())));
   };
   state.tableWait_ = aSettings.firstTable_;
-  state.nextTable_ = aNow + aSettings.firstTable_ / 2 + jitter(aSettings.firstTable_);
+  state.nextAntiEntropyAt_ = aNow + aSettings.firstTable_ / 2 + jitter(aSettings.firstTable_);
   state.nextRevive_ = aNow + jitter(aSettings.reviveInterval_);
   state.nextSummary_ = aNow + jitter(aSettings.probeInterval_);
   return state;
--- a/peridotquay/version/Membership.h
+++ b/peridotquay/version/Membership.h
@@ -43,10 +43,11 @@
   Duration seedInterval_ = seconds(10); ///< A seed that isn't a known member is asked this often.
   Duration firstTable_ = seconds(2); ///< Whole tables are compared this soon after the start, then
                                      ///< after twice the time, up to the next two settings.
-  Duration tableInterval_ =
+  Duration antiEntropyInterval_ =
     seconds(30); ///< Whole tables are compared this often, and more rarely in large data centres.
-  Duration tableIntervalPerMember_ = milliseconds(200); ///< Bounds table traffic to about 500 bytes
-                                                        ///< a second for any number of members.
+  Duration antiEntropyIntervalPerMember_ =
+    milliseconds(200); ///< Bounds table traffic to about 500 bytes
+                       ///< a second for any number of members.
   Duration centreSilence_ =
     seconds(4); ///< A data centre that sent no summary for this long is unreachable.
   Duration confirmSpread_ = seconds(5); ///< Members of a data centre that is back are spread so.
@@ -138,7 +139,7 @@
   TimePoint lastStep_{};
   TimePoint nextProbe_{};
   TimePoint nextJoin_{};
-  TimePoint nextTable_{};
+  TimePoint nextAntiEntropyAt_{};
   Duration tableWait_{}; ///< Between the last two comparisons of tables.
   TimePoint nextBacklog_{};
   TimePoint nextRevive_{};
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -299,7 +299,7 @@
     }
     aAnswer.finishedAt_ = Local(aNode);
     DisseminationEffects effects;
-    HandleVersionAnswer(node.versions_, aAnswer, Local(aNode), effects);
+    HandlePlatformAnswer(node.versions_, aAnswer, Local(aNode), effects);
     CarryOut(aNode, effects);
   }
 
