--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -528,7 +528,7 @@
     for (int i = 0; i < kRequests; ++i) {
       time += microseconds(20);
       const auto& id = ids[static_cast<std::size_t>(i) % accounts];
-      last = GrantTokens(ledger, { "h" }, { 1, id, 0, 0, 3 }, kGrantLifetime, time).grant_;
+      last = GrantTokens(ledger, { "h" }, { 1, id, 0, 0, 3 }, kMaxGrantLifetime, time).grant_;
     }
     const auto grantSeconds = (CpuSeconds() - grantsStarted) / kRequests;
     std::printf(
--- a/peridotquay/process/ConfigStore.cpp
+++ b/peridotquay/process/ConfigStore.cpp
@@ -216,7 +216,7 @@
   return Fail(ErrorCode::kPlatformUnavailable, "change", "the head keeps moving; not written");
 }
 
-bool SnapshotDue(const StoredConfig& aBase, Version aWritten)
+bool IsSnapshotDue(const StoredConfig& aBase, Version aWritten)
 {
   return aWritten - aWritten % kSnapshotInterval > aBase.snapshotVersion_;
 }
--- a/peridotquay/process/ConfigStore.h
+++ b/peridotquay/process/ConfigStore.h
@@ -51,12 +51,12 @@
                              const CommitSettings& aSettings = {});
 
 /// Whether a snapshot should be written after aWritten was committed on top of a loaded version.
-bool SnapshotDue(const StoredConfig& aBase, Version aWritten);
+bool IsSnapshotDue(const StoredConfig& aBase, Version aWritten);
 
 /// Writes the snapshot of the latest version divisible by kSnapshotInterval unless it is there.
 /// Returns the version of the latest snapshot, 0 if none is due. A missing snapshot only makes
 /// loading slower, so a failure can be retried with the next change. It reads the snapshot before,
-/// so call it only if SnapshotDue.
+/// so call it only if IsSnapshotDue.
 Result<Version> WriteDueSnapshot(Platform& aPlatform);
 
 } // namespace peridotquay
--- a/peridotquay/process/ControlActor.h
+++ b/peridotquay/process/ControlActor.h
@@ -19,7 +19,7 @@
 namespace peridotquay {
 
 /// A frame or datagram from a peer.
-struct PeerArrival
+struct ReceivedPeerMessage
 {
   Hello from_; ///< Empty for datagrams.
   Address peer_;
@@ -27,7 +27,7 @@
 };
 
 /// The local target's announcement.
-struct TargetNews
+struct TargetAnnouncement
 {
   TargetState state_ = TargetState::kCold;
   std::uint32_t slots_ = 0;
@@ -35,25 +35,25 @@
 };
 
 /// This node left.
-struct DepartureNews
+struct DepartureAnnouncement
 {
   HostId successor_;
 };
 
 /// Membership changed.
-struct RankingNews
+struct RankingUpdate
 {
   std::shared_ptr<const MemberRanking> ranking_;
 };
 
 /// A configuration came into force.
-struct ConfigNews
+struct ConfigUpdate
 {
   std::shared_ptr<const Config> config_;
 };
 
 /// Addresses found in contact rows.
-struct ContactNews
+struct ContactUpdate
 {
   std::vector<Address> contacts_;
 };
@@ -65,14 +65,14 @@
 };
 
 /// The data path asks for tokens.
-struct TokenAsk
+struct TokenRequest
 {
   ShareRequest request_;
   TimePoint asked_{};
 };
 
 /// A platform call for a platform actor, which answers with a PlatformAnswer.
-struct PlatformJob
+struct PlatformCallRequest
 {
   PlatformCall call_;
 };
@@ -103,8 +103,8 @@
                                 const caf::actor& aVersions,
                                 const caf::actor& aShares);
 
-/// Runs dissemination. aPlatform answers PlatformJob with PlatformAnswer. Contacts go to the actor
-/// in the first message of type caf::actor.
+/// Runs dissemination. aPlatform answers PlatformCallRequest with PlatformAnswer. Contacts go to
+/// the actor in the first message of type caf::actor.
 caf::actor SpawnVersionActor(caf::actor_system& aSystem,
                              const ControlContext& aContext,
                              const Dissemination& aState,
@@ -123,13 +123,13 @@
 } // namespace peridotquay
 
 // The messages stay within one process, so they need no serialization.
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::PeerArrival)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::TargetNews)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::DepartureNews)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::RankingNews)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::ConfigNews)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::ContactNews)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::ReceivedPeerMessage)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::TargetAnnouncement)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::DepartureAnnouncement)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::RankingUpdate)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::ConfigUpdate)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::ContactUpdate)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::SummaryBatch)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::TokenAsk)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::PlatformJob)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::TokenRequest)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::PlatformCallRequest)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(peridotquay::PlatformAnswer)
--- a/peridotquay/process/ControlActorMembership.cpp
+++ b/peridotquay/process/ControlActorMembership.cpp
@@ -106,8 +106,8 @@
   if (ranking != state.ranking_) {
     state.ranking_ = ranking;
     const auto shared = std::make_shared<const MemberRanking>(std::move(ranking));
-    aSelf->send(state.versions_, RankingNews{ shared });
-    aSelf->send(state.shares_, RankingNews{ shared });
+    aSelf->send(state.versions_, RankingUpdate{ shared });
+    aSelf->send(state.shares_, RankingUpdate{ shared });
   }
 }
 
@@ -123,22 +123,22 @@
       CarryOut(aSelf, effects);
       Publish(aSelf, now());
     },
-    [=](const PeerArrival& aArrival) {
+    [=](const ReceivedPeerMessage& aArrival) {
       MembershipEffects effects;
       HandleMembershipMessage(
         aSelf->state.membership_, aArrival.peer_, aArrival.message_, now(), effects);
       CarryOut(aSelf, effects);
     },
-    [=](const TargetNews& aNews) {
+    [=](const TargetAnnouncement& aNews) {
       AnnounceTargetState(aSelf->state.membership_, aNews.state_, aNews.slots_, aNews.load_, now());
     },
-    [=](const DepartureNews& aNews) {
+    [=](const DepartureAnnouncement& aNews) {
       MembershipEffects effects;
       AnnounceDeparture(aSelf->state.membership_, aNews.successor_, effects);
       CarryOut(aSelf, effects);
       Publish(aSelf, now());
     },
-    [=](const ContactNews& aNews) { AddContacts(aSelf->state.membership_, aNews.contacts_); },
+    [=](const ContactUpdate& aNews) { AddContacts(aSelf->state.membership_, aNews.contacts_); },
   };
 }
 
--- a/peridotquay/process/ControlActorPlatform.cpp
+++ b/peridotquay/process/ControlActorPlatform.cpp
@@ -10,7 +10,7 @@
   return aSystem.spawn<caf::detached>(
     [platform = std::move(aPlatform)](caf::event_based_actor* aSelf) -> caf::behavior {
       return {
-        [=](const PlatformJob& aJob) {
+        [=](const PlatformCallRequest& aJob) {
           // The start is read before the call: what the answer says held at some time after it.
           const auto started = aSelf->clock().now();
           auto answer = RunPlatformCall(*platform, aJob.call_);
--- a/peridotquay/process/ControlActorShare.cpp
+++ b/peridotquay/process/ControlActorShare.cpp
@@ -47,7 +47,9 @@
   if (!aEffects.call_) {
     return;
   }
-  aSelf->request(aSelf->state.platform_, caf::infinite, PlatformJob{ std::move(*aEffects.call_) })
+  aSelf
+    ->request(
+      aSelf->state.platform_, caf::infinite, PlatformCallRequest{ std::move(*aEffects.call_) })
     .then([aSelf](const PlatformAnswer& aAnswer) {
       ShareLeaseEffects effects;
       HandleShareAnswer(
@@ -68,7 +70,7 @@
   aSelf->state.context_.port_.deliverGrant_(std::move(aGrant), ask.asked_);
 }
 
-void AskLeader(ShareActor* aSelf, const TokenAsk& aAsk)
+void AskLeader(ShareActor* aSelf, const TokenRequest& aAsk)
 {
   auto& state = aSelf->state;
   // Nonces on the wire begin at a random number. A late grant for an earlier process of this host
@@ -89,7 +91,9 @@
   }
 }
 
-void AnswerHost(ShareActor* aSelf, const PeerArrival& aArrival, const ShareRequest& aRequest)
+void AnswerHost(ShareActor* aSelf,
+                const ReceivedPeerMessage& aArrival,
+                const ShareRequest& aRequest)
 {
   auto& state = aSelf->state;
   const auto grant = HandleShareRequest(
@@ -126,16 +130,16 @@
       aSelf->delayed_send(aSelf, kControlStep, TickAtom::value);
       Step(aSelf);
     },
-    [=](const PeerArrival& aArrival) {
+    [=](const ReceivedPeerMessage& aArrival) {
       if (const auto* request = std::get_if<ShareRequest>(&aArrival.message_)) {
         AnswerHost(aSelf, aArrival, *request);
       } else if (const auto* grant = std::get_if<ShareGrant>(&aArrival.message_)) {
         Deliver(aSelf, *grant);
       }
     },
-    [=](const TokenAsk& aAsk) { AskLeader(aSelf, aAsk); },
-    [=](const RankingNews& aNews) { aSelf->state.lease_.ranking_ = aNews.ranking_; },
-    [=](const ConfigNews& aNews) { aSelf->state.lease_.config_ = aNews.config_; },
+    [=](const TokenRequest& aAsk) { AskLeader(aSelf, aAsk); },
+    [=](const RankingUpdate& aNews) { aSelf->state.lease_.ranking_ = aNews.ranking_; },
+    [=](const ConfigUpdate& aNews) { aSelf->state.lease_.config_ = aNews.config_; },
   };
 }
 
--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -71,7 +71,7 @@
 
 void Ask(VersionActor* aSelf, PlatformCall aCall)
 {
-  aSelf->request(aSelf->state.platform_, caf::infinite, PlatformJob{ std::move(aCall) })
+  aSelf->request(aSelf->state.platform_, caf::infinite, PlatformCallRequest{ std::move(aCall) })
     .then([aSelf](const PlatformAnswer& aAnswer) {
       DisseminationEffects effects;
       HandlePlatformAnswer(aSelf->state.versions_, aAnswer, aSelf->clock().now(), effects);
@@ -89,7 +89,7 @@
   // The configuration goes first: freshness must never be published for a version not in force yet.
   if (aEffects.config_ != nullptr) {
     port.publishConfig_(aEffects.config_);
-    aSelf->send(state.shares_, ConfigNews{ aEffects.config_ });
+    aSelf->send(state.shares_, ConfigUpdate{ aEffects.config_ });
   }
   if (aEffects.freshUntil_) {
     port.publishFreshness_(*aEffects.freshUntil_);
@@ -98,7 +98,7 @@
     port.sendPeer_(message.to_, std::move(message.message_));
   }
   if (!aEffects.contacts_.empty() && state.membership_) {
-    aSelf->send(state.membership_, ContactNews{ std::move(aEffects.contacts_) });
+    aSelf->send(state.membership_, ContactUpdate{ std::move(aEffects.contacts_) });
   }
   for (const auto& event : aEffects.events_) {
     LogDisseminationEvent(event);
@@ -110,7 +110,7 @@
 
 // Address that answers reach: the member's own one if known, since a connection's remote address
 // may be an ephemeral port.
-Address ReplyAddress(const VersionActorState& aState, const PeerArrival& aArrival)
+Address ReplyAddress(const VersionActorState& aState, const ReceivedPeerMessage& aArrival)
 {
   const auto& ranking = aState.versions_.ranking_;
   if (ranking != nullptr) {
@@ -134,7 +134,7 @@
       CarryOut(aSelf, effects);
       PublishStatus(aSelf->state, now());
     },
-    [=](const PeerArrival& aArrival) {
+    [=](const ReceivedPeerMessage& aArrival) {
       DisseminationEffects effects;
       HandleVersionMessage(aSelf->state.versions_,
                            aArrival.from_,
@@ -144,7 +144,7 @@
                            effects);
       CarryOut(aSelf, effects);
     },
-    [=](const RankingNews& aNews) { SetRanking(aSelf->state.versions_, aNews.ranking_, now()); },
+    [=](const RankingUpdate& aNews) { SetRanking(aSelf->state.versions_, aNews.ranking_, now()); },
     [=](SummaryBatch& aBatch) {
       for (auto& message : aBatch.summaries_) {
         FillSummary(aSelf->state.versions_, std::get<DataCentreSummary>(message.message_), now());
--- a/peridotquay/process/MakeControlPlane.cpp
+++ b/peridotquay/process/MakeControlPlane.cpp
@@ -109,36 +109,36 @@
   {
     const bool summary = std::holds_alternative<DataCentreSummary>(aMessage);
     if (summary || std::holds_alternative<MemberTable>(aMessage)) {
-      caf::anon_send(membership_, PeerArrival{ aFrom, aPeer, aMessage });
+      caf::anon_send(membership_, ReceivedPeerMessage{ aFrom, aPeer, aMessage });
     }
     if (std::holds_alternative<ShareRequest>(aMessage) ||
         std::holds_alternative<ShareGrant>(aMessage)) {
-      caf::anon_send(shares_, PeerArrival{ aFrom, aPeer, std::move(aMessage) });
+      caf::anon_send(shares_, ReceivedPeerMessage{ aFrom, aPeer, std::move(aMessage) });
     } else if (summary || std::holds_alternative<SyncRequest>(aMessage) ||
                std::holds_alternative<SyncReply>(aMessage) ||
                std::holds_alternative<VersionPush>(aMessage)) {
-      caf::anon_send(versions_, PeerArrival{ aFrom, aPeer, std::move(aMessage) });
+      caf::anon_send(versions_, ReceivedPeerMessage{ aFrom, aPeer, std::move(aMessage) });
     }
   }
 
   void OnDatagram(const Address& aFrom, PeerMessage aMessage) override
   {
-    caf::anon_send(membership_, PeerArrival{ {}, aFrom, std::move(aMessage) });
+    caf::anon_send(membership_, ReceivedPeerMessage{ {}, aFrom, std::move(aMessage) });
   }
 
   void RequestTokens(ShareRequest aRequest) override
   {
-    caf::anon_send(shares_, TokenAsk{ std::move(aRequest), system_.clock().now() });
+    caf::anon_send(shares_, TokenRequest{ std::move(aRequest), system_.clock().now() });
   }
 
   void AnnounceTarget(TargetState aState, std::uint32_t aSlots, double aLoad) override
   {
-    caf::anon_send(membership_, TargetNews{ aState, aSlots, aLoad });
+    caf::anon_send(membership_, TargetAnnouncement{ aState, aSlots, aLoad });
   }
 
   void AnnounceLeft(const HostId& aSuccessor) override
   {
-    caf::anon_send(membership_, DepartureNews{ aSuccessor });
+    caf::anon_send(membership_, DepartureAnnouncement{ aSuccessor });
   }
 
   ControlStatus Status() const override
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -2,7 +2,7 @@
 #include "peridotquay/process/OperatorCommands.h"
 
 #include "peridotquay/process/BlockingHttp.h"
-#include "peridotquay/process/InForce.h"
+#include "peridotquay/process/RolloutStatus.h"
 #include "peridotquay/process/TomlFile.h"
 #include "peridotquay/version/Config.h"
 #include "peridotquay/version/ConfigCompiler.h"
@@ -99,10 +99,10 @@
   return report;
 }
 
-Json SitesJson(const ForceView& aView)
+Json SitesJson(const RolloutStatus& aView)
 {
   auto json = Json::array();
-  for (const auto& site : aView.sites_) {
+  for (const auto& site : aView.dataCentres_) {
     json.push_back({ { "data_centre", site.dataCentre_.value_ },
                      { "reported", site.reported_ },
                      { "version", site.version_ },
@@ -122,10 +122,10 @@
   return text;
 }
 
-std::string SitesText(const ForceView& aView)
+std::string SitesText(const RolloutStatus& aView)
 {
   std::string text;
-  for (const auto& site : aView.sites_) {
+  for (const auto& site : aView.dataCentres_) {
     text += "  " + site.dataCentre_.value_ + ": ";
     text += site.reported_ ? "version " + std::to_string(site.version_) : "no report";
     text += site.inForce_ ? ", in force" : ", not in force";
@@ -137,9 +137,11 @@
 }
 
 /// Waits until a written change is in force everywhere and adds the result to the report.
-void WaitAndReport(Platform& aPlatform, const WaitSettings& aSettings, OperatorReport& aReport)
+void WaitAndReport(Platform& aPlatform,
+                   const RolloutWaitSettings& aSettings,
+                   OperatorReport& aReport)
 {
-  const auto waited = WaitInForce(aPlatform, aSettings);
+  const auto waited = WaitUntilInForce(aPlatform, aSettings);
   if (waited.has_error()) {
     aReport.exitCode_ = kExitNotInForce;
     aReport.json_["in_force"] = nullptr;
@@ -153,12 +155,12 @@
   aReport.json_["in_force"] = result.inForce_;
   aReport.json_["by_freshness_bound"] = result.byFreshnessBound_;
   aReport.json_["waited_ms"] = ms;
-  aReport.json_["sites"] = SitesJson(result.view_);
+  aReport.json_["sites"] = SitesJson(result.rollout_);
   aReport.text_ += result.inForce_ ? "in force everywhere" : "not in force everywhere";
   aReport.text_ += " after " + std::to_string(ms) + " ms";
   aReport.text_ +=
     result.byFreshnessBound_ ? "; hosts without it have passed the freshness bound\n" : "\n";
-  aReport.text_ += SitesText(result.view_);
+  aReport.text_ += SitesText(result.rollout_);
 }
 
 /// A change to be written.
@@ -204,7 +206,7 @@
   change.edits_ = aPrepared.edits_;
   std::optional<Duration> freshnessBound;
   if (aPrepared.revokesKey_) {
-    freshnessBound = LargestFreshnessBound(aStored.entities_, WallClockMs());
+    freshnessBound = MaxUsableFreshnessBound(aStored.entities_, WallClockMs());
   }
   const auto version = CommitChange(aPlatform, aStored, change, aOptions.commit_);
   if (version.has_error()) {
@@ -219,7 +221,7 @@
                    { "edits", EditsJson(change.edits_) } };
   report.text_ = "version " + std::to_string(version.assume_value()) + " written (operation " +
                  change.operationId_ + ")\n" + EditsText(change.edits_);
-  if (SnapshotDue(aStored, version.assume_value())) {
+  if (IsSnapshotDue(aStored, version.assume_value())) {
     // A failure isn't an error of the command: the next change writes the snapshot, and until then
     // loading the configuration reads more changes.
     if (const auto snapshot = WriteDueSnapshot(aPlatform); snapshot.has_error()) {
@@ -231,7 +233,7 @@
     static_cast<void>(ApplyChange(entities, change));
     WaitAndReport(aPlatform,
                   { .version_ = version.assume_value(),
-                    .sites_ = SitesOf(entities),
+                    .dataCentres_ = ConfiguredDataCentres(entities),
                     .timeout_ = aOptions.timeout_,
                     .freshnessBound_ = freshnessBound },
                   report);
@@ -274,7 +276,7 @@
     return BOOST_OUTCOME_V2_NAMESPACE::failure(std::move(error));
   }
   auto& merged = merging.assume_value();
-  KeepReplacedBound(aStored.entities_, merged, WallClockMs());
+  UpdateReplacedFreshnessBound(aStored.entities_, merged, WallClockMs());
   // Keys granted by command may refer to client accounts that are no longer in the files.
   BOOST_OUTCOME_TRYV(CheckEntities(merged));
   return DiffEntities(aStored.entities_, merged);
@@ -339,11 +341,11 @@
   const bool fitsOneChange = EncodeChange(change).size() <= kMaxChangeBytes;
   OperatorReport report;
   report.json_ = { { "entities", found.size() },
-                   { "sites", SitesOf(found).size() },
+                   { "sites", ConfiguredDataCentres(found).size() },
                    { "bytes", bytes },
                    { "fits_one_change", fitsOneChange } };
   report.text_ = "ok: " + std::to_string(found.size()) + " entities, " +
-                 std::to_string(SitesOf(found).size()) + " sites\n";
+                 std::to_string(ConfiguredDataCentres(found).size()) + " sites\n";
   if (!fitsOneChange) {
     report.text_ +=
       "too large for one change: apply it in several steps if nothing is stored yet\n";
@@ -508,13 +510,14 @@
     return ReportError(stored.assume_error());
   }
   const auto& config = stored.assume_value();
-  const auto view = ReadForce(aPlatform, SitesOf(config.entities_), config.version_);
+  const auto view =
+    ReadRolloutStatus(aPlatform, ConfiguredDataCentres(config.entities_), config.version_);
   if (view.has_error()) {
     return ReportError(view.assume_error());
   }
   OperatorReport report;
   report.json_ = { { "version", config.version_ },
-                   { "in_force", view.assume_value().Everywhere() },
+                   { "in_force", view.assume_value().InForceEverywhere() },
                    { "sites", SitesJson(view.assume_value()) } };
   report.text_ =
     "version " + std::to_string(config.version_) + "\n" + SitesText(view.assume_value());
--- a/peridotquay/process/InForce.cpp
+++ b/peridotquay/process/RolloutStatus.cpp
@@ -1,5 +1,5 @@
 // Whether a version is in force everywhere.
-#include "peridotquay/process/InForce.h"
+#include "peridotquay/process/RolloutStatus.h"
 
 #include "peridotquay/version/Config.h"
 #include "peridotquay/version/ConfigReader.h"
@@ -59,9 +59,9 @@
   return over ? Duration::zero() : BoundOf(aEntities, kReplacedEntity);
 }
 
-SiteForce Judge(const DataCentreId& aSite, const Watermark* aMark, Version aVersion)
+DataCentreRollout Judge(const DataCentreId& aSite, const Watermark* aMark, Version aVersion)
 {
-  SiteForce force;
+  DataCentreRollout force;
   force.dataCentre_ = aSite;
   if (aMark != nullptr) {
     force.reported_ = true;
@@ -78,14 +78,15 @@
 
 } // namespace
 
-bool ForceView::Everywhere() const
+bool RolloutStatus::InForceEverywhere() const
 {
-  return !sites_.empty() && std::all_of(sites_.begin(), sites_.end(), [](const SiteForce& aSite) {
-    return aSite.inForce_;
-  });
+  return !dataCentres_.empty() &&
+         std::all_of(dataCentres_.begin(), dataCentres_.end(), [](const DataCentreRollout& aSite) {
+           return aSite.inForce_;
+         });
 }
 
-std::vector<DataCentreId> SitesOf(const Entities& aEntities)
+std::vector<DataCentreId> ConfiguredDataCentres(const Entities& aEntities)
 {
   constexpr std::string_view kPrefix = "site/";
   std::vector<DataCentreId> sites;
@@ -97,9 +98,9 @@
   return sites;
 }
 
-Result<ForceView> ReadForce(Platform& aPlatform,
-                            const std::vector<DataCentreId>& aSites,
-                            Version aVersion)
+Result<RolloutStatus> ReadRolloutStatus(Platform& aPlatform,
+                                        const std::vector<DataCentreId>& aSites,
+                                        Version aVersion)
 {
   // One read for all sites, because many operators may wait at once.
   BOOST_OUTCOME_TRY(rows, aPlatform.ReadRange(WatermarkRowKey({}), "", kMostWatermarks));
@@ -108,20 +109,21 @@
     BOOST_OUTCOME_TRY(mark, DecodeWatermark(row.value_));
     marks[mark.dataCentre_] = std::move(mark);
   }
-  ForceView view;
+  RolloutStatus view;
   for (const auto& site : aSites) {
     const auto mark = marks.find(site);
-    view.sites_.push_back(Judge(site, mark == marks.end() ? nullptr : &mark->second, aVersion));
+    view.dataCentres_.push_back(
+      Judge(site, mark == marks.end() ? nullptr : &mark->second, aVersion));
   }
   return view;
 }
 
-Duration LargestFreshnessBound(const Entities& aEntities, std::uint64_t aWallMs)
+Duration MaxUsableFreshnessBound(const Entities& aEntities, std::uint64_t aWallMs)
 {
   return std::max(BoundOf(aEntities, kPolicyEntity), ReplacedBound(aEntities, aWallMs));
 }
 
-void KeepReplacedBound(const Entities& aPresent, Entities& aNext, std::uint64_t aWallMs)
+void UpdateReplacedFreshnessBound(const Entities& aPresent, Entities& aNext, std::uint64_t aWallMs)
 {
   if (const auto kept = aPresent.find(kReplacedEntity); kept != aPresent.end()) {
     aNext[kReplacedEntity] = kept->second;
@@ -132,29 +134,30 @@
   if (!lowered) {
     return;
   }
-  const auto bound = LargestFreshnessBound(aPresent, aWallMs);
+  const auto bound = MaxUsableFreshnessBound(aPresent, aWallMs);
   const ConfigJson json = { { "key_freshness_bound_ms",
                               std::chrono::duration_cast<milliseconds>(bound).count() },
                             { "until_ms", aWallMs + kReplacedLifetimeMs } };
   aNext[kReplacedEntity] = json.dump();
 }
 
-Result<WaitResult> WaitInForce(Platform& aPlatform, const WaitSettings& aSettings)
+Result<RolloutWaitResult> WaitUntilInForce(Platform& aPlatform,
+                                           const RolloutWaitSettings& aSettings)
 {
   const auto start = Clock::now();
-  WaitResult result;
+  RolloutWaitResult result;
   std::optional<Error> failure;
   bool read = false;
   for (;;) {
-    auto view = ReadForce(aPlatform, aSettings.sites_, aSettings.version_);
+    auto view = ReadRolloutStatus(aPlatform, aSettings.dataCentres_, aSettings.version_);
     result.waited_ = Clock::now() - start;
     if (view.has_value()) {
       read = true;
-      result.view_ = std::move(view).assume_value();
+      result.rollout_ = std::move(view).assume_value();
     } else {
       failure = view.assume_error();
     }
-    result.inForce_ = read && result.view_.Everywhere();
+    result.inForce_ = read && result.rollout_.InForceEverywhere();
     result.byFreshnessBound_ =
       !result.inForce_ && aSettings.freshnessBound_ && result.waited_ >= *aSettings.freshnessBound_;
     result.inForce_ = result.inForce_ || result.byFreshnessBound_;
--- a/peridotquay/process/InForce.h
+++ b/peridotquay/process/RolloutStatus.h
@@ -11,7 +11,7 @@
 namespace peridotquay {
 
 /// What the watermark of one data centre says of a version.
-struct SiteForce
+struct DataCentreRollout
 {
   DataCentreId dataCentre_;
   bool reported_ = false; ///< The data centre has a watermark row.
@@ -19,40 +19,40 @@
   std::vector<std::string> lagging_;
   std::vector<std::string> unreachable_;
   bool inForce_ = false; ///< At the wanted version, without lagging or unreachable hosts.
-  bool operator==(const SiteForce&) const = default;
+  bool operator==(const DataCentreRollout&) const = default;
 };
 
 /// All data centres of the configuration, sorted.
-struct ForceView
+struct RolloutStatus
 {
-  std::vector<SiteForce> sites_;
+  std::vector<DataCentreRollout> dataCentres_;
   /// Whether the version is in force at every site; false if there are no sites.
-  bool Everywhere() const;
-  bool operator==(const ForceView&) const = default;
+  bool InForceEverywhere() const;
+  bool operator==(const RolloutStatus&) const = default;
 };
 
 /// Data centres that the configuration names.
-std::vector<DataCentreId> SitesOf(const Entities& aEntities);
+std::vector<DataCentreId> ConfiguredDataCentres(const Entities& aEntities);
 
 /// Reads the watermarks of the sites and compares them with a version.
-Result<ForceView> ReadForce(Platform& aPlatform,
-                            const std::vector<DataCentreId>& aSites,
-                            Version aVersion);
+Result<RolloutStatus> ReadRolloutStatus(Platform& aPlatform,
+                                        const std::vector<DataCentreId>& aSites,
+                                        Version aVersion);
 
 /// Largest freshness bound that any host may still use: that of the configuration, or one that was
 /// lowered so recently that a cut-off host can still use it. A host that never heard of a
 /// withdrawal stops serving keyed routes this long after it at the latest.
-Duration LargestFreshnessBound(const Entities& aEntities, std::uint64_t aWallMs);
+Duration MaxUsableFreshnessBound(const Entities& aEntities, std::uint64_t aWallMs);
 
 /// Carries entity policy/replaced over from the present configuration to the next one, and sets it
 /// if the next one lowers the freshness bound.
-void KeepReplacedBound(const Entities& aPresent, Entities& aNext, std::uint64_t aWallMs);
+void UpdateReplacedFreshnessBound(const Entities& aPresent, Entities& aNext, std::uint64_t aWallMs);
 
 /// Settings of a wait.
-struct WaitSettings
+struct RolloutWaitSettings
 {
   Version version_ = 0;
-  std::vector<DataCentreId> sites_;
+  std::vector<DataCentreId> dataCentres_;
   Duration timeout_ = seconds(15);
   Duration interval_ = milliseconds(100);
   /// For withdrawals: hosts without the version stop serving keyed routes this long after it was
@@ -61,9 +61,9 @@
 };
 
 /// Result of a wait.
-struct WaitResult
+struct RolloutWaitResult
 {
-  ForceView view_;
+  RolloutStatus rollout_;
   bool inForce_ = false;
   bool byFreshnessBound_ = false; ///< Hosts without the version no longer serve keyed routes.
   Duration waited_{};
@@ -71,6 +71,7 @@
 
 /// Waits until a version is in force, from when it is called. Failures to read are retried until
 /// the timeout; the last one is returned only if nothing was read at all.
-Result<WaitResult> WaitInForce(Platform& aPlatform, const WaitSettings& aSettings);
+Result<RolloutWaitResult> WaitUntilInForce(Platform& aPlatform,
+                                           const RolloutWaitSettings& aSettings);
 
 } // namespace peridotquay
--- a/peridotquay/process/ShareLease.cpp
+++ b/peridotquay/process/ShareLease.cpp
@@ -242,7 +242,7 @@
                std::chrono::duration_cast<milliseconds>(aLease.config_->policy_.floorLease_));
     aLease.floorFrom_ = floorsFree ? aNow : seen.floorSeen_ + floor;
     if (regained) {
-      aLease.floorFrom_ = aNow + kGrantLifetime;
+      aLease.floorFrom_ = aNow + kMaxGrantLifetime;
     }
   }
   StartWrite(aLease, std::move(pending), {}, aNow, aEffects);
@@ -538,7 +538,7 @@
     aLease.stopped_ = aNow;
   }
   // Every grant has expired before another holder can grant.
-  if (aNow - *aLease.stopped_ < kGrantLifetime) {
+  if (aNow - *aLease.stopped_ < kMaxGrantLifetime) {
     return;
   }
   aLease.nextCycle_ = aNow + aLease.settings_.renewInterval_;
@@ -721,9 +721,9 @@
   }
 }
 
-ShareLimit LimitOf(const ClientAccount& aAccount,
-                   const PoolEntry& aEntry,
-                   const SharePortion& aPortion)
+ShareLimit PortionLimit(const ClientAccount& aAccount,
+                        const PoolEntry& aEntry,
+                        const SharePortion& aPortion)
 {
   ShareLimit limit;
   const double units = aPortion.floor_ + aPortion.elastic_;
@@ -841,10 +841,10 @@
   if (!HoldsFloors(aLease, aNow)) {
     own.floor_ = 0;
   }
-  return LimitOf(account->second, entry->second, own);
+  return PortionLimit(account->second, entry->second, own);
 }
 
-Duration LeaseRest(const ShareLease& aLease, TimePoint aNow)
+Duration RemainingLease(const ShareLease& aLease, TimePoint aNow)
 {
   if (HoldsElastic(aLease, aNow)) {
     return ElasticEnd(aLease) - aNow;
@@ -862,7 +862,7 @@
     SetShareLimit(
       aLedger, aRequest.clientAccount_, UsableLimit(aLease, aRequest.clientAccount_, aNow), aNow);
   }
-  return GrantTokens(aLedger, aHost, aRequest, LeaseRest(aLease, aNow), aNow);
+  return GrantTokens(aLedger, aHost, aRequest, RemainingLease(aLease, aNow), aNow);
 }
 
 } // namespace peridotquay
--- a/peridotquay/process/ShareLease.h
+++ b/peridotquay/process/ShareLease.h
@@ -77,9 +77,9 @@
 
 /// Limit that an portion stands for. Each floor holds at least one token if the burst has one for
 /// every data centre; what floors hold is taken from the elastic part, so the sum stays the burst.
-ShareLimit LimitOf(const ClientAccount& aAccount,
-                   const PoolEntry& aEntry,
-                   const SharePortion& aPortion);
+ShareLimit PortionLimit(const ClientAccount& aAccount,
+                        const PoolEntry& aEntry,
+                        const SharePortion& aPortion);
 
 /// Settings of the lease.
 struct ShareLeaseSettings
@@ -193,6 +193,6 @@
 ShareLimit UsableLimit(const ShareLease& aLease, const ClientAccountId& aAccount, TimePoint aNow);
 
 /// Time that grants may still live: the rest of the lease that covers them.
-Duration LeaseRest(const ShareLease& aLease, TimePoint aNow);
+Duration RemainingLease(const ShareLease& aLease, TimePoint aNow);
 
 } // namespace peridotquay
--- a/peridotquay/process/ShareLedger.cpp
+++ b/peridotquay/process/ShareLedger.cpp
@@ -79,9 +79,9 @@
 {
   const double refillSeconds =
     aAccount.limit_.burst_ / std::max(aAccount.limit_.ratePerSecond_, kEpsilon);
-  const double lifetime = std::min(refillSeconds / 2, ToSeconds(kGrantLifetime));
+  const double lifetime = std::min(refillSeconds / 2, ToSeconds(kMaxGrantLifetime));
   return std::max(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(lifetime)),
-                  kLeastGrantLifetime);
+                  kMinGrantLifetime);
 }
 
 std::uint32_t RetryAfterMs(const AccountLedger& aAccount, TimePoint aNow)
@@ -157,7 +157,7 @@
   // Half of the level at most, so that the first host to ask doesn't starve the others.
   const double most = std::max(1.0, std::floor(account.level_ / 2));
   const double tokens = std::min({ wanted, most, std::floor(account.level_ + kEpsilon) });
-  if (tokens < 1 || lifetime < kLeastGrantLifetime) {
+  if (tokens < 1 || lifetime < kMinGrantLifetime) {
     grant.retryAfterMs_ = RetryAfterMs(account, aNow);
     return grant;
   }
--- a/peridotquay/process/ShareLedger.h
+++ b/peridotquay/process/ShareLedger.h
@@ -12,10 +12,10 @@
 namespace peridotquay {
 
 /// Longest lifetime of a grant, counted by the requester from before it asked.
-inline constexpr Duration kGrantLifetime = seconds(1);
+inline constexpr Duration kMaxGrantLifetime = seconds(1);
 
 /// Shortest lifetime that is granted: below it a grant may expire before it arrives.
-inline constexpr Duration kLeastGrantLifetime = milliseconds(50);
+inline constexpr Duration kMinGrantLifetime = milliseconds(50);
 
 /// Part of a client account's limit that the ledger may hand out.
 struct ShareLimit
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -4,8 +4,8 @@
 
 #include "peridotquay/process/BlockingHttp.h"
 #include "peridotquay/process/ConfigStore.h"
-#include "peridotquay/process/InForce.h"
 #include "peridotquay/process/OperatorCommands.h"
+#include "peridotquay/process/RolloutStatus.h"
 #include "peridotquay/version/ConfigCompiler.h"
 
 #include "standins/lib/PlatformServer.h"
@@ -293,7 +293,7 @@
     REQUIRE(ApplyChange(base.entities_, change).has_value());
     base.version_ = version;
     base.headRevision_ = Value(bench.client_->ReadRow(kHeadRowKey))->revision_;
-    CHECK(SnapshotDue(base, version + 1) == (version + 1 >= 256));
+    CHECK(IsSnapshotDue(base, version + 1) == (version + 1 >= 256));
     // The writer of version 256 fails to write the snapshot; a later one makes up for it.
     if (i != 256) {
       CHECK(Value(WriteDueSnapshot(*bench.client_)) == (i < 256 ? 0 : 256));
@@ -382,17 +382,17 @@
       { NewOperationId(), {}, { { WatermarkRowKey({ aSite }), EncodeWatermark(mark) } } }));
   };
   const auto wait = [&](std::optional<Duration> aBound) {
-    return Value(WaitInForce(*bench.client_,
-                             { .version_ = 5,
-                               .sites_ = sites,
-                               .timeout_ = milliseconds(300),
-                               .interval_ = milliseconds(20),
-                               .freshnessBound_ = aBound }));
+    return Value(WaitUntilInForce(*bench.client_,
+                                  { .version_ = 5,
+                                    .dataCentres_ = sites,
+                                    .timeout_ = milliseconds(300),
+                                    .interval_ = milliseconds(20),
+                                    .freshnessBound_ = aBound }));
   };
   report("north", 5, {});
   auto result = wait(std::nullopt);
   CHECK_FALSE(result.inForce_);
-  CHECK_FALSE(result.view_.sites_[1].reported_);
+  CHECK_FALSE(result.rollout_.dataCentres_[1].reported_);
   report("south", 4, {});
   CHECK_FALSE(wait(std::nullopt).inForce_);
   // An unreachable host holds up the report until the freshness bound has passed.
@@ -414,20 +414,20 @@
 {
   const Entities longer{ { "policy/default", R"({"key_freshness_bound_ms":60000})" } };
   Entities next{ { "policy/default", R"({"key_freshness_bound_ms":5000})" } };
-  KeepReplacedBound(longer, next, 1000);
-  CHECK(LargestFreshnessBound(next, 2000) == seconds(60));
-  CHECK(LargestFreshnessBound(next, 1000 + 7200000) == seconds(5));
+  UpdateReplacedFreshnessBound(longer, next, 1000);
+  CHECK(MaxUsableFreshnessBound(next, 2000) == seconds(60));
+  CHECK(MaxUsableFreshnessBound(next, 1000 + 7200000) == seconds(5));
   // A second change of the policy doesn't forget the first.
   Entities third{ { "policy/default", R"({"key_freshness_bound_ms":4000})" } };
-  KeepReplacedBound(next, third, 2000);
-  CHECK(LargestFreshnessBound(third, 3000) == seconds(60));
+  UpdateReplacedFreshnessBound(next, third, 2000);
+  CHECK(MaxUsableFreshnessBound(third, 3000) == seconds(60));
   // Without a lower bound nothing is added, so that applying the same files changes nothing.
   Entities same{ { "policy/default", R"({"key_freshness_bound_ms":4000})" } };
-  KeepReplacedBound(third, same, 3000);
+  UpdateReplacedFreshnessBound(third, same, 3000);
   CHECK(same == third);
   CHECK(CheckEntities(third).has_value());
   Entities firstVersion = longer;
-  KeepReplacedBound({}, firstVersion, 1000);
+  UpdateReplacedFreshnessBound({}, firstVersion, 1000);
   CHECK(firstVersion == longer);
 }
 
--- a/tests/process/ControlActorTest.cpp
+++ b/tests/process/ControlActorTest.cpp
@@ -41,7 +41,7 @@
       asked_ = aAsked;
     };
     const auto platform = system_.spawn([this](caf::event_based_actor* aSelf) -> caf::behavior {
-      return { [this, aSelf](const PlatformJob& aJob) {
+      return { [this, aSelf](const PlatformCallRequest& aJob) {
         auto answer = RunPlatformCall(platform_, aJob.call_);
         answer.startedAt_ = aSelf->clock().now();
         answer.finishedAt_ = aSelf->clock().now();
@@ -95,7 +95,7 @@
   double Ask(double aWanted)
   {
     grant_.reset();
-    caf::anon_send(shares_, TokenAsk{ { 77, { "mill" }, 0, 0, aWanted }, Now() });
+    caf::anon_send(shares_, TokenRequest{ { 77, { "mill" }, 0, 0, aWanted }, Now() });
     scheduler_.run();
     return grant_ ? grant_->tokens_ : -1;
   }
--- a/tests/process/ShareLeaseTest.cpp
+++ b/tests/process/ShareLeaseTest.cpp
@@ -280,7 +280,7 @@
     PoolEntry entry{ 4, 625, 300, {} };
     ShareLimit sum;
     for (const std::uint32_t elastic : { 0U, 200U, 3000U, 4000U }) {
-      const auto limit = LimitOf(account, entry, { 625, elastic });
+      const auto limit = PortionLimit(account, entry, { 625, elastic });
       CHECK((burst < 4 || limit.burst_ >= 1));
       sum.ratePerSecond_ += limit.ratePerSecond_;
       sum.burst_ += limit.burst_;
--- a/tests/process/ShareLedgerTest.cpp
+++ b/tests/process/ShareLedgerTest.cpp
@@ -68,7 +68,7 @@
 {
   ShareLedger ledger;
   SetShareLimit(ledger, kAccount, { 10, 10 }, kStart);
-  CHECK(GrantTokens(ledger, { "h" }, Want(1), kGrantLifetime, kStart).tokens_ == 0);
+  CHECK(GrantTokens(ledger, { "h" }, Want(1), kMaxGrantLifetime, kStart).tokens_ == 0);
   ledger = Full({ 10, 10 });
   SetShareLimit(ledger, kAccount, { 10, 100 }, kStart);
   CHECK(ledger.accounts_.at(kAccount).level_ == Approx(10));
@@ -83,13 +83,14 @@
 TEST_CASE("unused tokens return before the expiry and not after it", "[shares]")
 {
   auto ledger = Full({ 0.001, 10 });
-  const auto grant = GrantTokens(ledger, { "h" }, Want(4), kGrantLifetime, kStart);
+  const auto grant = GrantTokens(ledger, { "h" }, Want(4), kMaxGrantLifetime, kStart);
   REQUIRE(grant.tokens_ == 4);
   REQUIRE(grant.lifetimeMs_ == 1000);
-  GrantTokens(ledger, { "h" }, Want(0, grant.grant_, 1), kGrantLifetime, kStart + milliseconds(10));
+  GrantTokens(
+    ledger, { "h" }, Want(0, grant.grant_, 1), kMaxGrantLifetime, kStart + milliseconds(10));
   CHECK(ledger.accounts_.at(kAccount).level_ == Approx(9).margin(0.01));
-  const auto late = GrantTokens(ledger, { "h" }, Want(2), kGrantLifetime, kStart);
-  GrantTokens(ledger, { "h" }, Want(0, late.grant_, 0), kGrantLifetime, kStart + seconds(2));
+  const auto late = GrantTokens(ledger, { "h" }, Want(2), kMaxGrantLifetime, kStart);
+  GrantTokens(ledger, { "h" }, Want(0, late.grant_, 0), kMaxGrantLifetime, kStart + seconds(2));
   CHECK(ledger.accounts_.at(kAccount).level_ == Approx(7).margin(0.01));
 }
 
@@ -97,15 +98,15 @@
 TEST_CASE("reports are checked", "[shares]")
 {
   auto ledger = Full({ 0.001, 10 });
-  const auto grant = GrantTokens(ledger, { "h" }, Want(4), kGrantLifetime, kStart);
-  GrantTokens(ledger, { "other" }, Want(0, grant.grant_, 0), kGrantLifetime, kStart);
+  const auto grant = GrantTokens(ledger, { "h" }, Want(4), kMaxGrantLifetime, kStart);
+  GrantTokens(ledger, { "other" }, Want(0, grant.grant_, 0), kMaxGrantLifetime, kStart);
   CHECK(ledger.accounts_.at(kAccount).outstanding_ == 4);
-  GrantTokens(ledger, { "h" }, Want(0, grant.grant_, -100), kGrantLifetime, kStart);
+  GrantTokens(ledger, { "h" }, Want(0, grant.grant_, -100), kMaxGrantLifetime, kStart);
   CHECK(ledger.accounts_.at(kAccount).level_ <= 10);
   const auto endless = GrantTokens(
-    ledger, { "h" }, Want(std::numeric_limits<double>::infinity()), kGrantLifetime, kStart);
+    ledger, { "h" }, Want(std::numeric_limits<double>::infinity()), kMaxGrantLifetime, kStart);
   CHECK(endless.tokens_ == 0);
-  CHECK(GrantTokens(ledger, { "h" }, Want(-5), kGrantLifetime, kStart).tokens_ == 0);
+  CHECK(GrantTokens(ledger, { "h" }, Want(-5), kMaxGrantLifetime, kStart).tokens_ == 0);
 }
 
 // Guards against a burst that one host takes whole while others ask, and one that is refused
@@ -113,16 +114,17 @@
 TEST_CASE("a burst spread over hosts is granted", "[shares]")
 {
   auto ledger = Full({ 100, 16 });
-  const auto first = GrantTokens(ledger, { "greedy" }, Want(16), kGrantLifetime, kStart);
+  const auto first = GrantTokens(ledger, { "greedy" }, Want(16), kMaxGrantLifetime, kStart);
   CHECK(first.tokens_ == 8);
   ledger = Full({ 100, 16 });
   double granted = 0;
   for (int host = 0; host < 16; ++host) {
     granted +=
-      GrantTokens(ledger, { "h" + std::to_string(host) }, Want(1), kGrantLifetime, kStart).tokens_;
+      GrantTokens(ledger, { "h" + std::to_string(host) }, Want(1), kMaxGrantLifetime, kStart)
+        .tokens_;
   }
   CHECK(granted == 16);
-  const auto refused = GrantTokens(ledger, { "late" }, Want(1), kGrantLifetime, kStart);
+  const auto refused = GrantTokens(ledger, { "late" }, Want(1), kMaxGrantLifetime, kStart);
   CHECK(refused.tokens_ == 0);
   CHECK(refused.retryAfterMs_ >= 1);
 }
@@ -166,7 +168,7 @@
         continue; // The request is lost.
       }
       now += milliseconds(*rc::gen::element(0, 1, 30, 2000));
-      const auto grant = GrantTokens(ledger, id, request, kGrantLifetime, now);
+      const auto grant = GrantTokens(ledger, id, request, kMaxGrantLifetime, now);
       const auto& account = ledger.accounts_.at(kAccount);
       RC_ASSERT(account.level_ + account.outstanding_ <= limit.burst_ + 1e-6);
       now += milliseconds(*rc::gen::element(0, 1, 30, 2000));
@@ -195,8 +197,8 @@
       now += milliseconds(*rc::gen::element(0, 2, 20, 300, 1100));
       const auto side = *rc::gen::inRange<std::size_t>(0, 2);
       if (*rc::gen::inRange(0, 4) != 0) {
-        const auto grant =
-          GrantTokens(ledgers[side], { "h" }, Want(*rc::gen::inRange(1, 10)), kGrantLifetime, now);
+        const auto grant = GrantTokens(
+          ledgers[side], { "h" }, Want(*rc::gen::inRange(1, 10)), kMaxGrantLifetime, now);
         uses.push_back({ now, grant.tokens_ });
         continue;
       }
@@ -205,7 +207,7 @@
       SetShareLimit(ledgers[side], kAccount, lower, now);
       // Grants fall due before the other side gets the share.
       if (!FitsLimit(ledgers[side], kAccount, lower, now)) {
-        now += kGrantLifetime;
+        now += kMaxGrantLifetime;
       }
       RC_ASSERT(FitsLimit(ledgers[side], kAccount, lower, now));
       percent[side] -= moved;
