--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -280,7 +280,7 @@
       }
     }
     for (auto& message : aEffects.summaries_) {
-      FillSummary(versions_, std::get<Summary>(message.message_), now_);
+      FillSummary(versions_, std::get<DataCentreSummary>(message.message_), now_);
       Sent(message);
     }
   }
@@ -325,7 +325,7 @@
     }
     if (position_ < 2) {
       for (std::size_t centre = 1; centre < fleet_.centres_; ++centre) {
-        Summary summary;
+        DataCentreSummary summary;
         summary.dataCentre_.value_ = "dc" + std::to_string(centre);
         summary.platformReachable_ = true;
         summary.members_ = { MakeEntry(centre, 0), MakeEntry(centre, 1), MakeEntry(centre, 2) };
--- a/peridotquay/connection/Datagram.cpp
+++ b/peridotquay/connection/Datagram.cpp
@@ -100,7 +100,7 @@
   state_->socket_.send_to(boost::asio::buffer(body), udp::endpoint(ip, aPeer.port_), 0, error);
 }
 
-std::uint64_t Datagram::Dropped() const
+std::uint64_t Datagram::DroppedDatagrams() const
 {
   return state_->dropped_;
 }
--- a/peridotquay/connection/Datagram.h
+++ b/peridotquay/connection/Datagram.h
@@ -31,7 +31,7 @@
   /// Sends at once, or drops the message if it is too large or the system has no room.
   void Send(const Address& aPeer, const PeerMessage& aMessage);
   /// Datagrams that were dropped on receipt because they were malformed.
-  std::uint64_t Dropped() const;
+  std::uint64_t DroppedDatagrams() const;
 
   struct State;
 
--- a/peridotquay/connection/HttpFront.cpp
+++ b/peridotquay/connection/HttpFront.cpp
@@ -559,17 +559,17 @@
   return state_->acceptor_.local_endpoint().port();
 }
 
-std::size_t HttpFront::Connections() const
+std::size_t HttpFront::ConnectionCount() const
 {
   return state_->sessions_.size();
 }
 
-std::uint64_t HttpFront::Rejected() const
+std::uint64_t HttpFront::RejectedRequests() const
 {
   return state_->rejected_;
 }
 
-std::size_t HttpFront::PendingAnswers() const
+std::size_t HttpFront::PendingAnswerCount() const
 {
   return state_->pendingAnswers_;
 }
--- a/peridotquay/connection/HttpFront.h
+++ b/peridotquay/connection/HttpFront.h
@@ -60,11 +60,11 @@
   /// Port that was bound.
   std::uint16_t Port() const;
   /// Open connections.
-  std::size_t Connections() const;
+  std::size_t ConnectionCount() const;
   /// Requests that were answered here because they were malformed, too large or too slow.
-  std::uint64_t Rejected() const;
+  std::uint64_t RejectedRequests() const;
   /// Answers whose last byte hasn't been handed to the system yet.
-  std::size_t PendingAnswers() const;
+  std::size_t PendingAnswerCount() const;
   /// Answers from now on end their connection.
   void CloseAfterAnswers();
 
--- a/peridotquay/connection/HttpMessage.cpp
+++ b/peridotquay/connection/HttpMessage.cpp
@@ -113,7 +113,7 @@
   return number;
 }
 
-std::uint16_t StatusOf(ErrorCode aCode, Outcome aOutcome)
+std::uint16_t HttpStatusOf(ErrorCode aCode, Outcome aOutcome)
 {
   if (aOutcome == Outcome::kUnknown) {
     return 504;
@@ -156,8 +156,9 @@
                                   { { "type", std::string(ErrorName(aCode)) },
                                     { "event", EventOf(aCode, aOutcome) },
                                     { "detail", std::string(aDetail) } } } };
-  HttpResponse response = JsonResponse(
-    StatusOf(aCode, aOutcome), body.dump(-1, ' ', true, nlohmann::json::error_handler_t::replace));
+  HttpResponse response =
+    JsonResponse(HttpStatusOf(aCode, aOutcome),
+                 body.dump(-1, ' ', true, nlohmann::json::error_handler_t::replace));
   response.headers_.emplace_back("Quay-Outcome", OutcomeName(aOutcome));
   if (aRetryAfterMs > 0) {
     response.headers_.emplace_back("Retry-After", std::to_string((aRetryAfterMs + 999) / 1000));
--- a/peridotquay/connection/HttpMessage.h
+++ b/peridotquay/connection/HttpMessage.h
@@ -49,7 +49,7 @@
 std::optional<std::uint64_t> ParseNumber(std::string_view aText, std::uint64_t aMost);
 
 /// HTTP status for a failure of a call with a known outcome. Outcome::kUnknown is always 504.
-std::uint16_t StatusOf(ErrorCode aCode, Outcome aOutcome);
+std::uint16_t HttpStatusOf(ErrorCode aCode, Outcome aOutcome);
 
 /// Answer with Quay-Outcome and the JSON error body. aRetryAfterMs 0 gives no hint.
 HttpResponse ErrorResponse(ErrorCode aCode,
--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -40,7 +40,7 @@
 template<typename A>
 void Fields(A& aVisit, AdmissionLevel& aItem)
 {
-  aVisit(aItem.lowestAdmitted_, aItem.admittedFraction_);
+  aVisit(aItem.minAdmittedImportance_, aItem.admittedFraction_);
 }
 template<typename A>
 void Fields(A& aVisit, Answer& aItem)
@@ -52,7 +52,7 @@
          aItem.status_,
          aItem.headers_,
          aItem.body_,
-         aItem.bodyBytes_,
+         aItem.declaredBodyBytes_,
          aItem.retriesUnused_,
          aItem.inFlight_,
          aItem.limit_,
@@ -66,14 +66,14 @@
   aVisit(aItem.callId_);
 }
 template<typename A>
-void Fields(A& aVisit, CallFate& aItem)
+void Fields(A& aVisit, CallStatusQuery& aItem)
 {
   aVisit(aItem.incarnation_, aItem.callId_);
 }
 template<typename A>
-void Fields(A& aVisit, CallFateReply& aItem)
+void Fields(A& aVisit, CallStatusReply& aItem)
 {
-  aVisit(aItem.callId_, aItem.fate_);
+  aVisit(aItem.callId_, aItem.callStatus_);
 }
 template<typename A>
 void Fields(A& aVisit, OwnerCall& aItem)
@@ -128,7 +128,7 @@
 template<typename A>
 void Fields(A& aVisit, MemberTable& aItem)
 {
-  aVisit(aItem.request_, aItem.members_);
+  aVisit(aItem.isRequest_, aItem.members_);
 }
 template<typename A>
 void Fields(A& aVisit, EntityEdit& aItem)
@@ -148,7 +148,8 @@
 template<typename A>
 void Fields(A& aVisit, SyncRequest& aItem)
 {
-  aVisit(aItem.nonce_, aItem.version_, aItem.subtreeLeast_, aItem.subtreeNodes_, aItem.lagging_);
+  aVisit(
+    aItem.nonce_, aItem.version_, aItem.minSubtreeVersion_, aItem.subtreeNodes_, aItem.lagging_);
 }
 template<typename A>
 void Fields(A& aVisit, SyncReply& aItem)
@@ -228,10 +229,10 @@
 template<typename A>
 void Fields(A& aVisit, FeedRows& aItem)
 {
-  aVisit(aItem.table_, aItem.after_, aItem.version_, aItem.rows_);
+  aVisit(aItem.table_, aItem.afterVersion_, aItem.version_, aItem.rows_);
 }
 template<typename A>
-void Fields(A& aVisit, Summary& aItem)
+void Fields(A& aVisit, DataCentreSummary& aItem)
 {
   aVisit(aItem.dataCentre_, aItem.version_, aItem.ageMs_, aItem.platformReachable_, aItem.members_);
 }
@@ -243,7 +244,7 @@
 template<typename A>
 void Fields(A& aVisit, RequestHandover& aItem)
 {
-  aVisit(aItem.host_, aItem.incarnation_, aItem.secret_, aItem.records_, aItem.last_);
+  aVisit(aItem.host_, aItem.incarnation_, aItem.secret_, aItem.records_, aItem.isLastBatch_);
 }
 
 template<typename T>
@@ -287,7 +288,7 @@
 template<>
 constexpr std::uint64_t kEnumLast<Importance> = static_cast<std::uint64_t>(Importance::kLow);
 template<>
-constexpr std::uint64_t kEnumLast<Fate> = static_cast<std::uint64_t>(Fate::kForgotten);
+constexpr std::uint64_t kEnumLast<CallStatus> = static_cast<std::uint64_t>(CallStatus::kForgotten);
 template<>
 constexpr std::uint64_t kEnumLast<MemberState> = static_cast<std::uint64_t>(MemberState::kLeft);
 template<>
--- a/peridotquay/connection/PeerHub.cpp
+++ b/peridotquay/connection/PeerHub.cpp
@@ -69,7 +69,7 @@
                                  std::move(aMessage));
       }
     };
-    events.onEnd_ = [weak = weak_from_this()](PeerLink& aLink, LinkEnd aEnd) {
+    events.onEnd_ = [weak = weak_from_this()](PeerLink& aLink, LinkEndReason aEnd) {
       if (const auto self = weak.lock()) {
         self->OnEnd(aLink, aEnd);
       }
@@ -77,20 +77,20 @@
     return events;
   }
 
-  void OnEnd(PeerLink& aLink, LinkEnd aEnd)
+  void OnEnd(PeerLink& aLink, LinkEndReason aEnd)
   {
     const auto entry = byAddress_.find(aLink.PeerAddress());
     if (entry != byAddress_.end() && entry->second.get() == &aLink) {
       byAddress_.erase(entry);
     }
     byNumber_.erase(aLink.Number());
-    if (aEnd == LinkEnd::kNotConnected) {
+    if (aEnd == LinkEndReason::kNotConnected) {
       NoteFailed(aLink.PeerAddress());
     }
     std::vector<LostCall> lost;
     for (const auto& [callId, call] : calls_) {
       if (call.link_.get() == &aLink) {
-        lost.push_back({ callId, aEnd != LinkEnd::kNotConnected, aEnd, aLink.Peer() });
+        lost.push_back({ callId, aEnd != LinkEndReason::kNotConnected, aEnd, aLink.Peer() });
       }
     }
     // Lowest id first, so that the order doesn't depend on the hash table.
@@ -225,7 +225,7 @@
   if (!link || !link->Send(aMessage)) {
     state_->loop_.Post([weak = std::weak_ptr(state_), aCallId] {
       if (const auto state = weak.lock()) {
-        state->events_.onCallLost_({ aCallId, false, LinkEnd::kNotConnected, {} });
+        state->events_.onCallLost_({ aCallId, false, LinkEndReason::kNotConnected, {} });
       }
     });
     return;
@@ -245,13 +245,13 @@
   return true;
 }
 
-const Hello* PeerHub::PeerOf(std::uint64_t aCallId) const
+const Hello* PeerHub::PeerOfCall(std::uint64_t aCallId) const
 {
   const auto entry = state_->calls_.find(aCallId);
   return entry == state_->calls_.end() ? nullptr : &entry->second.link_->Peer();
 }
 
-std::uint64_t PeerHub::LinkOf(std::uint64_t aCallId) const
+std::uint64_t PeerHub::LinkOfCall(std::uint64_t aCallId) const
 {
   const auto entry = state_->calls_.find(aCallId);
   return entry == state_->calls_.end() ? 0 : entry->second.link_->Number();
@@ -279,7 +279,7 @@
   });
 }
 
-std::size_t PeerHub::OpenLinks() const
+std::size_t PeerHub::OpenLinkCount() const
 {
   return static_cast<std::size_t>(
     std::count_if(state_->byNumber_.begin(), state_->byNumber_.end(), [](const auto& aEntry) {
--- a/peridotquay/connection/PeerHub.h
+++ b/peridotquay/connection/PeerHub.h
@@ -26,7 +26,7 @@
 {
   std::uint64_t callId_ = 0;
   bool sent_ = false; ///< False: certainly no byte of it was sent.
-  LinkEnd end_ = LinkEnd::kClosed;
+  LinkEndReason reason_ = LinkEndReason::kClosed;
   Hello peer_; ///< Who the connection led to; host is empty if it never opened.
 };
 
@@ -56,9 +56,9 @@
   /// The call is answered or given up. False if it wasn't outstanding.
   bool EndCall(std::uint64_t aCallId);
   /// The peer that an outstanding call went to; null if it isn't outstanding.
-  const Hello* PeerOf(std::uint64_t aCallId) const;
+  const Hello* PeerOfCall(std::uint64_t aCallId) const;
   /// Number of the link that an outstanding call waits on; 0 if it isn't outstanding.
-  std::uint64_t LinkOf(std::uint64_t aCallId) const;
+  std::uint64_t LinkOfCall(std::uint64_t aCallId) const;
   /// Sends a frame on the link that a message came by. False if that link has ended.
   bool Reply(std::uint64_t aLink, const PeerMessage& aMessage);
   /// Sends a Cancel for an outstanding call and forgets it.
@@ -66,7 +66,7 @@
   /// All queued frames are with the system.
   bool IsFlushed() const;
   /// Open connections, both ways.
-  std::size_t OpenLinks() const;
+  std::size_t OpenLinkCount() const;
 
   struct State;
 
--- a/peridotquay/connection/PeerLink.cpp
+++ b/peridotquay/connection/PeerLink.cpp
@@ -60,7 +60,7 @@
                               return;
                             }
                             if (aError) {
-                              self->End(LinkEnd::kNotConnected);
+                              self->End(LinkEndReason::kNotConnected);
                               return;
                             }
                             self->StartStream();
@@ -74,7 +74,7 @@
       peerAddress_.ip_.find(':') == std::string::npos ? tcp::v4() : tcp::v6(), aSocket, error);
     StartHandshakeTimer();
     if (error) {
-      loop_.Post([self = shared_from_this()] { self->End(LinkEnd::kNotConnected); });
+      loop_.Post([self = shared_from_this()] { self->End(LinkEndReason::kNotConnected); });
       return;
     }
     StartStream();
@@ -139,7 +139,7 @@
   {
     handshakeTimer_ = loop_.After(settings_.connectTimeout_, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
-        self->End(LinkEnd::kNotConnected);
+        self->End(LinkEndReason::kNotConnected);
       }
     });
   }
@@ -155,12 +155,12 @@
     socket_.set_option(KeepAliveOption<TCP_KEEPINTVL>(10), ignored);
     socket_.set_option(KeepAliveOption<TCP_KEEPCNT>(3), ignored);
     connected_ = true;
-    queued_ = FramePeerMessage(settings_.own_) + queued_;
+    queued_ = FramePeerMessage(settings_.ownHello_) + queued_;
     Write();
     Read();
   }
 
-  void End(LinkEnd aEnd)
+  void End(LinkEndReason aEnd)
   {
     if (ended_) {
       return;
@@ -170,10 +170,10 @@
     if (open_) {
       LogEvent(Event::kPeerDisconnected,
                { { "peer", peer_.host_.value_ },
-                 { "reason", aEnd == LinkEnd::kSilent ? "silent" : "closed" } });
+                 { "reason", aEnd == LinkEndReason::kSilent ? "silent" : "closed" } });
     }
     if (events_.onEnd_) {
-      events_.onEnd_(*this, open_ ? aEnd : LinkEnd::kNotConnected);
+      events_.onEnd_(*this, open_ ? aEnd : LinkEndReason::kNotConnected);
     }
   }
 
@@ -190,7 +190,7 @@
                              [self = shared_from_this()](const error_code& aError, std::size_t) {
                                self->writing_ = false;
                                if (aError) {
-                                 self->End(LinkEnd::kClosed);
+                                 self->End(LinkEndReason::kClosed);
                                  return;
                                }
                                self->Write();
@@ -206,7 +206,7 @@
           return;
         }
         if (aError) {
-          self->End(LinkEnd::kClosed);
+          self->End(LinkEndReason::kClosed);
           return;
         }
         self->heard_ = self->loop_.Now();
@@ -244,7 +244,7 @@
              { { "peer", peer_.host_.value_ },
                { "address", peerAddress_.ip_ + ":" + std::to_string(peerAddress_.port_) },
                { "error", Describe(aError) } });
-    End(LinkEnd::kClosed);
+    End(LinkEndReason::kClosed);
   }
 
   void OnMessage(PeerMessage aMessage)
@@ -309,7 +309,7 @@
     const Duration silence = now - heard_;
     if (silence >= settings_.suspectAfter_) {
       LogEvent(Event::kPeerConnectionSilent, { { "peer", peer_.host_.value_ } });
-      End(LinkEnd::kSilent);
+      End(LinkEndReason::kSilent);
       return;
     }
     if (silence >= settings_.pingAfter_) {
--- a/peridotquay/connection/PeerLink.h
+++ b/peridotquay/connection/PeerLink.h
@@ -15,7 +15,7 @@
 
 struct PeerLinkSettings
 {
-  Hello own_;
+  Hello ownHello_;
   Duration connectTimeout_ = milliseconds(500); ///< From connect to the peer's Hello.
   Duration pingAfter_ = milliseconds(250);      ///< Silence with calls outstanding before a ping.
   Duration suspectAfter_ = milliseconds(500);   ///< Silence before the connection is given up.
@@ -23,7 +23,7 @@
 };
 
 /// Why a connection ended.
-enum class LinkEnd : std::uint8_t
+enum class LinkEndReason : std::uint8_t
 {
   kNotConnected, ///< The peer's Hello never came; no other frame was sent.
   kClosed,       ///< By the peer, by an error or by a bad frame.
@@ -37,7 +37,7 @@
 {
   std::function<void(PeerLink&)> onOpen_;                 ///< The peer's Hello arrived.
   std::function<void(PeerLink&, PeerMessage)> onMessage_; ///< All but Hello, Ping and Ack.
-  std::function<void(PeerLink&, LinkEnd)> onEnd_;         ///< Once, unless Close was called.
+  std::function<void(PeerLink&, LinkEndReason)> onEnd_;   ///< Once, unless Close was called.
 };
 
 /// Sends Hello first. Frames sent before the peer's Hello arrived wait for it, so that nothing
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -57,8 +57,8 @@
 /// What a guard admits at present. Travels with each answer so that callers' hosts shed early.
 struct AdmissionLevel
 {
-  Importance lowestAdmitted_ = Importance::kLow;
-  double admittedFraction_ = 1.0; ///< Part of lowestAdmitted_ that is admitted, 0 to 1.
+  Importance minAdmittedImportance_ = Importance::kLow;
+  double admittedFraction_ = 1.0; ///< Part of minAdmittedImportance_ that is admitted, 0 to 1.
   bool operator==(const AdmissionLevel&) const = default;
 };
 
@@ -72,7 +72,7 @@
   std::uint16_t status_ = 0; ///< HTTP status of the target; 0 if there is none.
   HeaderList headers_;
   std::string body_;
-  std::uint64_t bodyBytes_ =
+  std::uint64_t declaredBodyBytes_ =
     0; ///< Length of the body as the target declared it; must equal body_.size().
   std::uint32_t retriesUnused_ = 0;
   std::uint32_t inFlight_ = 0; ///< Calls running at the target.
@@ -91,15 +91,15 @@
 };
 
 /// Asks what became of a call whose connection fell silent.
-struct CallFate
+struct CallStatusQuery
 {
   Incarnation incarnation_ = 0; ///< Of the sender of the call.
   std::uint64_t callId_ = 0;
-  bool operator==(const CallFate&) const = default;
+  bool operator==(const CallStatusQuery&) const = default;
 };
 
 /// States of a call at the guard that was asked.
-enum class Fate : std::uint8_t
+enum class CallStatus : std::uint8_t
 {
   kNeverArrived, ///< Not seen; the guard now refuses it for good.
   kRunning,
@@ -108,11 +108,11 @@
   kForgotten
 };
 
-struct CallFateReply
+struct CallStatusReply
 {
   std::uint64_t callId_ = 0;
-  Fate fate_ = Fate::kForgotten;
-  bool operator==(const CallFateReply&) const = default;
+  CallStatus callStatus_ = CallStatus::kForgotten;
+  bool operator==(const CallStatusReply&) const = default;
 };
 
 /// A caller's request with a request id that the receiving host issued. Answered with an Answer.
@@ -193,7 +193,7 @@
 /// A member table, or the request for one if empty.
 struct MemberTable
 {
-  bool request_ = false;
+  bool isRequest_ = false;
   std::vector<MemberEntry> members_;
   bool operator==(const MemberTable&) const = default;
 };
@@ -223,10 +223,10 @@
 {
   std::uint64_t nonce_ = 0;
   Version version_ = 0;
-  Version subtreeLeast_ = 0; ///< Least version in force in the sender's subtree.
+  Version minSubtreeVersion_ = 0; ///< Least version in force in the sender's subtree.
   std::uint32_t subtreeNodes_ =
     0; ///< Nodes in the sender's subtree that it heard from, itself included.
-  std::vector<HostId> lagging_; ///< At most 8 hosts that hold back subtreeLeast_.
+  std::vector<HostId> lagging_; ///< At most 8 hosts that hold back minSubtreeVersion_.
   bool operator==(const SyncRequest&) const = default;
 };
 
@@ -326,7 +326,7 @@
 };
 
 /// Largest age of a proof that a FeedAnswer states; a larger one means that there is none.
-inline constexpr std::uint64_t kLongestProofAgeMs = 60'000;
+inline constexpr std::uint64_t kMaxProofAgeMs = 60'000;
 
 /// Asks a host of the data centre for a proof of what the asker holds (datagram).
 struct FeedQuestion
@@ -365,14 +365,14 @@
 struct FeedRows
 {
   FeedTable table_ = FeedTable::kConfig;
-  std::uint64_t after_ = 0; ///< rows_ are all that changed after this version of the store.
+  std::uint64_t afterVersion_ = 0; ///< rows_ are all that changed after this version of the store.
   std::uint64_t version_ = 0;
   std::vector<FeedRow> rows_;
   bool operator==(const FeedRows&) const = default;
 };
 
 /// What delegates of different data centres tell each other once a second.
-struct Summary
+struct DataCentreSummary
 {
   DataCentreId dataCentre_;
   Version version_ = 0;
@@ -380,7 +380,7 @@
   bool platformReachable_ = false;
   std::vector<MemberEntry>
     members_; ///< Members that changed since the last summary, or all every 10 s.
-  bool operator==(const Summary&) const = default;
+  bool operator==(const DataCentreSummary&) const = default;
 };
 
 /// One record of a request id in a handover.
@@ -401,7 +401,7 @@
   Incarnation incarnation_ = 0;
   std::string secret_; ///< Key of the MACs of the ids.
   std::vector<HandoverRecord> records_;
-  bool last_ = false; ///< After the last batch the successor may answer for the ids.
+  bool isLastBatch_ = false; ///< After the last batch the successor may answer for the ids.
   bool operator==(const RequestHandover&) const = default;
 };
 
@@ -409,8 +409,8 @@
                                  Call,
                                  Answer,
                                  Cancel,
-                                 CallFate,
-                                 CallFateReply,
+                                 CallStatusQuery,
+                                 CallStatusReply,
                                  OwnerCall,
                                  Ping,
                                  Ack,
@@ -423,7 +423,7 @@
                                  VersionPush,
                                  ShareRequest,
                                  ShareGrant,
-                                 Summary,
+                                 DataCentreSummary,
                                  RequestHandover,
                                  RateReports,
                                  RateLevels,
--- a/peridotquay/connection/TargetClient.cpp
+++ b/peridotquay/connection/TargetClient.cpp
@@ -88,7 +88,7 @@
     sent_ = false;
     written_ = false;
     answerBegan_ = false;
-    endsByClose_ = client->settings_.endsByClose_;
+    allowsCloseDelimited_ = client->settings_.allowsCloseDelimited_;
     echoHeader_ = client->settings_.echoHeader_;
     echo_ = echoHeader_.empty() ? "" : FindHeader(aRequest.headers_, echoHeader_).value_or("");
     idleTimeout_ = client->settings_.idleTimeout_;
@@ -143,7 +143,7 @@
     started_ = loop_.Now();
     timer_ = loop_.After(aSettings.connectTimeout_, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
-        self->End(TargetEnd::kNotSent);
+        self->End(TargetRequestStatus::kNotSent);
       }
     });
     socket_.async_connect(tcp::endpoint(ip, aSettings.target_.port_),
@@ -152,7 +152,7 @@
                               return;
                             }
                             if (aError) {
-                              self->End(TargetEnd::kNotSent);
+                              self->End(TargetRequestStatus::kNotSent);
                               return;
                             }
                             self->loop_.CancelTimer(self->timer_);
@@ -203,7 +203,7 @@
       DropIdle();
       return;
     }
-    if (aError == boost::asio::error::eof && endsByClose_ && parser_->is_header_done() &&
+    if (aError == boost::asio::error::eof && allowsCloseDelimited_ && parser_->is_header_done() &&
         parser_->need_eof()) {
       error_code error;
       parser_->put_eof(error);
@@ -213,7 +213,7 @@
       }
     }
     if (aError) {
-      End(answerBegan_ ? TargetEnd::kTruncated : TargetEnd::kLost);
+      End(answerBegan_ ? TargetRequestStatus::kTruncated : TargetRequestStatus::kLost);
       return;
     }
     answerBegan_ = true;
@@ -234,7 +234,7 @@
     }
     input_.erase(0, used);
     if (error) {
-      End(TargetEnd::kTruncated);
+      End(TargetRequestStatus::kTruncated);
       return;
     }
     if (!parser_->is_done()) {
@@ -327,11 +327,11 @@
       response.declaredLength_ = length ? std::optional<std::uint64_t>(*length) : std::nullopt;
     }
     open_ = keep;
-    End(TargetEnd::kAnswered);
+    End(TargetRequestStatus::kAnswered);
   }
 
   // Ends the request and keeps the connection if it is still good.
-  void End(TargetEnd aEnd)
+  void End(TargetRequestStatus aEnd)
   {
     const auto client = client_.lock();
     auto done = std::move(done_);
@@ -340,9 +340,9 @@
     if (client) {
       client->busy_.erase(number_);
     }
-    result_.end_ = aEnd;
+    result_.requestStatus_ = aEnd;
     TargetResult result = std::move(result_);
-    if (aEnd == TargetEnd::kAnswered && open_ && client) {
+    if (aEnd == TargetRequestStatus::kAnswered && open_ && client) {
       client->idle_.push_back(self);
       StartIdle(idleTimeout_);
     } else {
@@ -377,7 +377,7 @@
   bool open_ = false;
   bool sent_ = false;
   bool written_ = false; ///< The whole request is with the system.
-  bool endsByClose_ = false;
+  bool allowsCloseDelimited_ = false;
   std::string echoHeader_;
   std::string echo_; ///< Value that the answer must repeat; empty for any.
   Duration idleTimeout_{};
@@ -406,14 +406,15 @@
   state_->busy_.clear();
 }
 
-std::uint64_t TargetClient::Send(const HttpRequest& aRequest, Done aDone, Reuse aReuse)
+std::uint64_t TargetClient::Send(const HttpRequest& aRequest, Done aDone, ConnectionReuse aReuse)
 {
   const std::uint64_t number = state_->next_++;
   const TargetClientSettings& settings = state_->settings_;
   auto& idle = state_->idle_;
   std::shared_ptr<TargetConnection> connection;
   // The last one has rested the shortest.
-  if (!idle.empty() && (aReuse == Reuse::kAny || idle.back()->Rest() <= settings.longestRest_)) {
+  if (!idle.empty() &&
+      (aReuse == ConnectionReuse::kAny || idle.back()->Rest() <= settings.longestRest_)) {
     connection = idle.back();
     idle.pop_back();
   } else if (state_->busy_.size() < settings.maxConnections_) {
@@ -452,12 +453,12 @@
   state_->idle_.clear();
 }
 
-std::size_t TargetClient::IdleConnections() const
+std::size_t TargetClient::IdleConnectionCount() const
 {
   return state_->idle_.size();
 }
 
-std::size_t TargetClient::Connections() const
+std::size_t TargetClient::ConnectionCount() const
 {
   return state_->idle_.size() + state_->busy_.size();
 }
--- a/peridotquay/connection/TargetClient.h
+++ b/peridotquay/connection/TargetClient.h
@@ -21,17 +21,17 @@
   std::size_t maxHeaderBytes_ = std::size_t{ 16 } * 1024;
   Duration connectTimeout_ = milliseconds(500);
   Duration idleTimeout_ = seconds(30);       ///< An unused connection is closed after this.
-  Duration longestRest_ = milliseconds(200); ///< For requests with Reuse::kLately.
+  Duration longestRest_ = milliseconds(200); ///< For requests with Reuse::kRecentlyUsed.
   /// Header that answers repeat from their request. An answer with another value is late, belongs
   /// to an earlier request and is dropped. Empty for none.
   std::string echoHeader_{};
   /// An answer without a length is whole when its connection ends in order; otherwise it counts as
   /// truncated, because a whole answer can't be told from a cut one.
-  bool endsByClose_ = false;
+  bool allowsCloseDelimited_ = false;
 };
 
 /// How a request to the target ended.
-enum class TargetEnd : std::uint8_t
+enum class TargetRequestStatus : std::uint8_t
 {
   kAnswered,  ///< The whole answer is here.
   kNotSent,   ///< No connection could be had; no byte was sent.
@@ -41,18 +41,18 @@
 
 struct TargetResult
 {
-  TargetEnd end_ = TargetEnd::kNotSent;
+  TargetRequestStatus requestStatus_ = TargetRequestStatus::kNotSent;
   HttpResponse response_;     ///< With kAnswered.
   Duration connectTime_{ 0 }; ///< Zero on a kept connection.
 };
 
 /// Which kept connections a request may use.
-enum class Reuse : std::uint8_t
+enum class ConnectionReuse : std::uint8_t
 {
   kAny,
   /// Only one that was used within longestRest_. A target may have forgotten a connection that
   /// rested, and a request that is reset on it can't be told from one that ran.
-  kLately
+  kRecentlyUsed
 };
 
 /// Sends each request once.
@@ -68,15 +68,17 @@
 
   /// Sends a request. aDone is called once, never from within Send, unless Cancel comes first.
   /// Returns a number for Cancel.
-  std::uint64_t Send(const HttpRequest& aRequest, Done aDone, Reuse aReuse = Reuse::kAny);
+  std::uint64_t Send(const HttpRequest& aRequest,
+                     Done aDone,
+                     ConnectionReuse aReuse = ConnectionReuse::kAny);
   /// Ends a request by closing its connection. Returns true if a byte of it may have been sent.
   bool Cancel(std::uint64_t aRequest);
   /// Closes all kept connections that aren't in use.
   void DropIdle();
   /// Kept connections that aren't in use.
-  std::size_t IdleConnections() const;
+  std::size_t IdleConnectionCount() const;
   /// Connections in use or kept.
-  std::size_t Connections() const;
+  std::size_t ConnectionCount() const;
 
   struct State;
 
--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -147,7 +147,7 @@
     [=](const RankingNews& aNews) { SetRanking(aSelf->state.versions_, aNews.ranking_, now()); },
     [=](SummaryBatch& aBatch) {
       for (auto& message : aBatch.summaries_) {
-        FillSummary(aSelf->state.versions_, std::get<Summary>(message.message_), now());
+        FillSummary(aSelf->state.versions_, std::get<DataCentreSummary>(message.message_), now());
         aSelf->state.context_.port_.sendPeer_(message.to_, std::move(message.message_));
       }
     },
--- a/peridotquay/process/DeduplicationTable.cpp
+++ b/peridotquay/process/DeduplicationTable.cpp
@@ -114,24 +114,24 @@
   if (entry != aTable.entries_.end()) {
     const DeduplicationEntry& known = entry->second;
     if (known.barred_) {
-      return { Fate::kNeverArrived, std::nullopt };
+      return { CallStatus::kNeverArrived, std::nullopt };
     }
     if (!known.ended_) {
-      return { Fate::kRunning, std::nullopt };
+      return { CallStatus::kRunning, std::nullopt };
     }
     if (!known.answer_) {
-      return { Fate::kForgotten, std::nullopt };
+      return { CallStatus::kForgotten, std::nullopt };
     }
     const bool refused = known.answer_->outcome_ == Outcome::kNotRun;
-    return { refused ? Fate::kRefused : Fate::kDone, known.answer_ };
+    return { refused ? CallStatus::kRefused : CallStatus::kDone, known.answer_ };
   }
   if (IsForgotten(aTable, aKey) || !HasRoom(aTable, aKey, aNow)) {
-    return { Fate::kForgotten, std::nullopt };
+    return { CallStatus::kForgotten, std::nullopt };
   }
   DeduplicationEntry& bar = aTable.entries_[aKey];
   bar.barred_ = true;
   bar.changed_ = aNow;
-  return { Fate::kNeverArrived, std::nullopt };
+  return { CallStatus::kNeverArrived, std::nullopt };
 }
 
 void ExpireCalls(DeduplicationTable& aTable, TimePoint aNow)
--- a/peridotquay/process/DeduplicationTable.h
+++ b/peridotquay/process/DeduplicationTable.h
@@ -73,7 +73,7 @@
 /// Fate of a call, with its answer for kDone and kRefused.
 struct CallStatusResult
 {
-  Fate fate_ = Fate::kForgotten;
+  CallStatus callStatus_ = CallStatus::kForgotten;
   std::optional<Answer> answer_;
 };
 
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -630,7 +630,7 @@
       }
       const auto level = levels_.find(target.host_);
       if (level != levels_.end() && now - level->second.receivedAt_ < kAdmissionLevelLifetime) {
-        entry["lowest_admitted"] = ImportanceName(level->second.level_.lowestAdmitted_);
+        entry["lowest_admitted"] = ImportanceName(level->second.level_.minAdmittedImportance_);
         entry["admitted_fraction"] = level->second.level_.admittedFraction_;
       }
       json["targets"].push_back(entry);
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -59,7 +59,7 @@
   /// An answer that came by a peer link, or from the local guard with link 0. Dropped and counted
   /// if no call waits for it on that link.
   void OnAnswer(Answer aAnswer, std::uint64_t aLink);
-  void OnCallStatusReply(const CallFateReply& aReply, std::uint64_t aLink);
+  void OnCallStatusReply(const CallStatusReply& aReply, std::uint64_t aLink);
   void OnCallLost(const LostCall& aCall);
   /// Records of request ids from a leaving host.
   void OnHandover(const RequestHandover& aBatch);
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -118,7 +118,7 @@
 {
   const auto entry = attempts_.find(aAnswer.callId_);
   // The call must wait for its answer on this very connection.
-  if (entry == attempts_.end() || hub_.LinkOf(aAnswer.callId_) != aLink) {
+  if (entry == attempts_.end() || hub_.LinkOfCall(aAnswer.callId_) != aLink) {
     metrics_.Add(Counter::kDroppedAnswers);
     std::uint64_t skipped = 0;
     if (droppedLog_.Allow(loop_.Now(), skipped)) {
@@ -168,7 +168,7 @@
 {
   // The guard declares the length, so a body that lost bytes on the way can't pass as whole.
   if (aAnswer.outcome_ != Outcome::kNotRun && aCall->call_.method_ != "HEAD" &&
-      aAnswer.bodyBytes_ != aAnswer.body_.size()) {
+      aAnswer.declaredBodyBytes_ != aAnswer.body_.size()) {
     const std::uint32_t unused = aAnswer.retriesUnused_;
     aAnswer = MakeAnswer(Outcome::kUnknown, ErrorCode::kTruncatedAnswer);
     aAnswer.retriesUnused_ = unused;
@@ -318,7 +318,7 @@
   // A silent connection says nothing about the host, so the host may be chosen again.
   RetryOrEnd(call,
              MakeAnswer(Outcome::kUnknown, ErrorCode::kOutcomeUnknown),
-             aCall.end_ != LinkEnd::kSilent);
+             aCall.reason_ != LinkEndReason::kSilent);
 }
 
 void Dispatcher::QueryCallStatus(const CallPointer& aCall)
@@ -326,28 +326,30 @@
   metrics_.Add(Counter::kFateQueries);
   aCall->asksFate_ = true;
   ++aCall->fateQuestions_;
-  hub_.SendCall(
-    aCall->target_.peer_, aCall->attempt_, CallFate{ ledger_.incarnation_, aCall->attempt_ });
+  hub_.SendCall(aCall->target_.peer_,
+                aCall->attempt_,
+                CallStatusQuery{ ledger_.incarnation_, aCall->attempt_ });
 }
 
-void Dispatcher::OnCallStatusReply(const CallFateReply& aReply, std::uint64_t aLink)
+void Dispatcher::OnCallStatusReply(const CallStatusReply& aReply, std::uint64_t aLink)
 {
   const auto entry = attempts_.find(aReply.callId_);
   if (entry == attempts_.end() || !entry->second->asksFate_ ||
-      hub_.LinkOf(aReply.callId_) != aLink) {
+      hub_.LinkOfCall(aReply.callId_) != aLink) {
     return;
   }
   const CallPointer call = entry->second;
-  const Hello* peer = hub_.PeerOf(aReply.callId_);
+  const Hello* peer = hub_.PeerOfCall(aReply.callId_);
   // Another incarnation has another table: its "never arrived" says nothing of the call.
   const bool same = peer != nullptr && *peer == call->guard_;
-  if (same && (aReply.fate_ == Fate::kRunning || aReply.fate_ == Fate::kDone ||
-               aReply.fate_ == Fate::kRefused)) {
+  if (same &&
+      (aReply.callStatus_ == CallStatus::kRunning || aReply.callStatus_ == CallStatus::kDone ||
+       aReply.callStatus_ == CallStatus::kRefused)) {
     // The answer follows on this connection; until then it is watched like a call's.
     return;
   }
   hub_.EndCall(aReply.callId_);
-  if (same && aReply.fate_ == Fate::kNeverArrived) {
+  if (same && aReply.callStatus_ == CallStatus::kNeverArrived) {
     Answer answer = MakeAnswer(Outcome::kNotRun, ErrorCode::kTargetUnreachable);
     answer.retriesUnused_ = call->lent_;
     EndAttempt(call, AttemptResult::kFailed, &answer);
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -277,7 +277,7 @@
     response.headers_ = aAnswer.headers_;
     response.body_ = aAnswer.body_;
     if (aCall.call_.method_ == "HEAD") {
-      response.declaredLength_ = aAnswer.bodyBytes_;
+      response.declaredLength_ = aAnswer.declaredBodyBytes_;
     }
     if (dialect_.issuesRequestIds_) {
       response.headers_.emplace_back("Quay-Outcome", OutcomeName(aAnswer.outcome_));
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -58,8 +58,9 @@
   answer.status_ = aResponse.status_;
   aDialect.rewriteForCaller_(aResponse.headers_);
   answer.headers_ = std::move(aResponse.headers_);
-  answer.bodyBytes_ = aCall.method_ == "HEAD" ? aResponse.declaredLength_.value_or(0)
-                                              : static_cast<std::uint64_t>(aResponse.body_.size());
+  answer.declaredBodyBytes_ = aCall.method_ == "HEAD"
+                                ? aResponse.declaredLength_.value_or(0)
+                                : static_cast<std::uint64_t>(aResponse.body_.size());
   answer.body_ = std::move(aResponse.body_);
   return answer;
 }
@@ -81,7 +82,7 @@
               .maxHeaderBytes_ = aSettings.maxHeaderBytes_,
               .idleTimeout_ = aSettings.targetIdleTimeout_,
               .echoHeader_ = std::string(aDialect.echoHeader_),
-              .endsByClose_ = aDialect.endsByClose_ })
+              .allowsCloseDelimited_ = aDialect.allowsCloseDelimited_ })
   , freshClient_(aLoop, { .target_ = aSettings.target_, .maxConnections_ = 2 })
   , pollClient_(aLoop, { .target_ = aSettings.target_, .maxConnections_ = 2 })
 {
@@ -173,7 +174,7 @@
   running.request_ = client_.Send(
     TargetRequest(running),
     [this, aCall](TargetResult aResult) { OnTarget(aCall, std::move(aResult)); },
-    running.call_.repeatable_ ? Reuse::kAny : Reuse::kLately);
+    running.call_.repeatable_ ? ConnectionReuse::kAny : ConnectionReuse::kRecentlyUsed);
   WatchSilence();
 }
 
@@ -199,21 +200,21 @@
   }
   Running& running = entry->second;
   const Call& call = running.call_;
-  switch (aResult.end_) {
-    case TargetEnd::kNotSent:
+  switch (aResult.requestStatus_) {
+    case TargetRequestStatus::kNotSent:
       Finish(aCall,
              ExecutionResult::kTargetRefused,
              RefusedAnswer(call, ErrorCode::kTargetUnreachable, 0));
       return;
-    case TargetEnd::kLost:
+    case TargetRequestStatus::kLost:
       metrics_.Add(Counter::kTargetAnswersLost);
       Finish(aCall, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kOutcomeUnknown));
       return;
-    case TargetEnd::kTruncated:
+    case TargetRequestStatus::kTruncated:
       metrics_.Add(Counter::kTargetAnswersTruncated);
       Finish(aCall, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kTruncatedAnswer));
       return;
-    case TargetEnd::kAnswered:
+    case TargetRequestStatus::kAnswered:
       break;
   }
   metrics_.RecordTime(Stage::kTarget, loop_.Now() - running.started_);
@@ -401,7 +402,7 @@
 void Guard::ProbeConnections()
 {
   // Slow answers alone are no sign: the kept connection must be silent too.
-  if (probing_ || pollClient_.IdleConnections() == 0) {
+  if (probing_ || pollClient_.IdleConnectionCount() == 0) {
     return;
   }
   probing_ = true;
@@ -418,7 +419,7 @@
     pollClient_.Send(health, [probe](const TargetResult& /*aResult*/) { probe->kept_ = true; });
   freshClient_.DropIdle();
   const auto fresh = freshClient_.Send(health, [probe](const TargetResult& aResult) {
-    probe->fresh_ = aResult.end_ == TargetEnd::kAnswered;
+    probe->fresh_ = aResult.requestStatus_ == TargetRequestStatus::kAnswered;
   });
   loop_.After(kProbeTime, [this, probe, start, kept, fresh] {
     probing_ = false;
@@ -546,12 +547,12 @@
   auto timer = std::make_shared<std::uint64_t>(0);
   const auto request = pollClient_.Send(
     { "GET", "/health", {}, "" }, [this, done, timer](const TargetResult& aHealth) {
-      if (aHealth.end_ == TargetEnd::kNotSent) {
+      if (aHealth.requestStatus_ == TargetRequestStatus::kNotSent) {
         ++health_.failedPolls_;
         if (health_.failedPolls_ >= kFailedPollsToDrain) {
           health_.state_ = TargetState::kDraining;
         }
-      } else if (aHealth.end_ == TargetEnd::kAnswered) {
+      } else if (aHealth.requestStatus_ == TargetRequestStatus::kAnswered) {
         health_.failedPolls_ = 0;
         const auto json =
           nlohmann::json::parse(aHealth.response_.body_, nullptr, /*allow_exceptions=*/false);
@@ -588,7 +589,7 @@
 
 void Guard::ReadLoad(const TargetResult& aResult)
 {
-  if (aResult.end_ != TargetEnd::kAnswered) {
+  if (aResult.requestStatus_ != TargetRequestStatus::kAnswered) {
     return;
   }
   const auto json =
@@ -641,7 +642,7 @@
 
 std::size_t Guard::TargetConnections() const
 {
-  return client_.Connections();
+  return client_.ConnectionCount();
 }
 
 } // namespace peridotquay
--- a/peridotquay/process/HttpDialect.h
+++ b/peridotquay/process/HttpDialect.h
@@ -49,7 +49,7 @@
   /// The slots that the target announces are the limit; latency doesn't adapt it.
   bool slotsAreLimit_ = false;
   /// An answer without a length ends with its connection; otherwise it counts as truncated.
-  bool endsByClose_ = false;
+  bool allowsCloseDelimited_ = false;
   /// Makes the headers of a caller's request fit to be sent to a guard. Never leaves a key in them.
   void (*rewriteForGuard_)(HeaderList& aHeaders, const ServiceId& aOwnService);
   /// Completes the headers of a call for the target.
--- a/peridotquay/process/MakeControlPlane.cpp
+++ b/peridotquay/process/MakeControlPlane.cpp
@@ -106,7 +106,7 @@
 
   void OnPeerMessage(const Hello& aFrom, const Address& aPeer, PeerMessage aMessage) override
   {
-    const bool summary = std::holds_alternative<Summary>(aMessage);
+    const bool summary = std::holds_alternative<DataCentreSummary>(aMessage);
     if (summary || std::holds_alternative<MemberTable>(aMessage)) {
       caf::anon_send(membership_, PeerArrival{ aFrom, aPeer, aMessage });
     }
--- a/peridotquay/process/Node.cpp
+++ b/peridotquay/process/Node.cpp
@@ -65,7 +65,7 @@
   {
     std::uint64_t link_ = 0;
     std::uint64_t guardCall_ = 0;
-    std::optional<CallKey> fate_; ///< Set if the call must run at most once.
+    std::optional<CallKey> callStatus_; ///< Set if the call must run at most once.
   };
 
   NodeSettings settings_;
@@ -105,7 +105,9 @@
   Result<void> Open()
   {
     PeerLinkSettings links;
-    links.own_ = { kPeerProtocolVersion, settings_.host_, incarnation_, settings_.dataCentre_ };
+    links.ownHello_ = {
+      kPeerProtocolVersion, settings_.host_, incarnation_, settings_.dataCentre_
+    };
     PeerHubEvents events;
     events.onMessage_ = [this](const PeerSource& aSource, PeerMessage aMessage) {
       OnPeerMessage(aSource, std::move(aMessage));
@@ -276,9 +278,9 @@
       dispatcher_->OnAnswer(std::move(*answer), aSource.link_);
     } else if (const auto* cancel = std::get_if<Cancel>(&aMessage)) {
       OnCancel(aSource.link_, cancel->callId_);
-    } else if (const auto* fate = std::get_if<CallFate>(&aMessage)) {
+    } else if (const auto* fate = std::get_if<CallStatusQuery>(&aMessage)) {
       OnFate(aSource, *fate);
-    } else if (const auto* known = std::get_if<CallFateReply>(&aMessage)) {
+    } else if (const auto* known = std::get_if<CallStatusReply>(&aMessage)) {
       dispatcher_->OnCallStatusReply(*known, aSource.link_);
     } else if (auto* owner = std::get_if<OwnerCall>(&aMessage)) {
       const std::uint64_t callId = owner->call_.callId_;
@@ -300,8 +302,8 @@
     PeerCall entry;
     entry.link_ = aSource.link_;
     if (!aCall.repeatable_) {
-      entry.fate_ = { aSource.hello_.host_, aSource.hello_.incarnation_, aCall.callId_ };
-      switch (RecordArrival(fates_, *entry.fate_, loop_.Now())) {
+      entry.callStatus_ = { aSource.hello_.host_, aSource.hello_.incarnation_, aCall.callId_ };
+      switch (RecordArrival(fates_, *entry.callStatus_, loop_.Now())) {
         case ArrivalDecision::kRun:
           break;
         case ArrivalDecision::kDrop:
@@ -335,8 +337,8 @@
     const PeerCall call = entry->second;
     peerCalls_.erase(entry);
     byLink_.erase({ call.link_, aAnswer.callId_ });
-    if (call.fate_) {
-      RecordAnswer(fates_, *call.fate_, aAnswer, loop_.Now());
+    if (call.callStatus_) {
+      RecordAnswer(fates_, *call.callStatus_, aAnswer, loop_.Now());
     }
     hub_->Reply(call.link_, aAnswer);
   }
@@ -351,21 +353,21 @@
     byLink_.erase(key);
     const PeerCall call = peerCalls_.at(number);
     peerCalls_.erase(number);
-    if (call.fate_) {
+    if (call.callStatus_) {
       Answer unknown;
       unknown.callId_ = aCallId;
       unknown.error_ = static_cast<std::uint16_t>(ErrorCode::kCancelled);
-      RecordAnswer(fates_, *call.fate_, unknown, loop_.Now());
+      RecordAnswer(fates_, *call.callStatus_, unknown, loop_.Now());
     }
     guard_->Cancel(call.guardCall_);
   }
 
-  void OnFate(const PeerSource& aSource, const CallFate& aFate)
+  void OnFate(const PeerSource& aSource, const CallStatusQuery& aFate)
   {
     const CallKey key{ aSource.hello_.host_, aFate.incarnation_, aFate.callId_ };
     CallStatusResult step = QueryCallStatus(fates_, key, loop_.Now());
-    hub_->Reply(aSource.link_, CallFateReply{ aFate.callId_, step.fate_ });
-    if (step.fate_ == Fate::kRunning) {
+    hub_->Reply(aSource.link_, CallStatusReply{ aFate.callId_, step.callStatus_ });
+    if (step.callStatus_ == CallStatus::kRunning) {
       MoveCall(key, aSource.link_);
     } else if (step.answer_) {
       step.answer_->callId_ = aFate.callId_;
@@ -377,7 +379,7 @@
   void MoveCall(const CallKey& aKey, std::uint64_t aLink)
   {
     const auto entry = std::find_if(peerCalls_.begin(), peerCalls_.end(), [&](const auto& aEntry) {
-      const auto& fate = aEntry.second.fate_;
+      const auto& fate = aEntry.second.callStatus_;
       return fate && fate->callId_ == aKey.callId_ && fate->incarnation_ == aKey.incarnation_ &&
              fate->host_ == aKey.host_;
     });
@@ -397,7 +399,7 @@
     for (auto entry = byLink_.lower_bound({ aLink, 0 });
          entry != byLink_.end() && entry->first.first == aLink;
          ++entry) {
-      if (!peerCalls_.at(entry->second).fate_) {
+      if (!peerCalls_.at(entry->second).callStatus_) {
         given.push_back(entry->first.second);
       }
     }
@@ -491,7 +493,7 @@
       { "calls", dispatcher_->ActiveCalls() },
       { "guard_calls", guard_->ActiveCalls() },
       { "targets_in_view", dispatcher_->TargetCount() },
-      { "peer_links", hub_->OpenLinks() },
+      { "peer_links", hub_->OpenLinkCount() },
       { "control",
         { { "version", control.version_ },
           { "freshness_age_ms", control.freshnessAgeMs_ },
@@ -519,11 +521,11 @@
              { "admission_limit", admission.limit_ },
              { "admission_running", static_cast<double>(admission.running_) },
              { "admission_queued", static_cast<double>(admission.queued_) },
-             { "caller_connections", static_cast<double>(callers_->Connections()) },
+             { "caller_connections", static_cast<double>(callers_->ConnectionCount()) },
              { "target_connections", static_cast<double>(guard_->TargetConnections()) },
-             { "peer_links", static_cast<double>(hub_->OpenLinks()) },
-             { "http_rejected", static_cast<double>(callers_->Rejected()) },
-             { "datagrams_dropped", static_cast<double>(datagram_->Dropped()) },
+             { "peer_links", static_cast<double>(hub_->OpenLinkCount()) },
+             { "http_rejected", static_cast<double>(callers_->RejectedRequests()) },
+             { "datagrams_dropped", static_cast<double>(datagram_->DroppedDatagrams()) },
              { "draining", draining_ ? 1.0 : 0.0 } };
   }
 
@@ -565,8 +567,8 @@
   bool IsIdle() const
   {
     return !accepting_ && dispatcher_->ActiveCalls() == 0 && guard_->ActiveCalls() == 0 &&
-           callers_->PendingAnswers() == 0 && outbound_->PendingAnswers() == 0 &&
-           admin_->PendingAnswers() == 0;
+           callers_->PendingAnswerCount() == 0 && outbound_->PendingAnswerCount() == 0 &&
+           admin_->PendingAnswerCount() == 0;
   }
 
   void CheckDrained()
--- a/peridotquay/process/RequestLedger.cpp
+++ b/peridotquay/process/RequestLedger.cpp
@@ -104,7 +104,7 @@
          digest.data());
   aAnswer.headers_.emplace_back(kBodyDigestHeader, ToHex(digest.data(), digest.size()));
   aAnswer.body_ = {};
-  aAnswer.bodyBytes_ = 0;
+  aAnswer.declaredBodyBytes_ = 0;
 }
 
 std::size_t EncodedBytes(const HandoverRecord& aRecord)
@@ -314,7 +314,7 @@
     bytes += size;
     batches.back().records_.push_back(std::move(exported));
   }
-  batches.back().last_ = true;
+  batches.back().isLastBatch_ = true;
   return batches;
 }
 
@@ -360,7 +360,7 @@
       aLedger.storedBytes_ += StoredBytes(record);
     }
   }
-  if (aBatch.last_ && !aLedger.complete_) {
+  if (aBatch.isLastBatch_ && !aLedger.complete_) {
     aLedger.complete_ = true;
     aLedger.closed_ = false;
   }
--- a/peridotquay/request/Admission.cpp
+++ b/peridotquay/request/Admission.cpp
@@ -669,10 +669,10 @@
   const bool known =
     aUpstream.receivedAt_ != TimePoint{} && aNow - aUpstream.receivedAt_ < kAdmissionLevelLifetime;
   if (!known || aImportance == Importance::kCritical ||
-      aImportance < aUpstream.level_.lowestAdmitted_) {
+      aImportance < aUpstream.level_.minAdmittedImportance_) {
     return true;
   }
-  const double fraction = aImportance == aUpstream.level_.lowestAdmitted_
+  const double fraction = aImportance == aUpstream.level_.minAdmittedImportance_
                             ? std::max(kProbeFraction, aUpstream.level_.admittedFraction_)
                             : kProbeFraction;
   return fraction >= 1 || RandomFraction(aUpstream.random_) < fraction;
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -315,7 +315,7 @@
   const bool own = aSender.dataCentre_ == aState.dataCentre_;
   if (own && aRequest.subtreeNodes_ > 0) {
     aState.reports_[aSender.host_] = {
-      aRequest.subtreeLeast_, aRequest.subtreeNodes_, aRequest.lagging_, aNow
+      aRequest.minSubtreeVersion_, aRequest.subtreeNodes_, aRequest.lagging_, aNow
     };
   }
   SyncReply reply;
@@ -897,7 +897,7 @@
     HandleSyncReply(aState, *reply, aNow, aEffects);
   } else if (const auto* push = std::get_if<VersionPush>(&aMessage)) {
     HandlePush(aState, *push, aNow, aEffects);
-  } else if (const auto* summary = std::get_if<Summary>(&aMessage)) {
+  } else if (const auto* summary = std::get_if<DataCentreSummary>(&aMessage)) {
     if (summary->platformReachable_) {
       aState.evidence_.erase(summary->dataCentre_);
     }
@@ -951,7 +951,7 @@
   CheckFreshness(aState, aNow, aEffects);
 }
 
-void FillSummary(const Dissemination& aState, Summary& aSummary, TimePoint aNow)
+void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow)
 {
   aSummary.version_ = aState.inForce_;
   aSummary.ageMs_ = AgeMs(aState.proof_, aNow);
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -212,7 +212,7 @@
                          DisseminationEffects& aEffects);
 
 /// Adds version, freshness and platform state to a summary.
-void FillSummary(const Dissemination& aState, Summary& aSummary, TimePoint aNow);
+void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow);
 
 /// Up to when the configuration in force is known to have been the latest; empty without proof.
 std::optional<TimePoint> FreshUntil(const Dissemination& aState);
--- a/peridotquay/version/Membership.cpp
+++ b/peridotquay/version/Membership.cpp
@@ -504,7 +504,7 @@
                  MembershipEffects& aEffects)
 {
   MergeAll(aState, aTable.members_, aNow, aEffects);
-  if (aTable.request_) {
+  if (aTable.isRequest_) {
     const bool named = !aTable.members_.empty();
     const Address to = named ? aTable.members_.front().peer_ : aFrom;
     const DataCentreId asker =
@@ -514,7 +514,7 @@
 }
 
 void HandleSummary(Membership& aState,
-                   const Summary& aSummary,
+                   const DataCentreSummary& aSummary,
                    TimePoint aNow,
                    MembershipEffects& aEffects)
 {
@@ -872,7 +872,7 @@
     }
     // Both delegates together reach both remote delegates each second.
     const auto& peer = remote[(aState.summaries_ + rank) % delegates];
-    Summary summary;
+    DataCentreSummary summary;
     summary.dataCentre_ = aState.self_.dataCentre_;
     summary.members_ = SummaryMembers(aState, centre);
     aEffects.summaries_.push_back({ peer.address_, std::move(summary), false });
@@ -986,7 +986,7 @@
     HandleProbeRequest(aState, aFrom, *request, aNow, aEffects);
   } else if (const auto* table = std::get_if<MemberTable>(&aMessage)) {
     HandleTable(aState, aFrom, *table, aNow, aEffects);
-  } else if (const auto* summary = std::get_if<Summary>(&aMessage)) {
+  } else if (const auto* summary = std::get_if<DataCentreSummary>(&aMessage)) {
     HandleSummary(aState, *summary, aNow, aEffects);
   }
 }
--- a/peridotquay/version/StoreFeed.cpp
+++ b/peridotquay/version/StoreFeed.cpp
@@ -62,7 +62,7 @@
   // the proof look older, never younger.
   const Duration way = (aNow - aState.asked_) + (aSuspended - aState.suspended_);
   const auto age = [&](std::uint64_t aMs) {
-    return way + milliseconds(static_cast<std::int64_t>(std::min(aMs, kLongestProofAgeMs + 1)));
+    return way + milliseconds(static_cast<std::int64_t>(std::min(aMs, kMaxProofAgeMs + 1)));
   };
   const bool isSource = age(aAnswer.answerAgeMs_) <= aState.settings_.oldestAnswer_;
   const bool lacksConfig = aAnswer.newest_.config_ > aOwn.config_;
@@ -74,7 +74,7 @@
     step.readHosts_ = lacksHosts;
   }
   aState.followingSource_ = isSource && (aState.followingSource_ || !lacksConfig);
-  if (!lacksConfig && aAnswer.proofAgeMs_ <= kLongestProofAgeMs) {
+  if (!lacksConfig && aAnswer.proofAgeMs_ <= kMaxProofAgeMs) {
     step.provedAt_ = aNow - age(aAnswer.proofAgeMs_);
   }
   return step;
--- a/tests/connection/HttpFrontTest.cpp
+++ b/tests/connection/HttpFrontTest.cpp
@@ -193,27 +193,31 @@
   {
     std::string name_;
     std::string answer_;
-    TargetEnd end_;
+    TargetRequestStatus requestStatus_;
   };
   const std::vector<Script> scripts = {
-    { "whole", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", TargetEnd::kAnswered },
+    { "whole", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", TargetRequestStatus::kAnswered },
     { "chunked",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
-      TargetEnd::kAnswered },
+      TargetRequestStatus::kAnswered },
     { "interim answer first",
       "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-      TargetEnd::kAnswered },
-    { "cut body", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", TargetEnd::kTruncated },
+      TargetRequestStatus::kAnswered },
+    { "cut body",
+      "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok",
+      TargetRequestStatus::kTruncated },
     { "cut chunks",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
-      TargetEnd::kTruncated },
-    { "cut head", "HTTP/1.1 200 OK\r\nContent-Le", TargetEnd::kTruncated },
-    { "ended by closing", "HTTP/1.1 200 OK\r\n\r\nok", TargetEnd::kTruncated },
+      TargetRequestStatus::kTruncated },
+    { "cut head", "HTTP/1.1 200 OK\r\nContent-Le", TargetRequestStatus::kTruncated },
+    { "ended by closing", "HTTP/1.1 200 OK\r\n\r\nok", TargetRequestStatus::kTruncated },
     { "two lengths",
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
-      TargetEnd::kTruncated },
-    { "too large", "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n", TargetEnd::kTruncated },
-    { "nothing", "", TargetEnd::kLost },
+      TargetRequestStatus::kTruncated },
+    { "too large",
+      "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n",
+      TargetRequestStatus::kTruncated },
+    { "nothing", "", TargetRequestStatus::kLost },
   };
   for (const auto& script : scripts) {
     INFO(script.name_);
@@ -235,8 +239,8 @@
     });
     loop.Run();
     target.join();
-    CHECK(result.end_ == script.end_);
-    if (script.end_ == TargetEnd::kAnswered) {
+    CHECK(result.requestStatus_ == script.requestStatus_);
+    if (script.requestStatus_ == TargetRequestStatus::kAnswered) {
       CHECK(result.response_.status_ == 200);
       CHECK(result.response_.body_ == "ok");
     }
@@ -252,17 +256,17 @@
     std::string name_;
     std::string answer_;
     bool reset_;
-    TargetEnd end_;
+    TargetRequestStatus requestStatus_;
   };
   const std::string right = "HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 2\r\n\r\nok";
   const std::string late = "HTTP/1.1 200 OK\r\nX-Id: 6\r\nContent-Length: 3\r\n\r\nold";
   const std::string unframed = "HTTP/1.1 200 OK\r\nX-Id: 7\r\n\r\nok";
   const std::vector<Script> scripts = {
-    { "right", right, false, TargetEnd::kAnswered },
-    { "late one first", late + right, false, TargetEnd::kAnswered },
-    { "late one only", late, false, TargetEnd::kTruncated },
-    { "unframed", unframed, false, TargetEnd::kAnswered },
-    { "unframed, reset", unframed, true, TargetEnd::kTruncated }
+    { "right", right, false, TargetRequestStatus::kAnswered },
+    { "late one first", late + right, false, TargetRequestStatus::kAnswered },
+    { "late one only", late, false, TargetRequestStatus::kTruncated },
+    { "unframed", unframed, false, TargetRequestStatus::kAnswered },
+    { "unframed, reset", unframed, true, TargetRequestStatus::kTruncated }
   };
   for (const auto& script : scripts) {
     INFO(script.name_);
@@ -281,7 +285,7 @@
     TargetClientSettings settings;
     settings.target_ = { "127.0.0.1", listener.Port() };
     settings.echoHeader_ = "X-Id";
-    settings.endsByClose_ = true;
+    settings.allowsCloseDelimited_ = true;
     TargetClient client(loop, settings);
     TargetResult result;
     client.Send({ "GET", "/", { { "X-Id", "7" } }, "" }, [&](TargetResult aResult) {
@@ -290,8 +294,8 @@
     });
     loop.Run();
     target.join();
-    CHECK(result.end_ == script.end_);
-    if (script.end_ == TargetEnd::kAnswered) {
+    CHECK(result.requestStatus_ == script.requestStatus_);
+    if (script.requestStatus_ == TargetRequestStatus::kAnswered) {
       CHECK(result.response_.body_ == "ok");
     }
   }
@@ -316,7 +320,7 @@
   TargetClientSettings settings;
   settings.target_ = { "127.0.0.1", listener.Port() };
   TargetClient client(loop, settings);
-  const auto send = [&](Reuse aReuse) {
+  const auto send = [&](ConnectionReuse aReuse) {
     TargetResult result;
     client.Send(
       { "POST", "/", {}, "" },
@@ -328,13 +332,13 @@
     loop.Run();
     return result;
   };
-  CHECK(send(Reuse::kLately).end_ == TargetEnd::kAnswered);
+  CHECK(send(ConnectionReuse::kRecentlyUsed).requestStatus_ == TargetRequestStatus::kAnswered);
   // At once, the connection is used again.
-  CHECK(send(Reuse::kLately).connectTime_ == Duration::zero());
+  CHECK(send(ConnectionReuse::kRecentlyUsed).connectTime_ == Duration::zero());
   loop.After(settings.longestRest_ + milliseconds(50), [&] { loop.Stop(); });
   loop.Run();
-  const TargetResult rested = send(Reuse::kLately);
-  CHECK(rested.end_ == TargetEnd::kAnswered);
+  const TargetResult rested = send(ConnectionReuse::kRecentlyUsed);
+  CHECK(rested.requestStatus_ == TargetRequestStatus::kAnswered);
   CHECK(rested.connectTime_ > Duration::zero());
   target.join();
 }
@@ -352,11 +356,11 @@
   settings.target_ = { "127.0.0.1", port };
   TargetClient client(loop, settings);
   TargetResult result;
-  result.end_ = TargetEnd::kLost;
+  result.requestStatus_ = TargetRequestStatus::kLost;
   client.Send({ "GET", "/", {}, "" }, [&](TargetResult aResult) {
     result = std::move(aResult);
     loop.Stop();
   });
   loop.Run();
-  CHECK(result.end_ == TargetEnd::kNotSent);
+  CHECK(result.requestStatus_ == TargetRequestStatus::kNotSent);
 }
--- a/tests/connection/PeerHubTest.cpp
+++ b/tests/connection/PeerHubTest.cpp
@@ -29,7 +29,7 @@
   Peer(EventLoop& aLoop, const std::string& aHost, Incarnation aIncarnation = 1)
   {
     PeerLinkSettings settings;
-    settings.own_ = { kPeerProtocolVersion, { aHost }, aIncarnation, { "dc1" } };
+    settings.ownHello_ = { kPeerProtocolVersion, { aHost }, aIncarnation, { "dc1" } };
     PeerHubEvents events;
     events.onMessage_ = [this](const PeerSource& aSource, PeerMessage aMessage) {
       messages_.emplace_back(aSource, std::move(aMessage));
@@ -80,14 +80,14 @@
     CHECK(std::get<Cancel>(right.messages_[i - 1].second).callId_ == i);
   }
   CHECK(right.messages_[0].first.hello_.host_.value_ == "left");
-  REQUIRE(left.hub_->PeerOf(20) != nullptr);
-  CHECK(left.hub_->PeerOf(20)->incarnation_ == 7);
+  REQUIRE(left.hub_->PeerOfCall(20) != nullptr);
+  CHECK(left.hub_->PeerOfCall(20)->incarnation_ == 7);
   // The control side answers by address; that must use the same connection.
   right.hub_->Send(right.messages_[0].first.address_, Cancel{ 99 });
   REQUIRE(right.hub_->Reply(right.messages_[0].first.link_, Cancel{ 100 }));
   REQUIRE(RunUntil(loop, [&] { return left.messages_.size() == 2; }));
   CHECK(left.messages_[0].first.link_ == left.messages_[1].first.link_);
-  CHECK(right.hub_->OpenLinks() == 1);
+  CHECK(right.hub_->OpenLinkCount() == 1);
 }
 
 // Guards against "not sent" for a call that may have left, and against the opposite.
@@ -147,7 +147,7 @@
   REQUIRE(RunUntil(loop, [&] { return left.lost_.size() == 1; }));
   const Duration took = Clock::now() - start;
   silent.join();
-  CHECK(left.lost_[0].end_ == LinkEnd::kSilent);
+  CHECK(left.lost_[0].reason_ == LinkEndReason::kSilent);
   CHECK(left.lost_[0].sent_);
   CHECK(took >= milliseconds(500));
   CHECK(took < milliseconds(800));
@@ -209,5 +209,5 @@
   left.Send({ "127.0.0.1", port.assume_value() }, Ping{ 5 });
   REQUIRE(RunUntil(loop, [&] { return received.size() == 1; }));
   CHECK(received[0] == PeerMessage(Ping{ 5 }));
-  CHECK(right.Dropped() == 2);
+  CHECK(right.DroppedDatagrams() == 2);
 }
--- a/tests/process/DeduplicationTableTest.cpp
+++ b/tests/process/DeduplicationTableTest.cpp
@@ -27,8 +27,8 @@
 {
   DeduplicationTable table;
   const TimePoint now = Clock::now();
-  CHECK(QueryCallStatus(table, Key(1), now).fate_ == Fate::kNeverArrived);
-  CHECK(QueryCallStatus(table, Key(1), now).fate_ == Fate::kNeverArrived);
+  CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kNeverArrived);
+  CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kNeverArrived);
   CHECK(RecordArrival(table, Key(1), now) == ArrivalDecision::kRefuse);
   CHECK(RecordArrival(table, Key(1, 2), now) == ArrivalDecision::kRun);
   ExpireCalls(table, now + seconds(60));
@@ -50,16 +50,16 @@
   RecordAnswer(table, Key(1), Ended(Outcome::kRan, 5), now);
   RecordAnswer(table, Key(2), Ended(Outcome::kNotRun), now);
   const CallStatusResult done = QueryCallStatus(table, Key(1), now);
-  CHECK(done.fate_ == Fate::kDone);
+  CHECK(done.callStatus_ == CallStatus::kDone);
   REQUIRE(done.answer_.has_value());
   CHECK(done.answer_->body_ == "xxxxx");
-  CHECK(QueryCallStatus(table, Key(2), now).fate_ == Fate::kRefused);
-  CHECK(QueryCallStatus(table, Key(3), now).fate_ == Fate::kRunning);
+  CHECK(QueryCallStatus(table, Key(2), now).callStatus_ == CallStatus::kRefused);
+  CHECK(QueryCallStatus(table, Key(3), now).callStatus_ == CallStatus::kRunning);
   // After it was forgotten nothing may be claimed, above all not "never arrived".
   ExpireCalls(table, now + seconds(31));
-  CHECK(QueryCallStatus(table, Key(1), now).fate_ == Fate::kForgotten);
+  CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kForgotten);
   CHECK(RecordArrival(table, Key(2), now) == ArrivalDecision::kDrop);
-  CHECK(QueryCallStatus(table, Key(3), now).fate_ == Fate::kRunning);
+  CHECK(QueryCallStatus(table, Key(3), now).callStatus_ == CallStatus::kRunning);
   CHECK(table.bytes_ == 0);
 }
 
@@ -76,9 +76,9 @@
     REQUIRE(table.entries_.size() <= kMaxFates);
     REQUIRE(table.bytes_ <= kMaxFateBytes);
   }
-  CHECK(QueryCallStatus(table, Key(1), now).fate_ == Fate::kRunning);
+  CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kRunning);
   // The body of the last answers found no room: the answer can't be given whole.
-  CHECK(QueryCallStatus(table, Key(3 * kMaxFates - 1), now).fate_ == Fate::kForgotten);
+  CHECK(QueryCallStatus(table, Key(3 * kMaxFates - 1), now).callStatus_ == CallStatus::kForgotten);
 }
 
 // Guards against a full table that claims "never arrived" without being able to bar the call.
@@ -90,5 +90,5 @@
     REQUIRE(RecordArrival(table, Key(call), now) == ArrivalDecision::kRun);
   }
   CHECK(RecordArrival(table, Key(kMaxFates + 1), now) == ArrivalDecision::kRefuse);
-  CHECK(QueryCallStatus(table, Key(kMaxFates + 1), now).fate_ == Fate::kForgotten);
+  CHECK(QueryCallStatus(table, Key(kMaxFates + 1), now).callStatus_ == CallStatus::kForgotten);
 }
--- a/tests/process/RequestLedgerTest.cpp
+++ b/tests/process/RequestLedgerTest.cpp
@@ -18,7 +18,7 @@
   Answer answer;
   answer.outcome_ = aOutcome;
   answer.status_ = 200;
-  answer.bodyBytes_ = aBody.size();
+  answer.declaredBodyBytes_ = aBody.size();
   answer.body_ = std::move(aBody);
   return answer;
 }
@@ -123,7 +123,7 @@
         const auto batches = ExportRecords(ledgers.back(), now);
         RequestLedger successor;
         for (const RequestHandover& batch : batches) {
-          RC_ASSERT(batch.last_ == (&batch == &batches.back()));
+          RC_ASSERT(batch.isLastBatch_ == (&batch == &batches.back()));
           RC_ASSERT(ImportRecords(successor, batch, now).has_value());
         }
         ledgers.push_back(successor);
--- a/tests/request/AdmissionTest.cpp
+++ b/tests/request/AdmissionTest.cpp
@@ -252,7 +252,8 @@
         ApplyAnnouncedSlots(state, *rc::gen::element(0U, 1U, 3U, 10U));
         judge.Apply(state, DropLateCalls(state, now), now);
         const AdmissionLevel level = CurrentAdmissionLevel(state, now);
-        RC_ASSERT((level.lowestAdmitted_ != Importance::kCritical || level.admittedFraction_ == 1));
+        RC_ASSERT(
+          (level.minAdmittedImportance_ != Importance::kCritical || level.admittedFraction_ == 1));
       }
     }
   }));
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -210,7 +210,8 @@
       Send(aNode, std::move(message));
     }
     for (auto& message : aEffects.summaries_) {
-      FillSummary(nodes_[aNode].versions_, std::get<Summary>(message.message_), Local(aNode));
+      FillSummary(
+        nodes_[aNode].versions_, std::get<DataCentreSummary>(message.message_), Local(aNode));
       Send(aNode, std::move(message));
     }
   }
--- a/tests/version/StoreFeedTest.cpp
+++ b/tests/version/StoreFeedTest.cpp
@@ -117,7 +117,7 @@
   REQUIRE(old.provedAt_);
   CHECK(*old.provedAt_ == asker.now_ - milliseconds(2600));
   CHECK(asker.state_.followingSource_);
-  CHECK_FALSE(asker.Answer(asker.NextQuestion(), kLongestProofAgeMs + 1).provedAt_);
+  CHECK_FALSE(asker.Answer(asker.NextQuestion(), kMaxProofAgeMs + 1).provedAt_);
   CHECK_FALSE(asker.Answer(asker.NextQuestion(), ~std::uint64_t{ 0 }).provedAt_);
 }
 
