--- a/peridotquay/connection/Datagram.cpp
+++ b/peridotquay/connection/Datagram.cpp
@@ -19,7 +19,7 @@
   EventLoop& loop_;
   OnMessage onMessage_;
   udp::socket socket_;
-  udp::endpoint from_;
+  udp::endpoint sender_;
   std::array<char, kMaxDatagramBytes> buffer_;
   std::uint64_t dropped_ = 0;
 
@@ -34,7 +34,7 @@
   {
     socket_.async_receive_from(
       boost::asio::buffer(buffer_),
-      from_,
+      sender_,
       [self = shared_from_this()](const error_code& aError, std::size_t aBytes) {
         if (aError == boost::asio::error::operation_aborted || !self->socket_.is_open()) {
           return;
@@ -45,7 +45,7 @@
           if (message.has_error()) {
             ++self->dropped_;
           } else {
-            self->onMessage_({ self->from_.address().to_string(), self->from_.port() },
+            self->onMessage_({ self->sender_.address().to_string(), self->sender_.port() },
                              std::move(message.assume_value()));
           }
         }
--- a/peridotquay/connection/EventLoop.cpp
+++ b/peridotquay/connection/EventLoop.cpp
@@ -15,47 +15,47 @@
 struct EventLoop::State
 {
   boost::asio::io_context context_{ 1 };
-  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_{
+  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> workGuard_{
     context_.get_executor()
   };
-  boost::asio::steady_timer timer_{ context_ };
-  using Key = std::pair<TimePoint, std::uint64_t>;
-  std::map<Key, std::function<void()>> timers_;
-  std::unordered_map<std::uint64_t, TimePoint> times_; ///< Key time of each timer in timers_.
-  std::uint64_t next_ = 1;
-  TimePoint armed_ = TimePoint::max(); ///< When timer_ fires; max if it isn't armed.
-
-  void Arm()
+  boost::asio::steady_timer systemTimer_{ context_ };
+  using TimerKey = std::pair<TimePoint, std::uint64_t>;
+  std::map<TimerKey, std::function<void()>> timers_;
+  std::unordered_map<std::uint64_t, TimePoint> dueTimes_; ///< Key time of each timer in timers_.
+  std::uint64_t nextNumber_ = 1;
+  TimePoint armedFor_ = TimePoint::max(); ///< When systemTimer_ fires; max if it isn't armed.
+
+  void ArmSystemTimer()
   {
-    if (timers_.empty() || timers_.begin()->first.first >= armed_) {
+    if (timers_.empty() || timers_.begin()->first.first >= armedFor_) {
       return;
     }
-    armed_ = timers_.begin()->first.first;
-    timer_.expires_at(armed_);
-    timer_.async_wait([this](const boost::system::error_code& aError) {
+    armedFor_ = timers_.begin()->first.first;
+    systemTimer_.expires_at(armedFor_);
+    systemTimer_.async_wait([this](const boost::system::error_code& aError) {
       if (!aError) {
-        Fire();
+        RunDueTimers();
       }
     });
   }
 
-  void Fire()
+  void RunDueTimers()
   {
-    armed_ = TimePoint::max();
+    armedFor_ = TimePoint::max();
     const TimePoint now = Clock::now();
     // Functions may add timers; those due now run in the next round, so that sockets get a turn.
-    std::uint64_t last = next_;
+    std::uint64_t endNumber = nextNumber_;
     while (!timers_.empty() && timers_.begin()->first.first <= now) {
-      auto node = timers_.begin();
-      if (node->first.second >= last) {
+      auto earliest = timers_.begin();
+      if (earliest->first.second >= endNumber) {
         break;
       }
-      times_.erase(node->first.second);
-      auto function = std::move(node->second);
-      timers_.erase(node);
+      dueTimes_.erase(earliest->first.second);
+      auto function = std::move(earliest->second);
+      timers_.erase(earliest);
       function();
     }
-    Arm();
+    ArmSystemTimer();
   }
 };
 
@@ -78,20 +78,20 @@
 
 std::uint64_t EventLoop::After(Duration aDelay, std::function<void()> aFunction)
 {
-  const TimePoint when = Clock::now() + aDelay;
-  const std::uint64_t number = state_->next_++;
-  state_->timers_.emplace(State::Key{ when, number }, std::move(aFunction));
-  state_->times_.emplace(number, when);
-  state_->Arm();
+  const TimePoint dueAt = Clock::now() + aDelay;
+  const std::uint64_t number = state_->nextNumber_++;
+  state_->timers_.emplace(State::TimerKey{ dueAt, number }, std::move(aFunction));
+  state_->dueTimes_.emplace(number, dueAt);
+  state_->ArmSystemTimer();
   return number;
 }
 
 void EventLoop::CancelTimer(std::uint64_t aTimer)
 {
-  const auto entry = state_->times_.find(aTimer);
-  if (entry != state_->times_.end()) {
-    state_->timers_.erase(State::Key{ entry->second, aTimer });
-    state_->times_.erase(entry);
+  const auto entry = state_->dueTimes_.find(aTimer);
+  if (entry != state_->dueTimes_.end()) {
+    state_->timers_.erase(State::TimerKey{ entry->second, aTimer });
+    state_->dueTimes_.erase(entry);
   }
 }
 
--- a/peridotquay/connection/HttpFront.cpp
+++ b/peridotquay/connection/HttpFront.cpp
@@ -76,9 +76,9 @@
       return ErrorCode::kConflictingHeaders;
     }
     // The parser also takes a list of equal lengths, which other readers refuse or misread.
-    const std::size_t value = std::min(line.find_first_not_of(" \t", colon + 1), line.size());
+    const std::size_t valueStart = std::min(line.find_first_not_of(" \t", colon + 1), line.size());
     if (name == "content-length" &&
-        line.find_first_not_of("0123456789", value) != std::string_view::npos) {
+        line.find_first_not_of("0123456789", valueStart) != std::string_view::npos) {
       return ErrorCode::kConflictingHeaders;
     }
   }
@@ -97,7 +97,7 @@
   Handler handler_;
   tcp::acceptor acceptor_;
   std::set<std::shared_ptr<Session>> sessions_;
-  std::uint64_t rejected_ = 0;
+  std::uint64_t rejectedRequests_ = 0;
   std::size_t pendingAnswers_ = 0;
   bool closeAfterAnswers_ = false;
 
@@ -137,7 +137,7 @@
 
   void Start()
   {
-    Restart(front_.settings_.idleTimeout_, false);
+    RestartTimer(front_.settings_.idleTimeout_, false);
     Read();
   }
 
@@ -173,31 +173,31 @@
     exchange_.reset();
     const bool keep = keepAlive_ && !front_.closeAfterAnswers_;
     keepAlive_ = keep;
-    output_ = "HTTP/1.1 " + std::to_string(aResponse.status_) + " ";
-    output_ += http::obsolete_reason(http::int_to_status(aResponse.status_));
-    output_ += "\r\n";
+    writeBuffer_ = "HTTP/1.1 " + std::to_string(aResponse.status_) + " ";
+    writeBuffer_ += http::obsolete_reason(http::int_to_status(aResponse.status_));
+    writeBuffer_ += "\r\n";
     for (const auto& [name, value] : aResponse.headers_) {
-      output_ += name;
-      output_ += ": ";
-      output_ += value;
-      output_ += "\r\n";
+      writeBuffer_ += name;
+      writeBuffer_ += ": ";
+      writeBuffer_ += value;
+      writeBuffer_ += "\r\n";
     }
     const bool bodiless = aResponse.status_ == 204 || aResponse.status_ == 304;
     if (!bodiless || aResponse.declaredLength_) {
-      output_ += "Content-Length: " +
-                 std::to_string(aResponse.declaredLength_.value_or(aResponse.body_.size())) +
-                 "\r\n";
+      writeBuffer_ += "Content-Length: " +
+                      std::to_string(aResponse.declaredLength_.value_or(aResponse.body_.size())) +
+                      "\r\n";
     }
-    output_ += keep ? "\r\n" : "Connection: close\r\n\r\n";
-    if (!head_ && !bodiless) {
-      output_ += aResponse.body_;
+    writeBuffer_ += keep ? "\r\n" : "Connection: close\r\n\r\n";
+    if (!isHead_ && !bodiless) {
+      writeBuffer_ += aResponse.body_;
     }
-    Restart(front_.settings_.writeTimeout_, false);
+    RestartTimer(front_.settings_.writeTimeout_, false);
     writing_ = true;
     ++front_.pendingAnswers_;
     boost::asio::async_write(
       socket_,
-      boost::asio::buffer(output_),
+      boost::asio::buffer(writeBuffer_),
       [self = shared_from_this()](const error_code& aError, std::size_t /*aBytes*/) {
         self->OnWritten(aError);
       });
@@ -205,9 +205,9 @@
 
   void Reject(ErrorCode aCode)
   {
-    ++front_.rejected_;
+    ++front_.rejectedRequests_;
     keepAlive_ = false;
-    rejected_ = true;
+    discardsInput_ = true;
     Answer(ErrorResponse(aCode, Outcome::kNotRun, "request was not accepted"));
   }
 
@@ -216,15 +216,15 @@
 private:
   using Parser = http::request_parser<http::string_body>;
 
-  void Restart(Duration aTimeout, bool aSlowRequest)
+  void RestartTimer(Duration aTimeout, bool aRejectsRequest)
   {
     front_.loop_.CancelTimer(timer_);
-    timer_ = front_.loop_.After(aTimeout, [weak = weak_from_this(), aSlowRequest] {
+    timer_ = front_.loop_.After(aTimeout, [weak = weak_from_this(), aRejectsRequest] {
       const auto self = weak.lock();
       if (!self || self->closed_) {
         return;
       }
-      if (aSlowRequest) {
+      if (aRejectsRequest) {
         self->Reject(ErrorCode::kRequestTooSlow);
       } else {
         self->Close();
@@ -236,19 +236,19 @@
   {
     // While a request is handled, reading goes on to notice that the caller closed; requests sent
     // ahead are kept up to one request's size.
-    if (reading_ || closed_ || input_.size() > Limit()) {
+    if (reading_ || closed_ || unparsed_.size() > MaxInputBytes()) {
       return;
     }
     reading_ = true;
     socket_.async_read_some(
-      boost::asio::buffer(chunk_),
+      boost::asio::buffer(readBuffer_),
       [self = shared_from_this()](const error_code& aError, std::size_t aBytes) {
         self->reading_ = false;
         self->OnRead(aError, aBytes);
       });
   }
 
-  std::size_t Limit() const
+  std::size_t MaxInputBytes() const
   {
     return front_.settings_.maxBodyBytes_ + front_.settings_.maxHeaderBytes_;
   }
@@ -267,33 +267,33 @@
       Close();
       return;
     }
-    if (rejected_) {
+    if (discardsInput_) {
       Read();
       return;
     }
-    input_.append(chunk_.data(), aBytes);
+    unparsed_.append(readBuffer_.data(), aBytes);
     Parse();
     Read();
   }
 
   void Parse()
   {
-    if (closed_ || exchange_ || writing_ || input_.empty()) {
+    if (closed_ || exchange_ || writing_ || unparsed_.empty()) {
       return;
     }
     if (!parser_) {
       // Empty lines before a request line are ignored, as RFC 9112 asks for.
-      const std::size_t start = std::min(input_.find_first_not_of("\r\n"), input_.size());
-      input_.erase(0, start);
-      if (input_.empty()) {
+      const std::size_t start = std::min(unparsed_.find_first_not_of("\r\n"), unparsed_.size());
+      unparsed_.erase(0, start);
+      if (unparsed_.empty()) {
         return;
       }
-      if (!arriving_) {
-        arriving_ = true;
-        Restart(front_.settings_.readTimeout_, true);
+      if (!requestBegan_) {
+        requestBegan_ = true;
+        RestartTimer(front_.settings_.readTimeout_, true);
       }
-      const std::size_t end = input_.find("\r\n\r\n");
-      const std::size_t headBytes = end == std::string::npos ? input_.size() : end + 4;
+      const std::size_t end = unparsed_.find("\r\n\r\n");
+      const std::size_t headBytes = end == std::string::npos ? unparsed_.size() : end + 4;
       if (headBytes > front_.settings_.maxHeaderBytes_) {
         Reject(ErrorCode::kHeadersTooLarge);
         return;
@@ -301,18 +301,18 @@
       if (end == std::string::npos) {
         return;
       }
-      if (!ParseHead(std::string_view(input_).substr(0, headBytes))) {
+      if (!ParseHead(std::string_view(unparsed_).substr(0, headBytes))) {
         return;
       }
-      input_.erase(0, headBytes);
+      unparsed_.erase(0, headBytes);
     }
     ParseBody();
   }
 
   bool ParseHead(std::string_view aHead)
   {
-    if (const auto fault = CheckHead(aHead)) {
-      Reject(*fault);
+    if (const auto errorCode = CheckHead(aHead)) {
+      Reject(*errorCode);
       return false;
     }
     parser_.emplace();
@@ -330,16 +330,17 @@
     }
     const auto& message = parser_->get();
     const auto target = message.target();
-    const auto coding = message.find(http::field::transfer_encoding);
-    const bool badCoding =
-      coding != message.end() &&
-      ToLower(std::string_view(coding->value().data(), coding->value().size())) != "chunked";
+    const auto transferEncoding = message.find(http::field::transfer_encoding);
+    const bool unsupportedEncoding =
+      transferEncoding != message.end() &&
+      ToLower(std::string_view(transferEncoding->value().data(),
+                               transferEncoding->value().size())) != "chunked";
     const bool http10 = message.version() == 10;
     const auto version = message.version();
-    const std::size_t hosts = message.count(http::field::host);
-    if (target.empty() || target.front() != '/' || badCoding ||
-        (http10 && coding != message.end()) || (version != 10 && version != 11) ||
-        (version == 11 && hosts != 1) || message.method() == http::verb::connect) {
+    const std::size_t hostCount = message.count(http::field::host);
+    if (target.empty() || target.front() != '/' || unsupportedEncoding ||
+        (http10 && transferEncoding != message.end()) || (version != 10 && version != 11) ||
+        (version == 11 && hostCount != 1) || message.method() == http::verb::connect) {
       Reject(ErrorCode::kMalformedRequest);
       return false;
     }
@@ -379,12 +380,12 @@
 
   void ParseBody()
   {
-    std::size_t used = 0;
-    while (!parser_->is_done() && used < input_.size()) {
+    std::size_t offset = 0;
+    while (!parser_->is_done() && offset < unparsed_.size()) {
       error_code error;
-      const std::size_t taken =
-        parser_->put(boost::asio::buffer(input_.data() + used, input_.size() - used), error);
-      used += taken;
+      const std::size_t parsed = parser_->put(
+        boost::asio::buffer(unparsed_.data() + offset, unparsed_.size() - offset), error);
+      offset += parsed;
       if (error == http::error::need_more) {
         break;
       }
@@ -393,14 +394,14 @@
                                                 : ErrorCode::kMalformedRequest);
         return;
       }
-      if (taken == 0) {
+      if (parsed == 0) {
         break;
       }
     }
-    input_.erase(0, used);
+    unparsed_.erase(0, offset);
     if (parser_->is_done()) {
       Dispatch();
-    } else if (input_.size() > front_.settings_.maxHeaderBytes_) {
+    } else if (unparsed_.size() > front_.settings_.maxHeaderBytes_) {
       // The parser holds back an incomplete chunk header only.
       Reject(ErrorCode::kMalformedRequest);
     }
@@ -410,11 +411,11 @@
   {
     auto message = parser_->release();
     parser_.reset();
-    arriving_ = false;
+    requestBegan_ = false;
     front_.loop_.CancelTimer(timer_);
     timer_ = 0;
     keepAlive_ = message.keep_alive();
-    head_ = message.method() == http::verb::head;
+    isHead_ = message.method() == http::verb::head;
     exchange_ = std::make_shared<Exchange>(shared_from_this());
     HttpRequest& request = exchange_->request_;
     request.method_ = std::string(message.method_string());
@@ -442,31 +443,31 @@
       // close with unread input resets the connection, and the caller can lose the answer.
       error_code ignored;
       socket_.shutdown(tcp::socket::shutdown_send, ignored);
-      rejected_ = true;
-      input_.clear();
-      Restart(milliseconds(500), false);
+      discardsInput_ = true;
+      unparsed_.clear();
+      RestartTimer(milliseconds(500), false);
       Read();
       return;
     }
-    Restart(front_.settings_.idleTimeout_, false);
+    RestartTimer(front_.settings_.idleTimeout_, false);
     Parse();
     Read();
   }
 
   HttpFront::State& front_;
   tcp::socket socket_;
-  std::array<char, kReadBytes> chunk_;
-  std::string input_;
-  std::string output_;
+  std::array<char, kReadBytes> readBuffer_;
+  std::string unparsed_;
+  std::string writeBuffer_;
   std::optional<Parser> parser_; ///< Set while the body of a request arrives.
   HeaderList headers_;           ///< Of the request whose body arrives.
   std::uint64_t timer_ = 0;
-  bool arriving_ = false; ///< The first byte of a request is here.
+  bool requestBegan_ = false; ///< The first byte of a request is here.
   bool reading_ = false;
   bool writing_ = false;
   bool keepAlive_ = true;
-  bool head_ = false;     ///< The request in hand has method HEAD.
-  bool rejected_ = false; ///< Further input is read and thrown away.
+  bool isHead_ = false;        ///< The request in hand has method HEAD.
+  bool discardsInput_ = false; ///< Further input is read and thrown away.
   bool closed_ = false;
 };
 
@@ -492,8 +493,8 @@
       if (aError) {
         // Out of descriptors: accepting again at once would spin.
         state->loop_.After(milliseconds(20), [weak] {
-          if (const auto again = weak.lock()) {
-            Accept(again);
+          if (const auto owner = weak.lock()) {
+            Accept(owner);
           }
         });
         return;
@@ -566,7 +567,7 @@
 
 std::uint64_t HttpFront::RejectedRequests() const
 {
-  return state_->rejected_;
+  return state_->rejectedRequests_;
 }
 
 std::size_t HttpFront::PendingAnswerCount() const
--- a/peridotquay/connection/HttpMessage.cpp
+++ b/peridotquay/connection/HttpMessage.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-char Lower(char aCharacter)
+char ToLowerAscii(char aCharacter)
 {
   return aCharacter >= 'A' && aCharacter <= 'Z' ? static_cast<char>(aCharacter + ('a' - 'A'))
                                                 : aCharacter;
@@ -23,7 +23,7 @@
 {
   return aLeft.size() == aRight.size() &&
          std::equal(aLeft.begin(), aLeft.end(), aRight.begin(), [](char aA, char aB) {
-           return Lower(aA) == Lower(aB);
+           return ToLowerAscii(aA) == ToLowerAscii(aB);
          });
 }
 
@@ -38,19 +38,19 @@
   return aText;
 }
 
-constexpr std::array<std::string_view, 10> kHopByHop = { "Connection",
-                                                         "Keep-Alive",
-                                                         "Proxy-Connection",
-                                                         "Proxy-Authenticate",
-                                                         "Proxy-Authorization",
-                                                         "TE",
-                                                         "Trailer",
-                                                         "Transfer-Encoding",
-                                                         "Upgrade",
-                                                         "Expect" };
+constexpr std::array<std::string_view, 10> kHopByHopHeaders = { "Connection",
+                                                                "Keep-Alive",
+                                                                "Proxy-Connection",
+                                                                "Proxy-Authenticate",
+                                                                "Proxy-Authorization",
+                                                                "TE",
+                                                                "Trailer",
+                                                                "Transfer-Encoding",
+                                                                "Upgrade",
+                                                                "Expect" };
 
 // Number of the log event that the node writes with the failure; 0 if it writes none.
-int EventOf(ErrorCode aCode, Outcome aOutcome)
+int EventNumberOf(ErrorCode aCode, Outcome aOutcome)
 {
   if (aOutcome == Outcome::kUnknown) {
     return static_cast<int>(Event::kOutcomeUnknown);
@@ -84,7 +84,7 @@
 
 void RemoveHopByHopHeaders(HeaderList& aHeaders)
 {
-  std::vector<std::string> named;
+  std::vector<std::string> connectionHeaders;
   for (const auto& [name, value] : aHeaders) {
     if (!EqualsNoCase(name, "Connection")) {
       continue;
@@ -92,22 +92,22 @@
     std::string_view rest = value;
     while (!rest.empty()) {
       const std::size_t comma = std::min(rest.find(','), rest.size());
-      named.emplace_back(Trim(rest.substr(0, comma)));
+      connectionHeaders.emplace_back(Trim(rest.substr(0, comma)));
       rest.remove_prefix(std::min(comma + 1, rest.size()));
     }
   }
   std::erase_if(aHeaders, [&](const auto& aHeader) {
     const auto matches = [&](std::string_view aName) { return EqualsNoCase(aHeader.first, aName); };
-    return std::any_of(kHopByHop.begin(), kHopByHop.end(), matches) ||
-           std::any_of(named.begin(), named.end(), matches);
+    return std::any_of(kHopByHopHeaders.begin(), kHopByHopHeaders.end(), matches) ||
+           std::any_of(connectionHeaders.begin(), connectionHeaders.end(), matches);
   });
 }
 
-std::optional<std::uint64_t> ParseNumber(std::string_view aText, std::uint64_t aMost)
+std::optional<std::uint64_t> ParseNumber(std::string_view aText, std::uint64_t aMax)
 {
   std::uint64_t number = 0;
   const auto [end, error] = std::from_chars(aText.data(), aText.data() + aText.size(), number);
-  if (error != std::errc() || end != aText.data() + aText.size() || number > aMost) {
+  if (error != std::errc() || end != aText.data() + aText.size() || number > aMax) {
     return std::nullopt;
   }
   return number;
@@ -154,7 +154,7 @@
 {
   const nlohmann::json body = { { "error",
                                   { { "type", std::string(ErrorName(aCode)) },
-                                    { "event", EventOf(aCode, aOutcome) },
+                                    { "event", EventNumberOf(aCode, aOutcome) },
                                     { "detail", std::string(aDetail) } } } };
   HttpResponse response =
     JsonResponse(HttpStatusOf(aCode, aOutcome),
--- a/peridotquay/connection/HttpMessage.h
+++ b/peridotquay/connection/HttpMessage.h
@@ -46,7 +46,7 @@
 void RemoveHopByHopHeaders(HeaderList& aHeaders);
 
 /// Parses a decimal number without sign; empty for other text or above the bound.
-std::optional<std::uint64_t> ParseNumber(std::string_view aText, std::uint64_t aMost);
+std::optional<std::uint64_t> ParseNumber(std::string_view aText, std::uint64_t aMax);
 
 /// HTTP status for a failure of a call with a known outcome. Outcome::kUnknown is always 504.
 std::uint16_t HttpStatusOf(ErrorCode aCode, Outcome aOutcome);
--- a/peridotquay/connection/KeepAlive.cpp
+++ b/peridotquay/connection/KeepAlive.cpp
@@ -12,13 +12,13 @@
 // Silence in seconds before the first probe, between probes, and probes without an answer. A fresh
 // connection takes over within the 3 s in which a host counts as disturbed.
 constexpr int kIdleSeconds = 1;
-constexpr int kIntervalSeconds = 1;
-constexpr int kProbes = 2;
+constexpr int kProbeIntervalSeconds = 1;
+constexpr int kMaxUnansweredProbes = 2;
 
 // Longest time in milliseconds that sent bytes may stay unacknowledged.
-constexpr int kUnacknowledgedMs = 3000;
+constexpr int kMaxUnacknowledgedMs = 3000;
 
-void Set(int aSocket, int aLevel, int aName, int aValue)
+void SetSocketOption(int aSocket, int aLevel, int aName, int aValue)
 {
   // Without the option the connection works as well; it only ends later if it goes silent.
   static_cast<void>(setsockopt(aSocket, aLevel, aName, &aValue, sizeof aValue));
@@ -28,11 +28,11 @@
 
 void SetKeepAlive(int aSocket)
 {
-  Set(aSocket, SOL_SOCKET, SO_KEEPALIVE, 1);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPIDLE, kIdleSeconds);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPINTVL, kIntervalSeconds);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
-  Set(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kUnacknowledgedMs);
+  SetSocketOption(aSocket, SOL_SOCKET, SO_KEEPALIVE, 1);
+  SetSocketOption(aSocket, IPPROTO_TCP, TCP_KEEPIDLE, kIdleSeconds);
+  SetSocketOption(aSocket, IPPROTO_TCP, TCP_KEEPINTVL, kProbeIntervalSeconds);
+  SetSocketOption(aSocket, IPPROTO_TCP, TCP_KEEPCNT, kMaxUnansweredProbes);
+  SetSocketOption(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kMaxUnacknowledgedMs);
 }
 
 } // namespace peridotquay
--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 // Most elements of one array in a frame. Bounds what the parser allocates for a claimed length.
-constexpr std::size_t kMaxElements = 65536;
+constexpr std::size_t kMaxArrayElements = 65536;
 
 // Fields of each type, in the order of the wire form. A is a visitor that takes all of them.
-template<typename A>
-void Fields(A& aVisit, Hello& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, Hello& aItem)
 {
   aVisit(aItem.protocol_, aItem.host_, aItem.incarnation_, aItem.dataCentre_);
 }
-template<typename A>
-void Fields(A& aVisit, Call& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, Call& aItem)
 {
   aVisit(aItem.callId_,
          aItem.service_,
@@ -37,13 +37,13 @@
          aItem.repeatable_,
          aItem.depth_);
 }
-template<typename A>
-void Fields(A& aVisit, AdmissionLevel& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, AdmissionLevel& aItem)
 {
   aVisit(aItem.minAdmittedImportance_, aItem.admittedFraction_);
 }
-template<typename A>
-void Fields(A& aVisit, Answer& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, Answer& aItem)
 {
   aVisit(aItem.callId_,
          aItem.outcome_,
@@ -60,43 +60,43 @@
          aItem.level_,
          aItem.failedPercent_);
 }
-template<typename A>
-void Fields(A& aVisit, Cancel& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, Cancel& aItem)
 {
   aVisit(aItem.callId_);
 }
-template<typename A>
-void Fields(A& aVisit, CallStatusQuery& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, CallStatusQuery& aItem)
 {
   aVisit(aItem.incarnation_, aItem.callId_);
 }
-template<typename A>
-void Fields(A& aVisit, CallStatusReply& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, CallStatusReply& aItem)
 {
   aVisit(aItem.callId_, aItem.callStatus_);
 }
-template<typename A>
-void Fields(A& aVisit, OwnerCall& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, OwnerCall& aItem)
 {
   aVisit(aItem.requestId_, aItem.call_);
 }
-template<typename A>
-void Fields(A& aVisit, Ping& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, Ping& aItem)
 {
   aVisit(aItem.nonce_);
 }
-template<typename A>
-void Fields(A& aVisit, Ack& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, Ack& aItem)
 {
   aVisit(aItem.nonce_);
 }
-template<typename A>
-void Fields(A& aVisit, Address& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, Address& aItem)
 {
   aVisit(aItem.ip_, aItem.port_);
 }
-template<typename A>
-void Fields(A& aVisit, MemberEntry& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, MemberEntry& aItem)
 {
   aVisit(aItem.host_,
          aItem.incarnation_,
@@ -110,33 +110,33 @@
          aItem.load_,
          aItem.successor_);
 }
-template<typename A>
-void Fields(A& aVisit, Probe& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, Probe& aItem)
 {
   aVisit(aItem.sequence_, aItem.sender_, aItem.updates_);
 }
-template<typename A>
-void Fields(A& aVisit, ProbeAck& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, ProbeAck& aItem)
 {
   aVisit(aItem.sequence_, aItem.sender_, aItem.updates_);
 }
-template<typename A>
-void Fields(A& aVisit, ProbeRequest& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, ProbeRequest& aItem)
 {
   aVisit(aItem.sequence_, aItem.sender_, aItem.subject_, aItem.subjectAddress_, aItem.updates_);
 }
-template<typename A>
-void Fields(A& aVisit, MemberTable& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, MemberTable& aItem)
 {
   aVisit(aItem.isRequest_, aItem.members_);
 }
-template<typename A>
-void Fields(A& aVisit, EntityEdit& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, EntityEdit& aItem)
 {
   aVisit(aItem.name_, aItem.json_);
 }
-template<typename A>
-void Fields(A& aVisit, Change& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, Change& aItem)
 {
   aVisit(aItem.version_,
          aItem.operatorName_,
@@ -145,14 +145,14 @@
          aItem.summary_,
          aItem.edits_);
 }
-template<typename A>
-void Fields(A& aVisit, SyncRequest& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, SyncRequest& aItem)
 {
   aVisit(
     aItem.nonce_, aItem.version_, aItem.minSubtreeVersion_, aItem.subtreeNodes_, aItem.lagging_);
 }
-template<typename A>
-void Fields(A& aVisit, SyncReply& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, SyncReply& aItem)
 {
   aVisit(aItem.nonce_,
          aItem.version_,
@@ -161,18 +161,18 @@
          aItem.snapshot_,
          aItem.outageAgeMs_);
 }
-template<typename A>
-void Fields(A& aVisit, VersionPush& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, VersionPush& aItem)
 {
   aVisit(aItem.root_, aItem.changes_);
 }
-template<typename A>
-void Fields(A& aVisit, ShareRequest& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, ShareRequest& aItem)
 {
   aVisit(aItem.nonce_, aItem.clientAccount_, aItem.grant_, aItem.used_, aItem.wanted_);
 }
-template<typename A>
-void Fields(A& aVisit, ShareGrant& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, ShareGrant& aItem)
 {
   aVisit(aItem.nonce_,
          aItem.clientAccount_,
@@ -181,68 +181,68 @@
          aItem.lifetimeMs_,
          aItem.retryAfterMs_);
 }
-template<typename A>
-void Fields(A& aVisit, AccountUse& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, AccountUse& aItem)
 {
   aVisit(aItem.account_, aItem.used_);
 }
-template<typename A>
-void Fields(A& aVisit, RateReport& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, RateReport& aItem)
 {
   aVisit(aItem.host_, aItem.incarnation_, aItem.sequence_, aItem.uses_);
 }
-template<typename A>
-void Fields(A& aVisit, RateReports& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, RateReports& aItem)
 {
   aVisit(aItem.sender_, aItem.reports_);
 }
-template<typename A>
-void Fields(A& aVisit, AccountLevel& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, AccountLevel& aItem)
 {
   aVisit(aItem.account_, aItem.tokens_);
 }
-template<typename A>
-void Fields(A& aVisit, RateLevels& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, RateLevels& aItem)
 {
   aVisit(aItem.incarnation_, aItem.sequence_, aItem.levels_);
 }
-template<typename A>
-void Fields(A& aVisit, RowVersions& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, RowVersions& aItem)
 {
   aVisit(aItem.config_, aItem.hosts_);
 }
-template<typename A>
-void Fields(A& aVisit, FeedQuestion& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, FeedQuestion& aItem)
 {
   aVisit(aItem.nonce_, aItem.held_);
 }
-template<typename A>
-void Fields(A& aVisit, FeedAnswer& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, FeedAnswer& aItem)
 {
   aVisit(aItem.nonce_, aItem.proofAgeMs_, aItem.answerAgeMs_, aItem.newest_);
 }
-template<typename A>
-void Fields(A& aVisit, FeedRow& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, FeedRow& aItem)
 {
   aVisit(aItem.key_, aItem.content_, aItem.version_);
 }
-template<typename A>
-void Fields(A& aVisit, FeedRows& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, FeedRows& aItem)
 {
   aVisit(aItem.table_, aItem.afterVersion_, aItem.version_, aItem.rows_);
 }
-template<typename A>
-void Fields(A& aVisit, DataCentreSummary& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, DataCentreSummary& aItem)
 {
   aVisit(aItem.dataCentre_, aItem.version_, aItem.ageMs_, aItem.platformReachable_, aItem.members_);
 }
-template<typename A>
-void Fields(A& aVisit, HandoverRecord& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, HandoverRecord& aItem)
 {
   aVisit(aItem.sequence_, aItem.ageMs_, aItem.done_, aItem.requestDigest_, aItem.answer_);
 }
-template<typename A>
-void Fields(A& aVisit, RequestHandover& aItem)
+template<typename Visitor>
+void VisitFields(Visitor& aVisit, RequestHandover& aItem)
 {
   aVisit(aItem.host_, aItem.incarnation_, aItem.secret_, aItem.records_, aItem.isLastBatch_);
 }
@@ -282,19 +282,20 @@
 
 // Largest value of each enum on the wire.
 template<typename T>
-constexpr std::uint64_t kEnumLast = 0;
+constexpr std::uint64_t kMaxEnumValue = 0;
 template<>
-constexpr std::uint64_t kEnumLast<Outcome> = static_cast<std::uint64_t>(Outcome::kUnknown);
+constexpr std::uint64_t kMaxEnumValue<Outcome> = static_cast<std::uint64_t>(Outcome::kUnknown);
 template<>
-constexpr std::uint64_t kEnumLast<Importance> = static_cast<std::uint64_t>(Importance::kLow);
+constexpr std::uint64_t kMaxEnumValue<Importance> = static_cast<std::uint64_t>(Importance::kLow);
 template<>
-constexpr std::uint64_t kEnumLast<CallStatus> = static_cast<std::uint64_t>(CallStatus::kForgotten);
+constexpr std::uint64_t kMaxEnumValue<CallStatus> =
+  static_cast<std::uint64_t>(CallStatus::kForgotten);
 template<>
-constexpr std::uint64_t kEnumLast<MemberState> = static_cast<std::uint64_t>(MemberState::kLeft);
+constexpr std::uint64_t kMaxEnumValue<MemberState> = static_cast<std::uint64_t>(MemberState::kLeft);
 template<>
-constexpr std::uint64_t kEnumLast<TargetState> = static_cast<std::uint64_t>(TargetState::kLeft);
+constexpr std::uint64_t kMaxEnumValue<TargetState> = static_cast<std::uint64_t>(TargetState::kLeft);
 template<>
-constexpr std::uint64_t kEnumLast<FeedTable> = static_cast<std::uint64_t>(FeedTable::kHosts);
+constexpr std::uint64_t kMaxEnumValue<FeedTable> = static_cast<std::uint64_t>(FeedTable::kHosts);
 
 // Output that msgpack::packer writes to.
 struct StringOutput
@@ -319,17 +320,17 @@
   void operator()(T&... aFields)
   {
     packer_.pack_array(sizeof...(T));
-    (Put(aFields), ...);
+    (Write(aFields), ...);
   }
 
   template<typename T>
-  void Put(T& aItem)
+  void Write(T& aItem)
   {
     if constexpr (std::is_same_v<T, std::string>) {
       packer_.pack_str(static_cast<std::uint32_t>(aItem.size()));
       packer_.pack_str_body(aItem.data(), static_cast<std::uint32_t>(aItem.size()));
     } else if constexpr (StringId<T>) {
-      Put(aItem.value_);
+      Write(aItem.value_);
     } else if constexpr (std::is_enum_v<T>) {
       packer_.pack(static_cast<std::uint64_t>(aItem));
     } else if constexpr (std::is_arithmetic_v<T>) {
@@ -337,18 +338,18 @@
     } else if constexpr (IsVector<T>::value) {
       packer_.pack_array(static_cast<std::uint32_t>(aItem.size()));
       for (auto& element : aItem) {
-        Put(element);
+        Write(element);
       }
     } else if constexpr (IsOptional<T>::value) {
       if (aItem) {
-        Put(*aItem);
+        Write(*aItem);
       } else {
         packer_.pack_nil();
       }
     } else if constexpr (IsPair<T>::value) {
       (*this)(aItem.first, aItem.second);
     } else {
-      Fields(*this, aItem);
+      VisitFields(*this, aItem);
     }
   }
 
@@ -356,7 +357,7 @@
   msgpack::packer<StringOutput> packer_;
 };
 
-// Reads fields from a parsed msgpack array. After the first mismatch good_ is false.
+// Reads fields from a parsed msgpack array. After the first mismatch valid_ is false.
 class Decoder
 {
 public:
@@ -365,23 +366,23 @@
   {
   }
 
-  bool good_ = true;
+  bool valid_ = true;
 
   template<typename... T>
   void operator()(T&... aFields)
   {
     if (object_.type != msgpack::type::ARRAY || object_.via.array.size != sizeof...(T)) {
-      good_ = false;
+      valid_ = false;
       return;
     }
     const msgpack::object* element = object_.via.array.ptr;
-    (Get(*element++, aFields), ...);
+    (Read(*element++, aFields), ...);
   }
 
   template<typename T>
-  void Get(const msgpack::object& aObject, T& aItem)
+  void Read(const msgpack::object& aObject, T& aItem)
   {
-    if (!good_) {
+    if (!valid_) {
       return;
     }
     if constexpr (std::is_same_v<T, std::string>) {
@@ -389,14 +390,14 @@
         aItem.assign(aObject.via.str.ptr, aObject.via.str.size);
       }
     } else if constexpr (StringId<T>) {
-      Get(aObject, aItem.value_);
+      Read(aObject, aItem.value_);
     } else if constexpr (std::is_same_v<T, bool>) {
       if (Check(aObject.type == msgpack::type::BOOLEAN)) {
         aItem = aObject.via.boolean;
       }
     } else if constexpr (std::is_enum_v<T>) {
       if (Check(aObject.type == msgpack::type::POSITIVE_INTEGER &&
-                aObject.via.u64 <= kEnumLast<T>)) {
+                aObject.via.u64 <= kMaxEnumValue<T>)) {
         aItem = static_cast<T>(aObject.via.u64);
       }
     } else if constexpr (std::is_integral_v<T>) {
@@ -416,38 +417,38 @@
     } else if constexpr (IsVector<T>::value) {
       if (Check(aObject.type == msgpack::type::ARRAY)) {
         aItem.resize(aObject.via.array.size);
-        for (std::size_t i = 0; i < aItem.size() && good_; ++i) {
-          Get(aObject.via.array.ptr[i], aItem[i]);
+        for (std::size_t i = 0; i < aItem.size() && valid_; ++i) {
+          Read(aObject.via.array.ptr[i], aItem[i]);
         }
       }
     } else if constexpr (IsOptional<T>::value) {
       if (aObject.type == msgpack::type::NIL) {
         aItem.reset();
       } else {
-        Get(aObject, aItem.emplace());
+        Read(aObject, aItem.emplace());
       }
     } else if constexpr (IsPair<T>::value) {
       Decoder inner(aObject);
       inner(aItem.first, aItem.second);
-      Check(inner.good_);
+      Check(inner.valid_);
     } else {
       Decoder inner(aObject);
-      Fields(inner, aItem);
-      Check(inner.good_);
+      VisitFields(inner, aItem);
+      Check(inner.valid_);
     }
   }
 
 private:
   bool Check(bool aCondition)
   {
-    good_ = good_ && aCondition;
-    return good_;
+    valid_ = valid_ && aCondition;
+    return valid_;
   }
 
   const msgpack::object& object_;
 };
 
-Result<PeerMessage> Malformed()
+Result<PeerMessage> MalformedMessage()
 {
   return Fail(ErrorCode::kFrameMalformed, "peer message");
 }
@@ -462,18 +463,20 @@
     }
     std::variant_alternative_t<I, PeerMessage> message;
     Decoder decoder(aFields);
-    Fields(decoder, message);
-    if (!decoder.good_) {
-      return Malformed();
+    VisitFields(decoder, message);
+    if (!decoder.valid_) {
+      return MalformedMessage();
     }
     return PeerMessage(std::move(message));
   } else {
-    return Malformed();
+    return MalformedMessage();
   }
 }
 
 // Strings stay in the body during parsing; they are copied once, into the message.
-bool ReferenceBody(msgpack::type::object_type /*aType*/, std::size_t /*aSize*/, void* /*aUser*/)
+bool ReferenceStringsInBody(msgpack::type::object_type /*aType*/,
+                            std::size_t /*aSize*/,
+                            void* /*aUser*/)
 {
   return true;
 }
@@ -488,7 +491,7 @@
     [&](const auto& aItem) {
       // Field lists serve both directions and take mutable references; encoding doesn't write.
       using Item = std::remove_cvref_t<decltype(aItem)>;
-      encoder.Put(const_cast<Item&>(aItem)); // NOLINT(cppcoreguidelines-pro-type-const-cast)
+      encoder.Write(const_cast<Item&>(aItem)); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     },
     aMessage);
 }
@@ -509,14 +512,14 @@
   }
   try {
     std::size_t offset = 0;
-    const msgpack::unpack_limit limit(kMaxElements, 0, kMaxFrameBytes, 0, 0, kMaxFrameNesting);
+    const msgpack::unpack_limit limit(kMaxArrayElements, 0, kMaxFrameBytes, 0, 0, kMaxFrameNesting);
     const msgpack::object_handle handle =
-      msgpack::unpack(aBody.data(), aBody.size(), offset, &ReferenceBody, nullptr, limit);
+      msgpack::unpack(aBody.data(), aBody.size(), offset, &ReferenceStringsInBody, nullptr, limit);
     const msgpack::object& object = handle.get();
     if (offset != aBody.size() || object.type != msgpack::type::ARRAY ||
         object.via.array.size != 2 ||
         object.via.array.ptr[0].type != msgpack::type::POSITIVE_INTEGER) {
-      return Malformed();
+      return MalformedMessage();
     }
     return DecodeAlternative(object.via.array.ptr[0].via.u64, object.via.array.ptr[1]);
   } catch (const msgpack::depth_size_overflow&) {
@@ -524,7 +527,7 @@
   } catch (const msgpack::size_overflow&) {
     return Fail(ErrorCode::kFrameTooLarge, "peer message", "at most 65536 elements");
   } catch (const std::exception&) {
-    return Malformed();
+    return MalformedMessage();
   }
 }
 
--- a/peridotquay/connection/PeerHub.cpp
+++ b/peridotquay/connection/PeerHub.cpp
@@ -19,12 +19,12 @@
 
 // After a failed connect, sends to that address fail at once for this long, so that a dead host
 // doesn't cost a connect for each call.
-constexpr Duration kReconnectPause = milliseconds(50);
+constexpr Duration kReconnectDelay = milliseconds(50);
 
 // Most connections, both ways; bounds descriptors and buffers.
 constexpr std::size_t kMaxLinks = 4096;
 
-struct AddressOrder
+struct AddressLess
 {
   bool operator()(const Address& aLeft, const Address& aRight) const
   {
@@ -36,7 +36,7 @@
 
 struct PeerHub::State : std::enable_shared_from_this<State>
 {
-  struct Outstanding
+  struct OutstandingCall
   {
     std::shared_ptr<PeerLink> link_;
   };
@@ -45,11 +45,11 @@
   PeerLinkSettings settings_;
   PeerHubEvents events_;
   tcp::acceptor acceptor_;
-  std::map<Address, std::shared_ptr<PeerLink>, AddressOrder> byAddress_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<PeerLink>> byNumber_;
-  std::unordered_map<std::uint64_t, Outstanding> calls_; ///< By call id.
-  std::map<Address, TimePoint, AddressOrder>
-    failed_; ///< Last failed connect of addresses without a link.
+  std::map<Address, std::shared_ptr<PeerLink>, AddressLess> linksByAddress_;
+  std::unordered_map<std::uint64_t, std::shared_ptr<PeerLink>> linksByNumber_;
+  std::unordered_map<std::uint64_t, OutstandingCall> outstandingCalls_; ///< By call id.
+  std::map<Address, TimePoint, AddressLess>
+    failedConnects_; ///< Last failed connect of addresses without a link.
 
   State(EventLoop& aLoop, const PeerLinkSettings& aSettings, PeerHubEvents aEvents)
     : loop_(aLoop)
@@ -69,38 +69,40 @@
                                  std::move(aMessage));
       }
     };
-    events.onEnd_ = [weak = weak_from_this()](PeerLink& aLink, LinkEndReason aEnd) {
+    events.onEnd_ = [weak = weak_from_this()](PeerLink& aLink, LinkEndReason aReason) {
       if (const auto self = weak.lock()) {
-        self->OnEnd(aLink, aEnd);
+        self->OnEnd(aLink, aReason);
       }
     };
     return events;
   }
 
-  void OnEnd(PeerLink& aLink, LinkEndReason aEnd)
+  void OnEnd(PeerLink& aLink, LinkEndReason aReason)
   {
-    const auto entry = byAddress_.find(aLink.PeerAddress());
-    if (entry != byAddress_.end() && entry->second.get() == &aLink) {
-      byAddress_.erase(entry);
+    const auto entry = linksByAddress_.find(aLink.PeerAddress());
+    if (entry != linksByAddress_.end() && entry->second.get() == &aLink) {
+      linksByAddress_.erase(entry);
     }
-    byNumber_.erase(aLink.Number());
-    if (aEnd == LinkEndReason::kNotConnected) {
-      NoteFailed(aLink.PeerAddress());
+    linksByNumber_.erase(aLink.Number());
+    if (aReason == LinkEndReason::kNotConnected) {
+      RecordFailedConnect(aLink.PeerAddress());
     }
-    std::vector<LostCall> lost;
-    for (const auto& [callId, call] : calls_) {
+    std::vector<LostCall> lostCalls;
+    for (const auto& [callId, call] : outstandingCalls_) {
       if (call.link_.get() == &aLink) {
-        lost.push_back({ callId, aEnd != LinkEndReason::kNotConnected, aEnd, aLink.Peer() });
+        lostCalls.push_back(
+          { callId, aReason != LinkEndReason::kNotConnected, aReason, aLink.Peer() });
       }
     }
     // Lowest id first, so that the order doesn't depend on the hash table.
-    std::sort(lost.begin(), lost.end(), [](const LostCall& aLeft, const LostCall& aRight) {
-      return aLeft.callId_ < aRight.callId_;
-    });
-    for (const auto& call : lost) {
-      calls_.erase(call.callId_);
+    std::sort(
+      lostCalls.begin(), lostCalls.end(), [](const LostCall& aLeft, const LostCall& aRight) {
+        return aLeft.callId_ < aRight.callId_;
+      });
+    for (const auto& call : lostCalls) {
+      outstandingCalls_.erase(call.callId_);
     }
-    for (const auto& call : lost) {
+    for (const auto& call : lostCalls) {
       events_.onCallLost_(call);
     }
     if (events_.onLinkEnded_) {
@@ -108,29 +110,29 @@
     }
   }
 
-  void NoteFailed(const Address& aAddress)
+  void RecordFailedConnect(const Address& aAddress)
   {
     const TimePoint now = loop_.Now();
-    std::erase_if(failed_,
-                  [&](const auto& aEntry) { return now - aEntry.second > kReconnectPause; });
-    failed_[aAddress] = now;
+    std::erase_if(failedConnects_,
+                  [&](const auto& aEntry) { return now - aEntry.second > kReconnectDelay; });
+    failedConnects_[aAddress] = now;
   }
 
   // The link to an address; null if a connect has just failed or there are too many.
-  std::shared_ptr<PeerLink> LinkTo(const Address& aPeer)
+  std::shared_ptr<PeerLink> FindOrOpenLink(const Address& aPeer)
   {
-    const auto entry = byAddress_.find(aPeer);
-    if (entry != byAddress_.end()) {
+    const auto entry = linksByAddress_.find(aPeer);
+    if (entry != linksByAddress_.end()) {
       return entry->second;
     }
-    const auto failure = failed_.find(aPeer);
-    if ((failure != failed_.end() && loop_.Now() - failure->second < kReconnectPause) ||
-        byNumber_.size() >= kMaxLinks) {
+    const auto failure = failedConnects_.find(aPeer);
+    if ((failure != failedConnects_.end() && loop_.Now() - failure->second < kReconnectDelay) ||
+        linksByNumber_.size() >= kMaxLinks) {
       return nullptr;
     }
     auto link = PeerLink::Connect(loop_, settings_, aPeer, LinkEvents());
-    byAddress_.emplace(aPeer, link);
-    byNumber_.emplace(link->Number(), link);
+    linksByAddress_.emplace(aPeer, link);
+    linksByNumber_.emplace(link->Number(), link);
     return link;
   }
 
@@ -144,8 +146,8 @@
         }
         if (aError) {
           self->loop_.After(milliseconds(20), [weak] {
-            if (const auto again = weak.lock()) {
-              again->Accept();
+            if (const auto owner = weak.lock()) {
+              owner->Accept();
             }
           });
           return;
@@ -159,7 +161,7 @@
   {
     error_code error;
     const auto remote = aSocket.remote_endpoint(error);
-    if (error || byNumber_.size() >= kMaxLinks) {
+    if (error || linksByNumber_.size() >= kMaxLinks) {
       return;
     }
     const Address peer{ remote.address().to_string(), remote.port() };
@@ -168,8 +170,8 @@
       return;
     }
     auto link = PeerLink::Adopt(loop_, settings_, descriptor, peer, LinkEvents());
-    byAddress_[peer] = link;
-    byNumber_.emplace(link->Number(), link);
+    linksByAddress_[peer] = link;
+    linksByNumber_.emplace(link->Number(), link);
   }
 };
 
@@ -182,7 +184,7 @@
 {
   error_code ignored;
   state_->acceptor_.close(ignored);
-  for (const auto& [number, link] : state_->byNumber_) {
+  for (const auto& [number, link] : state_->linksByNumber_) {
     link->Close();
   }
 }
@@ -214,14 +216,14 @@
 
 void PeerHub::Send(const Address& aPeer, const PeerMessage& aMessage)
 {
-  if (const auto link = state_->LinkTo(aPeer)) {
+  if (const auto link = state_->FindOrOpenLink(aPeer)) {
     link->Send(aMessage);
   }
 }
 
 void PeerHub::SendCall(const Address& aPeer, std::uint64_t aCallId, const PeerMessage& aMessage)
 {
-  const auto link = state_->LinkTo(aPeer);
+  const auto link = state_->FindOrOpenLink(aPeer);
   if (!link || !link->Send(aMessage)) {
     state_->loop_.Post([weak = std::weak_ptr(state_), aCallId] {
       if (const auto state = weak.lock()) {
@@ -230,43 +232,43 @@
     });
     return;
   }
-  link->AddOutstanding();
-  state_->calls_[aCallId] = { link };
+  link->AddOutstandingCall();
+  state_->outstandingCalls_[aCallId] = { link };
 }
 
 bool PeerHub::EndCall(std::uint64_t aCallId)
 {
-  const auto entry = state_->calls_.find(aCallId);
-  if (entry == state_->calls_.end()) {
+  const auto entry = state_->outstandingCalls_.find(aCallId);
+  if (entry == state_->outstandingCalls_.end()) {
     return false;
   }
-  entry->second.link_->RemoveOutstanding();
-  state_->calls_.erase(entry);
+  entry->second.link_->RemoveOutstandingCall();
+  state_->outstandingCalls_.erase(entry);
   return true;
 }
 
 const Hello* PeerHub::PeerOfCall(std::uint64_t aCallId) const
 {
-  const auto entry = state_->calls_.find(aCallId);
-  return entry == state_->calls_.end() ? nullptr : &entry->second.link_->Peer();
+  const auto entry = state_->outstandingCalls_.find(aCallId);
+  return entry == state_->outstandingCalls_.end() ? nullptr : &entry->second.link_->Peer();
 }
 
 std::uint64_t PeerHub::LinkOfCall(std::uint64_t aCallId) const
 {
-  const auto entry = state_->calls_.find(aCallId);
-  return entry == state_->calls_.end() ? 0 : entry->second.link_->Number();
+  const auto entry = state_->outstandingCalls_.find(aCallId);
+  return entry == state_->outstandingCalls_.end() ? 0 : entry->second.link_->Number();
 }
 
 bool PeerHub::Reply(std::uint64_t aLink, const PeerMessage& aMessage)
 {
-  const auto entry = state_->byNumber_.find(aLink);
-  return entry != state_->byNumber_.end() && entry->second->Send(aMessage);
+  const auto entry = state_->linksByNumber_.find(aLink);
+  return entry != state_->linksByNumber_.end() && entry->second->Send(aMessage);
 }
 
 void PeerHub::CancelCall(std::uint64_t aCallId)
 {
-  const auto entry = state_->calls_.find(aCallId);
-  if (entry != state_->calls_.end()) {
+  const auto entry = state_->outstandingCalls_.find(aCallId);
+  if (entry != state_->outstandingCalls_.end()) {
     entry->second.link_->Send(Cancel{ aCallId });
     EndCall(aCallId);
   }
@@ -274,15 +276,15 @@
 
 bool PeerHub::IsFlushed() const
 {
-  return std::all_of(state_->byNumber_.begin(), state_->byNumber_.end(), [](const auto& aEntry) {
-    return aEntry.second->IsFlushed();
-  });
+  return std::all_of(state_->linksByNumber_.begin(),
+                     state_->linksByNumber_.end(),
+                     [](const auto& aEntry) { return aEntry.second->IsFlushed(); });
 }
 
 std::size_t PeerHub::OpenLinkCount() const
 {
-  return static_cast<std::size_t>(
-    std::count_if(state_->byNumber_.begin(), state_->byNumber_.end(), [](const auto& aEntry) {
+  return static_cast<std::size_t>(std::count_if(
+    state_->linksByNumber_.begin(), state_->linksByNumber_.end(), [](const auto& aEntry) {
       return aEntry.second->IsOpen();
     }));
 }
--- a/peridotquay/connection/PeerLink.cpp
+++ b/peridotquay/connection/PeerLink.cpp
@@ -28,7 +28,7 @@
 
 // A check that comes this much late means that this process was paused; the peer's bytes may wait
 // unread, so silence is counted anew.
-constexpr Duration kPauseSlack = milliseconds(100);
+constexpr Duration kMaxCheckDelay = milliseconds(100);
 
 class TcpPeerLink final
   : public PeerLink
@@ -85,7 +85,7 @@
     if (ended_) {
       return false;
     }
-    std::string& queue = open_ ? queued_ : beforeHello_;
+    std::string& queue = open_ ? queuedFrames_ : framesBeforeHello_;
     const std::string frame = FramePeerMessage(aMessage);
     if (frame.size() > kMaxFrameBytes + 4 ||
         queue.size() + frame.size() > settings_.maxQueuedBytes_) {
@@ -96,27 +96,27 @@
     return true;
   }
 
-  void AddOutstanding() override
+  void AddOutstandingCall() override
   {
-    if (outstanding_++ == 0) {
-      heard_ = loop_.Now();
-      if (!watching_) {
-        Watch();
+    if (outstandingCalls_++ == 0) {
+      silentSince_ = loop_.Now();
+      if (!silenceCheckScheduled_) {
+        ScheduleSilenceCheck();
       }
     }
   }
 
-  void RemoveOutstanding() override
+  void RemoveOutstandingCall() override
   {
-    if (outstanding_ > 0) {
-      --outstanding_;
+    if (outstandingCalls_ > 0) {
+      --outstandingCalls_;
     }
   }
 
   bool IsOpen() const override { return open_ && !ended_; }
   bool IsFlushed() const override
   {
-    return ended_ || (!writing_ && queued_.empty() && beforeHello_.empty());
+    return ended_ || (!writing_ && queuedFrames_.empty() && framesBeforeHello_.empty());
   }
   const Hello& Peer() const override { return peer_; }
   const Address& PeerAddress() const override { return peerAddress_; }
@@ -129,7 +129,7 @@
     }
     ended_ = true;
     loop_.CancelTimer(handshakeTimer_);
-    loop_.CancelTimer(watchTimer_);
+    loop_.CancelTimer(silenceTimer_);
     error_code ignored;
     socket_.close(ignored);
   }
@@ -155,12 +155,12 @@
     socket_.set_option(KeepAliveOption<TCP_KEEPINTVL>(10), ignored);
     socket_.set_option(KeepAliveOption<TCP_KEEPCNT>(3), ignored);
     connected_ = true;
-    queued_ = FramePeerMessage(settings_.ownHello_) + queued_;
+    queuedFrames_ = FramePeerMessage(settings_.ownHello_) + queuedFrames_;
     Write();
     Read();
   }
 
-  void End(LinkEndReason aEnd)
+  void End(LinkEndReason aReason)
   {
     if (ended_) {
       return;
@@ -170,23 +170,23 @@
     if (open_) {
       LogEvent(Event::kPeerDisconnected,
                { { "peer", peer_.host_.value_ },
-                 { "reason", aEnd == LinkEndReason::kSilent ? "silent" : "closed" } });
+                 { "reason", aReason == LinkEndReason::kSilent ? "silent" : "closed" } });
     }
     if (events_.onEnd_) {
-      events_.onEnd_(*this, open_ ? aEnd : LinkEndReason::kNotConnected);
+      events_.onEnd_(*this, open_ ? aReason : LinkEndReason::kNotConnected);
     }
   }
 
   void Write()
   {
-    if (writing_ || !connected_ || ended_ || queued_.empty()) {
+    if (writing_ || !connected_ || ended_ || queuedFrames_.empty()) {
       return;
     }
     writing_ = true;
-    output_.swap(queued_);
-    queued_.clear();
+    writeBuffer_.swap(queuedFrames_);
+    queuedFrames_.clear();
     boost::asio::async_write(socket_,
-                             boost::asio::buffer(output_),
+                             boost::asio::buffer(writeBuffer_),
                              [self = shared_from_this()](const error_code& aError, std::size_t) {
                                self->writing_ = false;
                                if (aError) {
@@ -200,7 +200,7 @@
   void Read()
   {
     socket_.async_read_some(
-      boost::asio::buffer(chunk_),
+      boost::asio::buffer(readBuffer_),
       [self = shared_from_this()](const error_code& aError, std::size_t aBytes) {
         if (self->ended_) {
           return;
@@ -209,8 +209,8 @@
           self->End(LinkEndReason::kClosed);
           return;
         }
-        self->heard_ = self->loop_.Now();
-        self->OnBytes(std::string_view(self->chunk_.data(), aBytes));
+        self->silentSince_ = self->loop_.Now();
+        self->OnBytes(std::string_view(self->readBuffer_.data(), aBytes));
         if (!self->ended_) {
           self->Read();
         }
@@ -275,8 +275,8 @@
     open_ = true;
     loop_.CancelTimer(handshakeTimer_);
     handshakeTimer_ = 0;
-    queued_ += beforeHello_;
-    beforeHello_.clear();
+    queuedFrames_ += framesBeforeHello_;
+    framesBeforeHello_.clear();
     LogEvent(Event::kPeerConnected, { { "peer", peer_.host_.value_ } });
     if (events_.onOpen_) {
       events_.onOpen_(*this);
@@ -284,38 +284,38 @@
     Write();
   }
 
-  void Watch()
+  void ScheduleSilenceCheck()
   {
-    watching_ = true;
-    const Duration step = settings_.pingAfter_ / 2;
-    const TimePoint due = loop_.Now() + step;
-    watchTimer_ = loop_.After(step, [weak = weak_from_this(), due] {
+    silenceCheckScheduled_ = true;
+    const Duration checkInterval = settings_.pingDelay_ / 2;
+    const TimePoint dueAt = loop_.Now() + checkInterval;
+    silenceTimer_ = loop_.After(checkInterval, [weak = weak_from_this(), dueAt] {
       if (const auto self = weak.lock()) {
-        self->CheckSilence(due);
+        self->CheckSilence(dueAt);
       }
     });
   }
 
-  void CheckSilence(TimePoint aDue)
+  void CheckSilence(TimePoint aDueAt)
   {
-    watching_ = false;
-    if (outstanding_ == 0 || ended_) {
+    silenceCheckScheduled_ = false;
+    if (outstandingCalls_ == 0 || ended_) {
       return;
     }
     const TimePoint now = loop_.Now();
-    if (now - aDue > kPauseSlack) {
-      heard_ = now;
+    if (now - aDueAt > kMaxCheckDelay) {
+      silentSince_ = now;
     }
-    const Duration silence = now - heard_;
-    if (silence >= settings_.suspectAfter_) {
+    const Duration silence = now - silentSince_;
+    if (silence >= settings_.silenceTimeout_) {
       LogEvent(Event::kPeerConnectionSilent, { { "peer", peer_.host_.value_ } });
       End(LinkEndReason::kSilent);
       return;
     }
-    if (silence >= settings_.pingAfter_) {
-      Send(Ping{ ++pings_ });
+    if (silence >= settings_.pingDelay_) {
+      Send(Ping{ ++lastPingNonce_ });
     }
-    Watch();
+    ScheduleSilenceCheck();
   }
 
   EventLoop& loop_;
@@ -326,19 +326,19 @@
   std::uint64_t number_ = 0;
   Hello peer_;
   FrameReader reader_;
-  std::array<char, kReadBytes> chunk_;
-  std::string beforeHello_; ///< Frames that wait for the peer's Hello.
-  std::string queued_;
-  std::string output_; ///< Bytes that are being written.
-  TimePoint heard_{};  ///< Last byte received, or when the first outstanding call was added.
-  std::uint64_t pings_ = 0;
+  std::array<char, kReadBytes> readBuffer_;
+  std::string framesBeforeHello_; ///< Frames that wait for the peer's Hello.
+  std::string queuedFrames_;
+  std::string writeBuffer_; ///< Bytes that are being written.
+  TimePoint silentSince_{}; ///< Last byte received, or when the first outstanding call was added.
+  std::uint64_t lastPingNonce_ = 0;
   std::uint64_t handshakeTimer_ = 0;
-  std::uint64_t watchTimer_ = 0;
-  std::size_t outstanding_ = 0;
+  std::uint64_t silenceTimer_ = 0;
+  std::size_t outstandingCalls_ = 0;
   bool connected_ = false;
   bool open_ = false;
   bool writing_ = false;
-  bool watching_ = false;
+  bool silenceCheckScheduled_ = false;
   bool ended_ = false;
 };
 
--- a/peridotquay/connection/PeerLink.h
+++ b/peridotquay/connection/PeerLink.h
@@ -17,8 +17,8 @@
 {
   Hello ownHello_;
   Duration connectTimeout_ = milliseconds(500); ///< From connect to the peer's Hello.
-  Duration pingAfter_ = milliseconds(250);      ///< Silence with calls outstanding before a ping.
-  Duration suspectAfter_ = milliseconds(500);   ///< Silence before the connection is given up.
+  Duration pingDelay_ = milliseconds(250);      ///< Silence with calls outstanding before a ping.
+  Duration silenceTimeout_ = milliseconds(500); ///< Silence before the connection is given up.
   std::size_t maxQueuedBytes_ = std::size_t{ 8 } << 20U; ///< Unsent bytes before frames are lost.
 };
 
@@ -27,7 +27,7 @@
 {
   kNotConnected, ///< The peer's Hello never came; no other frame was sent.
   kClosed,       ///< By the peer, by an error or by a bad frame.
-  kSilent        ///< Calls were outstanding and nothing arrived for suspectAfter_.
+  kSilent        ///< Calls were outstanding and nothing arrived for silenceTimeout_.
 };
 
 class PeerLink;
@@ -64,8 +64,8 @@
   /// Queues a frame. False if the link has ended or too many bytes wait.
   virtual bool Send(const PeerMessage& aMessage) = 0;
   /// Counts a call that waits for an answer; silence is judged while any does.
-  virtual void AddOutstanding() = 0;
-  virtual void RemoveOutstanding() = 0;
+  virtual void AddOutstandingCall() = 0;
+  virtual void RemoveOutstandingCall() = 0;
   /// The peer's Hello arrived.
   virtual bool IsOpen() const = 0;
   /// All queued bytes are with the system.
--- a/peridotquay/connection/TargetClient.cpp
+++ b/peridotquay/connection/TargetClient.cpp
@@ -27,7 +27,7 @@
 class TargetConnection;
 constexpr std::size_t kReadBytes = std::size_t{ 16 } * 1024;
 
-std::string RequestText(const HttpRequest& aRequest, const Address& aTarget)
+std::string SerializeRequest(const HttpRequest& aRequest, const Address& aTarget)
 {
   std::string text = aRequest.method_ + " " + aRequest.path_ + " HTTP/1.1\r\n";
   if (!FindHeader(aRequest.headers_, "Host")) {
@@ -55,9 +55,9 @@
 {
   EventLoop& loop_;
   TargetClientSettings settings_;
-  std::vector<std::shared_ptr<TargetConnection>> idle_; ///< The most recently used last.
-  std::map<std::uint64_t, std::shared_ptr<TargetConnection>> busy_; ///< By request.
-  std::uint64_t next_ = 1;
+  std::vector<std::shared_ptr<TargetConnection>> idleConnections_; ///< The most recently used last.
+  std::map<std::uint64_t, std::shared_ptr<TargetConnection>> busyConnections_; ///< By request.
+  std::uint64_t nextRequest_ = 1;
 
   State(EventLoop& aLoop, const TargetClientSettings& aSettings)
     : loop_(aLoop)
@@ -79,26 +79,27 @@
   {
   }
 
-  void Begin(std::uint64_t aNumber, const HttpRequest& aRequest, TargetClient::Done aDone)
+  void StartRequest(std::uint64_t aNumber, const HttpRequest& aRequest, TargetClient::Done aDone)
   {
     const auto client = client_.lock();
-    number_ = aNumber;
-    done_ = std::move(aDone);
+    requestNumber_ = aNumber;
+    completionHandler_ = std::move(aDone);
     result_ = {};
-    sent_ = false;
-    written_ = false;
+    writeStarted_ = false;
+    fullyWritten_ = false;
     answerBegan_ = false;
     allowsCloseDelimited_ = client->settings_.allowsCloseDelimited_;
     echoHeader_ = client->settings_.echoHeader_;
-    echo_ = echoHeader_.empty() ? "" : FindHeader(aRequest.headers_, echoHeader_).value_or("");
+    expectedEcho_ =
+      echoHeader_.empty() ? "" : FindHeader(aRequest.headers_, echoHeader_).value_or("");
     idleTimeout_ = client->settings_.idleTimeout_;
-    output_ = RequestText(aRequest, client->settings_.target_);
+    writeBuffer_ = SerializeRequest(aRequest, client->settings_.target_);
     parser_.emplace();
     parser_->header_limit(static_cast<std::uint32_t>(client->settings_.maxHeaderBytes_));
     parser_->body_limit(client->settings_.maxBodyBytes_);
     parser_->eager(true);
-    head_ = aRequest.method_ == "HEAD";
-    parser_->skip(head_);
+    isHead_ = aRequest.method_ == "HEAD";
+    parser_->skip(isHead_);
     loop_.CancelTimer(timer_);
     timer_ = 0;
     if (open_) {
@@ -108,27 +109,27 @@
     Connect(client->settings_);
   }
 
-  // Closes without calling done_.
-  void Drop()
+  // Closes without calling completionHandler_.
+  void Close()
   {
     closed_ = true;
-    done_ = nullptr;
+    completionHandler_ = nullptr;
     loop_.CancelTimer(timer_);
     error_code ignored;
     socket_.close(ignored);
   }
 
-  bool Sent() const { return sent_; }
+  bool WriteStarted() const { return writeStarted_; }
 
   /// Time since the last answer; only of a kept connection.
-  Duration Rest() const { return loop_.Now() - restSince_; }
+  Duration IdleTime() const { return loop_.Now() - idleSince_; }
 
   void StartIdle(Duration aTimeout)
   {
-    restSince_ = loop_.Now();
+    idleSince_ = loop_.Now();
     timer_ = loop_.After(aTimeout, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
-        self->DropIdle();
+        self->CloseIdle();
       }
     });
     // Reading on notices when the target closes a kept connection.
@@ -140,7 +141,7 @@
   {
     error_code error;
     const auto ip = boost::asio::ip::make_address(aSettings.target_.ip_, error);
-    started_ = loop_.Now();
+    connectStartedAt_ = loop_.Now();
     timer_ = loop_.After(aSettings.connectTimeout_, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
         self->End(TargetRequestStatus::kNotSent);
@@ -158,7 +159,8 @@
                             self->loop_.CancelTimer(self->timer_);
                             self->timer_ = 0;
                             self->open_ = true;
-                            self->result_.connectTime_ = self->loop_.Now() - self->started_;
+                            self->result_.connectTime_ =
+                              self->loop_.Now() - self->connectStartedAt_;
                             error_code ignored;
                             self->socket_.set_option(tcp::no_delay(true), ignored);
                             SetKeepAlive(self->socket_.native_handle());
@@ -168,13 +170,13 @@
 
   void Write()
   {
-    sent_ = true;
+    writeStarted_ = true;
     boost::asio::async_write(socket_,
-                             boost::asio::buffer(output_),
+                             boost::asio::buffer(writeBuffer_),
                              [self = shared_from_this()](const error_code& aError, std::size_t) {
                                // A failed write also fails the read, which then ends the request;
                                // the target may have answered before it stopped reading.
-                               self->written_ = !aError;
+                               self->fullyWritten_ = !aError;
                              });
     Read();
   }
@@ -186,7 +188,7 @@
     }
     reading_ = true;
     socket_.async_read_some(
-      boost::asio::buffer(chunk_),
+      boost::asio::buffer(readBuffer_),
       [self = shared_from_this()](const error_code& aError, std::size_t aBytes) {
         self->reading_ = false;
         self->OnRead(aError, aBytes);
@@ -198,9 +200,9 @@
     if (closed_) {
       return;
     }
-    if (!done_) {
+    if (!completionHandler_) {
       // Bytes or an end on a kept connection: it can't be used again.
-      DropIdle();
+      CloseIdle();
       return;
     }
     if (aError == boost::asio::error::eof && allowsCloseDelimited_ && parser_->is_header_done() &&
@@ -208,7 +210,7 @@
       error_code error;
       parser_->put_eof(error);
       if (!error && parser_->is_done()) {
-        Finish();
+        FinishAnswer();
         return;
       }
     }
@@ -217,22 +219,22 @@
       return;
     }
     answerBegan_ = true;
-    input_.append(chunk_.data(), aBytes);
-    std::size_t used = 0;
+    unparsed_.append(readBuffer_.data(), aBytes);
+    std::size_t offset = 0;
     error_code error;
-    while (!parser_->is_done() && used < input_.size()) {
-      const std::size_t taken =
-        parser_->put(boost::asio::buffer(input_.data() + used, input_.size() - used), error);
-      used += taken;
+    while (!parser_->is_done() && offset < unparsed_.size()) {
+      const std::size_t parsed = parser_->put(
+        boost::asio::buffer(unparsed_.data() + offset, unparsed_.size() - offset), error);
+      offset += parsed;
       if (error == http::error::need_more) {
         error = {};
         break;
       }
-      if (error || taken == 0) {
+      if (error || parsed == 0) {
         break;
       }
     }
-    input_.erase(0, used);
+    unparsed_.erase(0, offset);
     if (error) {
       End(TargetRequestStatus::kTruncated);
       return;
@@ -241,31 +243,31 @@
       Read();
       return;
     }
-    if (IsOfEarlierRequest()) {
-      NextAnswer();
+    if (AnswersOtherRequest()) {
+      ParseNextAnswer();
       return;
     }
     // Interim answers (1xx) come before the one that counts.
     if (parser_->get().result_int() / 100 == 1 && parser_->get().result_int() != 101) {
-      NextAnswer();
+      ParseNextAnswer();
       return;
     }
-    Finish();
+    FinishAnswer();
   }
 
   // Whether the answer names another request than the one that waits.
-  bool IsOfEarlierRequest() const
+  bool AnswersOtherRequest() const
   {
-    if (echo_.empty()) {
+    if (expectedEcho_.empty()) {
       return false;
     }
     const auto field = parser_->get().find(echoHeader_);
     return field != parser_->get().end() &&
-           std::string_view(field->value().data(), field->value().size()) != echo_;
+           std::string_view(field->value().data(), field->value().size()) != expectedEcho_;
   }
 
   // The target says for how many whole seconds it keeps an unused connection.
-  void ReadKeepAlive()
+  void ReadKeepAliveTimeout()
   {
     constexpr std::string_view kName = "timeout=";
     const auto field = parser_->get().find(http::field::keep_alive);
@@ -273,19 +275,20 @@
       return;
     }
     const std::string_view text(field->value().data(), field->value().size());
-    const std::size_t place = text.find(kName);
-    if (place == std::string_view::npos) {
+    const std::size_t position = text.find(kName);
+    if (position == std::string_view::npos) {
       return;
     }
-    const std::string_view rest = text.substr(place + kName.size());
-    const auto stated = ParseNumber(rest.substr(0, rest.find_first_not_of("0123456789")), 3600);
-    if (stated) {
+    const std::string_view rest = text.substr(position + kName.size());
+    const auto statedSeconds =
+      ParseNumber(rest.substr(0, rest.find_first_not_of("0123456789")), 3600);
+    if (statedSeconds) {
       // A request that is sent as the target closes would be lost.
-      idleTimeout_ = std::min<Duration>(idleTimeout_, milliseconds(*stated * 700));
+      idleTimeout_ = std::min<Duration>(idleTimeout_, milliseconds(*statedSeconds * 700));
     }
   }
 
-  void NextAnswer()
+  void ParseNextAnswer()
   {
     const auto client = client_.lock();
     if (!client) {
@@ -295,25 +298,26 @@
     parser_->header_limit(static_cast<std::uint32_t>(client->settings_.maxHeaderBytes_));
     parser_->body_limit(client->settings_.maxBodyBytes_);
     parser_->eager(true);
-    parser_->skip(head_);
-    const std::string rest = std::move(input_);
-    input_.clear();
+    parser_->skip(isHead_);
+    const std::string rest = std::move(unparsed_);
+    unparsed_.clear();
     if (rest.empty()) {
       Read();
       return;
     }
-    const std::size_t bytes = std::min(rest.size(), chunk_.size());
-    std::copy_n(rest.begin(), bytes, chunk_.begin());
-    input_ = rest.substr(bytes);
+    const std::size_t bytes = std::min(rest.size(), readBuffer_.size());
+    std::copy_n(rest.begin(), bytes, readBuffer_.begin());
+    unparsed_ = rest.substr(bytes);
     OnRead({}, bytes);
   }
 
-  void Finish()
+  void FinishAnswer()
   {
     const auto length = parser_->content_length();
     // A request that isn't written whole would go on into the next one.
-    const bool keep = parser_->keep_alive() && !parser_->need_eof() && input_.empty() && written_;
-    ReadKeepAlive();
+    const bool keep =
+      parser_->keep_alive() && !parser_->need_eof() && unparsed_.empty() && fullyWritten_;
+    ReadKeepAliveTimeout();
     auto message = parser_->release();
     HttpResponse& response = result_.response_;
     response.status_ = static_cast<std::uint16_t>(message.result_int());
@@ -323,7 +327,7 @@
     RemoveHopByHopHeaders(response.headers_);
     RemoveHeader(response.headers_, "Content-Length");
     response.body_ = std::move(message.body());
-    if (head_ || response.status_ == 304) {
+    if (isHead_ || response.status_ == 304) {
       response.declaredLength_ = length ? std::optional<std::uint64_t>(*length) : std::nullopt;
     }
     open_ = keep;
@@ -331,59 +335,59 @@
   }
 
   // Ends the request and keeps the connection if it is still good.
-  void End(TargetRequestStatus aEnd)
+  void End(TargetRequestStatus aStatus)
   {
     const auto client = client_.lock();
-    auto done = std::move(done_);
-    done_ = nullptr;
+    auto done = std::move(completionHandler_);
+    completionHandler_ = nullptr;
     const auto self = shared_from_this();
     if (client) {
-      client->busy_.erase(number_);
+      client->busyConnections_.erase(requestNumber_);
     }
-    result_.requestStatus_ = aEnd;
+    result_.requestStatus_ = aStatus;
     TargetResult result = std::move(result_);
-    if (aEnd == TargetRequestStatus::kAnswered && open_ && client) {
-      client->idle_.push_back(self);
+    if (aStatus == TargetRequestStatus::kAnswered && open_ && client) {
+      client->idleConnections_.push_back(self);
       StartIdle(idleTimeout_);
     } else {
-      Drop();
+      Close();
     }
     if (done) {
       done(std::move(result));
     }
   }
 
-  void DropIdle()
+  void CloseIdle()
   {
     if (const auto client = client_.lock()) {
-      std::erase(client->idle_, shared_from_this());
+      std::erase(client->idleConnections_, shared_from_this());
     }
-    Drop();
+    Close();
   }
 
   std::weak_ptr<TargetClient::State> client_;
   EventLoop& loop_;
   tcp::socket socket_;
-  std::array<char, kReadBytes> chunk_;
-  std::string input_;
-  std::string output_;
+  std::array<char, kReadBytes> readBuffer_;
+  std::string unparsed_;
+  std::string writeBuffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
-  TargetClient::Done done_; ///< Set while a request is under way.
+  TargetClient::Done completionHandler_; ///< Set while a request is under way.
   TargetResult result_;
-  TimePoint started_{};
-  TimePoint restSince_{};
-  std::uint64_t number_ = 0;
+  TimePoint connectStartedAt_{};
+  TimePoint idleSince_{};
+  std::uint64_t requestNumber_ = 0;
   std::uint64_t timer_ = 0;
   bool open_ = false;
-  bool sent_ = false;
-  bool written_ = false; ///< The whole request is with the system.
+  bool writeStarted_ = false;
+  bool fullyWritten_ = false; ///< The whole request is with the system.
   bool allowsCloseDelimited_ = false;
   std::string echoHeader_;
-  std::string echo_; ///< Value that the answer must repeat; empty for any.
+  std::string expectedEcho_; ///< Value that the answer must repeat; empty for any.
   Duration idleTimeout_{};
   bool answerBegan_ = false;
   bool reading_ = false;
-  bool head_ = false;
+  bool isHead_ = false;
   bool closed_ = false;
 };
 
@@ -396,30 +400,31 @@
 
 TargetClient::~TargetClient()
 {
-  for (const auto& connection : state_->idle_) {
-    connection->Drop();
+  for (const auto& connection : state_->idleConnections_) {
+    connection->Close();
   }
-  for (const auto& [number, connection] : state_->busy_) {
-    connection->Drop();
+  for (const auto& [number, connection] : state_->busyConnections_) {
+    connection->Close();
   }
-  state_->idle_.clear();
-  state_->busy_.clear();
+  state_->idleConnections_.clear();
+  state_->busyConnections_.clear();
 }
 
 std::uint64_t TargetClient::Send(const HttpRequest& aRequest, Done aDone, ConnectionReuse aReuse)
 {
-  const std::uint64_t number = state_->next_++;
+  const std::uint64_t number = state_->nextRequest_++;
   const TargetClientSettings& settings = state_->settings_;
-  auto& idle = state_->idle_;
+  auto& idle = state_->idleConnections_;
   std::shared_ptr<TargetConnection> connection;
   // The last one has rested the shortest.
-  if (!idle.empty() &&
-      (aReuse == ConnectionReuse::kAny || idle.back()->Rest() <= settings.longestRest_)) {
+  if (!idle.empty() && (aReuse == ConnectionReuse::kAny ||
+                        idle.back()->IdleTime() <= settings.recentlyUsedPeriod_)) {
     connection = idle.back();
     idle.pop_back();
-  } else if (state_->busy_.size() < settings.maxConnections_) {
-    if (!idle.empty() && state_->busy_.size() + idle.size() >= settings.maxConnections_) {
-      idle.front()->Drop();
+  } else if (state_->busyConnections_.size() < settings.maxConnections_) {
+    if (!idle.empty() &&
+        state_->busyConnections_.size() + idle.size() >= settings.maxConnections_) {
+      idle.front()->Close();
       idle.erase(idle.begin());
     }
     connection = std::make_shared<TargetConnection>(state_);
@@ -427,40 +432,40 @@
     state_->loop_.Post([done = std::move(aDone)] { done(TargetResult{}); });
     return number;
   }
-  state_->busy_.emplace(number, connection);
-  connection->Begin(number, aRequest, std::move(aDone));
+  state_->busyConnections_.emplace(number, connection);
+  connection->StartRequest(number, aRequest, std::move(aDone));
   return number;
 }
 
 bool TargetClient::Cancel(std::uint64_t aRequest)
 {
-  const auto entry = state_->busy_.find(aRequest);
-  if (entry == state_->busy_.end()) {
+  const auto entry = state_->busyConnections_.find(aRequest);
+  if (entry == state_->busyConnections_.end()) {
     return false;
   }
   const auto connection = entry->second;
-  state_->busy_.erase(entry);
-  const bool sent = connection->Sent();
-  connection->Drop();
-  return sent;
+  state_->busyConnections_.erase(entry);
+  const bool writeStarted = connection->WriteStarted();
+  connection->Close();
+  return writeStarted;
 }
 
 void TargetClient::DropIdle()
 {
-  for (const auto& connection : state_->idle_) {
-    connection->Drop();
+  for (const auto& connection : state_->idleConnections_) {
+    connection->Close();
   }
-  state_->idle_.clear();
+  state_->idleConnections_.clear();
 }
 
 std::size_t TargetClient::IdleConnectionCount() const
 {
-  return state_->idle_.size();
+  return state_->idleConnections_.size();
 }
 
 std::size_t TargetClient::ConnectionCount() const
 {
-  return state_->idle_.size() + state_->busy_.size();
+  return state_->idleConnections_.size() + state_->busyConnections_.size();
 }
 
 } // namespace peridotquay
--- a/peridotquay/connection/TargetClient.h
+++ b/peridotquay/connection/TargetClient.h
@@ -20,8 +20,8 @@
   std::size_t maxBodyBytes_ = std::size_t{ 768 } * 1024;
   std::size_t maxHeaderBytes_ = std::size_t{ 16 } * 1024;
   Duration connectTimeout_ = milliseconds(500);
-  Duration idleTimeout_ = seconds(30);       ///< An unused connection is closed after this.
-  Duration longestRest_ = milliseconds(200); ///< For requests with Reuse::kRecentlyUsed.
+  Duration idleTimeout_ = seconds(30);              ///< An unused connection is closed after this.
+  Duration recentlyUsedPeriod_ = milliseconds(200); ///< For requests with Reuse::kRecentlyUsed.
   /// Header that answers repeat from their request. An answer with another value is late, belongs
   /// to an earlier request and is dropped. Empty for none.
   std::string echoHeader_{};
@@ -50,8 +50,8 @@
 enum class ConnectionReuse : std::uint8_t
 {
   kAny,
-  /// Only one that was used within longestRest_. A target may have forgotten a connection that
-  /// rested, and a request that is reset on it can't be told from one that ran.
+  /// Only one that was used within recentlyUsedPeriod_. A target may have forgotten a connection
+  /// that rested, and a request that is reset on it can't be told from one that ran.
   kRecentlyUsed
 };
 
--- a/tests/connection/HttpFrontTest.cpp
+++ b/tests/connection/HttpFrontTest.cpp
@@ -21,16 +21,16 @@
   EventLoop loop_;
   std::unique_ptr<HttpFront> front_;
   std::thread thread_;
-  std::atomic<int> closed_{ 0 };
-  std::vector<std::shared_ptr<HttpExchange>> held_;
+  std::atomic<int> closedCount_{ 0 };
+  std::vector<std::shared_ptr<HttpExchange>> heldExchanges_;
 
   explicit EchoFront(HttpFrontSettings aSettings = {})
   {
     auto front =
       HttpFront::Listen(loop_, aSettings, [this](std::shared_ptr<HttpExchange> aExchange) {
         if (aExchange->request_.path_ == "/hold") {
-          aExchange->onClosed_ = [this] { ++closed_; };
-          held_.push_back(std::move(aExchange));
+          aExchange->onClosed_ = [this] { ++closedCount_; };
+          heldExchanges_.push_back(std::move(aExchange));
           return;
         }
         // Trailers must not count as headers.
@@ -178,12 +178,12 @@
     RawSocket socket(front.front_->Port());
     socket.Write("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
     std::this_thread::sleep_for(milliseconds(30));
-    CHECK(front.closed_ == 0);
+    CHECK(front.closedCount_ == 0);
   }
-  for (int i = 0; i < 100 && front.closed_ == 0; ++i) {
+  for (int i = 0; i < 100 && front.closedCount_ == 0; ++i) {
     std::this_thread::sleep_for(milliseconds(5));
   }
-  CHECK(front.closed_ == 1);
+  CHECK(front.closedCount_ == 1);
 }
 
 // Guards against a cut answer that is passed on as whole, and against a false "not sent".
@@ -258,13 +258,13 @@
     bool reset_;
     TargetRequestStatus requestStatus_;
   };
-  const std::string right = "HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 2\r\n\r\nok";
-  const std::string late = "HTTP/1.1 200 OK\r\nX-Id: 6\r\nContent-Length: 3\r\n\r\nold";
+  const std::string matching = "HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 2\r\n\r\nok";
+  const std::string earlier = "HTTP/1.1 200 OK\r\nX-Id: 6\r\nContent-Length: 3\r\n\r\nold";
   const std::string unframed = "HTTP/1.1 200 OK\r\nX-Id: 7\r\n\r\nok";
   const std::vector<Script> scripts = {
-    { "right", right, false, TargetRequestStatus::kAnswered },
-    { "late one first", late + right, false, TargetRequestStatus::kAnswered },
-    { "late one only", late, false, TargetRequestStatus::kTruncated },
+    { "right", matching, false, TargetRequestStatus::kAnswered },
+    { "late one first", earlier + matching, false, TargetRequestStatus::kAnswered },
+    { "late one only", earlier, false, TargetRequestStatus::kTruncated },
     { "unframed", unframed, false, TargetRequestStatus::kAnswered },
     { "unframed, reset", unframed, true, TargetRequestStatus::kTruncated }
   };
@@ -335,7 +335,7 @@
   CHECK(send(ConnectionReuse::kRecentlyUsed).requestStatus_ == TargetRequestStatus::kAnswered);
   // At once, the connection is used again.
   CHECK(send(ConnectionReuse::kRecentlyUsed).connectTime_ == Duration::zero());
-  loop.After(settings.longestRest_ + milliseconds(50), [&] { loop.Stop(); });
+  loop.After(settings.recentlyUsedPeriod_ + milliseconds(50), [&] { loop.Stop(); });
   loop.Run();
   const TargetResult rested = send(ConnectionReuse::kRecentlyUsed);
   CHECK(rested.requestStatus_ == TargetRequestStatus::kAnswered);
--- a/tests/connection/PeerHubTest.cpp
+++ b/tests/connection/PeerHubTest.cpp
@@ -18,15 +18,15 @@
 namespace {
 
 // A hub that records what happens to it.
-struct Peer
+struct RecordingHub
 {
   std::vector<std::pair<PeerSource, PeerMessage>> messages_;
-  std::vector<LostCall> lost_;
-  std::vector<std::uint64_t> ended_;
+  std::vector<LostCall> lostCalls_;
+  std::vector<std::uint64_t> endedLinks_;
   std::unique_ptr<PeerHub> hub_;
   Address address_{ "127.0.0.1", 0 };
 
-  Peer(EventLoop& aLoop, const std::string& aHost, Incarnation aIncarnation = 1)
+  RecordingHub(EventLoop& aLoop, const std::string& aHost, Incarnation aIncarnation = 1)
   {
     PeerLinkSettings settings;
     settings.ownHello_ = { kPeerProtocolVersion, { aHost }, aIncarnation, { "dc1" } };
@@ -34,8 +34,8 @@
     events.onMessage_ = [this](const PeerSource& aSource, PeerMessage aMessage) {
       messages_.emplace_back(aSource, std::move(aMessage));
     };
-    events.onCallLost_ = [this](const LostCall& aCall) { lost_.push_back(aCall); };
-    events.onLinkEnded_ = [this](std::uint64_t aLink) { ended_.push_back(aLink); };
+    events.onCallLost_ = [this](const LostCall& aCall) { lostCalls_.push_back(aCall); };
+    events.onLinkEnded_ = [this](std::uint64_t aLink) { endedLinks_.push_back(aLink); };
     hub_ = std::make_unique<PeerHub>(aLoop, settings, std::move(events));
     const auto port = hub_->Listen(address_);
     REQUIRE(port.has_value());
@@ -70,8 +70,8 @@
 TEST_CASE("frames sent before the connection is open arrive in order", "[peer]")
 {
   EventLoop loop;
-  Peer left(loop, "left");
-  Peer right(loop, "right", 7);
+  RecordingHub left(loop, "left");
+  RecordingHub right(loop, "right", 7);
   for (std::uint64_t i = 1; i <= 20; ++i) {
     left.hub_->SendCall(right.address_, i, Cancel{ i });
   }
@@ -94,24 +94,24 @@
 TEST_CASE("a lost call says whether it was sent", "[peer]")
 {
   EventLoop loop;
-  Peer left(loop, "left");
-  std::uint16_t dead = 0;
+  RecordingHub left(loop, "left");
+  std::uint16_t closedPort = 0;
   {
     RawListener listener;
-    dead = listener.Port();
+    closedPort = listener.Port();
   }
-  left.hub_->SendCall({ "127.0.0.1", dead }, 1, Cancel{ 1 });
-  REQUIRE(RunUntil(loop, [&] { return left.lost_.size() == 1; }));
-  CHECK_FALSE(left.lost_[0].sent_);
+  left.hub_->SendCall({ "127.0.0.1", closedPort }, 1, Cancel{ 1 });
+  REQUIRE(RunUntil(loop, [&] { return left.lostCalls_.size() == 1; }));
+  CHECK_FALSE(left.lostCalls_[0].sent_);
 
-  auto right = std::make_unique<Peer>(loop, "right");
+  auto right = std::make_unique<RecordingHub>(loop, "right");
   left.hub_->SendCall(right->address_, 2, Cancel{ 2 });
   REQUIRE(RunUntil(loop, [&] { return right->messages_.size() == 1; }));
   right.reset();
-  REQUIRE(RunUntil(loop, [&] { return left.lost_.size() == 2; }));
-  CHECK(left.lost_[1].callId_ == 2);
-  CHECK(left.lost_[1].sent_);
-  CHECK(left.lost_[1].peer_.host_.value_ == "right");
+  REQUIRE(RunUntil(loop, [&] { return left.lostCalls_.size() == 2; }));
+  CHECK(left.lostCalls_[1].callId_ == 2);
+  CHECK(left.lostCalls_[1].sent_);
+  CHECK(left.lostCalls_[1].peer_.host_.value_ == "right");
 }
 
 // Guards against a peer that accepts connections and then never says Hello: nothing may count as
@@ -119,11 +119,11 @@
 TEST_CASE("a peer without Hello gets no calls", "[peer]")
 {
   EventLoop loop;
-  Peer left(loop, "left");
+  RecordingHub left(loop, "left");
   RawListener listener;
   left.hub_->SendCall({ "127.0.0.1", listener.Port() }, 1, Cancel{ 1 });
-  REQUIRE(RunUntil(loop, [&] { return left.lost_.size() == 1; }));
-  CHECK_FALSE(left.lost_[0].sent_);
+  REQUIRE(RunUntil(loop, [&] { return left.lostCalls_.size() == 1; }));
+  CHECK_FALSE(left.lostCalls_[0].sent_);
   RawSocket socket = listener.Accept();
   const std::string hello =
     FramePeerMessage(Hello{ kPeerProtocolVersion, { "left" }, 1, { "dc1" } });
@@ -134,7 +134,7 @@
 TEST_CASE("a silent connection is pinged and given up; an idle one is left alone", "[peer]")
 {
   EventLoop loop;
-  Peer left(loop, "left");
+  RecordingHub left(loop, "left");
   RawListener listener;
   std::string received;
   std::thread silent([&] {
@@ -144,22 +144,22 @@
   });
   const TimePoint start = Clock::now();
   left.hub_->SendCall({ "127.0.0.1", listener.Port() }, 1, Cancel{ 1 });
-  REQUIRE(RunUntil(loop, [&] { return left.lost_.size() == 1; }));
-  const Duration took = Clock::now() - start;
+  REQUIRE(RunUntil(loop, [&] { return left.lostCalls_.size() == 1; }));
+  const Duration elapsed = Clock::now() - start;
   silent.join();
-  CHECK(left.lost_[0].reason_ == LinkEndReason::kSilent);
-  CHECK(left.lost_[0].sent_);
-  CHECK(took >= milliseconds(500));
-  CHECK(took < milliseconds(800));
+  CHECK(left.lostCalls_[0].reason_ == LinkEndReason::kSilent);
+  CHECK(left.lostCalls_[0].sent_);
+  CHECK(elapsed >= milliseconds(500));
+  CHECK(elapsed < milliseconds(800));
   CHECK(received.find(FramePeerMessage(Ping{ 1 })) != std::string::npos);
 
-  Peer right(loop, "right");
+  RecordingHub right(loop, "right");
   left.hub_->SendCall(right.address_, 2, Cancel{ 2 });
   REQUIRE(RunUntil(loop, [&] { return right.messages_.size() == 1; }));
   // The peer answers pings, so a call may take longer than the limit of silence.
-  const TimePoint later = Clock::now() + milliseconds(900);
-  REQUIRE(RunUntil(loop, [&] { return Clock::now() > later; }));
-  CHECK(left.lost_.size() == 1);
+  const TimePoint endOfWait = Clock::now() + milliseconds(900);
+  REQUIRE(RunUntil(loop, [&] { return Clock::now() > endOfWait; }));
+  CHECK(left.lostCalls_.size() == 1);
   CHECK(left.hub_->EndCall(2));
 }
 
@@ -167,25 +167,27 @@
 TEST_CASE("bad peers are disconnected and others go on", "[peer]")
 {
   EventLoop loop;
-  Peer left(loop, "left");
-  Peer right(loop, "right");
-  std::thread bad([&] {
-    const std::vector<std::string> firsts = { FramePeerMessage(Hello{ 99, { "x" }, 1, { "dc1" } }),
-                                              FramePeerMessage(Ping{ 1 }),
-                                              "GET / HTTP/1.1\r\n\r\n",
-                                              std::string("\x00\x00\x00\x01\xc1", 5),
-                                              FramePeerMessage(Hello{ 1, { "x" }, 1, { "dc1" } }) +
-                                                FramePeerMessage(
-                                                  Hello{ 1, { "y" }, 1, { "dc1" } }) };
-    for (const auto& first : firsts) {
+  RecordingHub left(loop, "left");
+  RecordingHub right(loop, "right");
+  std::thread badClients([&] {
+    const std::vector<std::string> firstBytes = {
+      FramePeerMessage(Hello{ 99, { "x" }, 1, { "dc1" } }),
+      FramePeerMessage(Ping{ 1 }),
+      "GET / HTTP/1.1\r\n\r\n",
+      std::string("\x00\x00\x00\x01\xc1", 5),
+      FramePeerMessage(Hello{ 1, { "x" }, 1, { "dc1" } }) +
+        FramePeerMessage(Hello{ 1, { "y" }, 1, { "dc1" } })
+    };
+    for (const auto& bytes : firstBytes) {
       RawSocket socket(right.address_.port_);
-      socket.Write(first);
+      socket.Write(bytes);
       socket.ReadToEnd();
     }
   });
   left.hub_->Send(right.address_, Cancel{ 1 });
-  REQUIRE(RunUntil(loop, [&] { return right.messages_.size() == 1 && right.ended_.size() == 5; }));
-  bad.join();
+  REQUIRE(
+    RunUntil(loop, [&] { return right.messages_.size() == 1 && right.endedLinks_.size() == 5; }));
+  badClients.join();
   left.hub_->Send(right.address_, Cancel{ 2 });
   REQUIRE(RunUntil(loop, [&] { return right.messages_.size() == 2; }));
 }
--- a/tests/connection/RawSocket.h
+++ b/tests/connection/RawSocket.h
@@ -35,13 +35,13 @@
     if (::connect(descriptor_, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
       throw std::runtime_error("connect failed");
     }
-    LimitReads();
+    SetReadTimeout();
   }
   static RawSocket Adopt(int aDescriptor)
   {
     RawSocket socket;
     socket.descriptor_ = aDescriptor;
-    socket.LimitReads();
+    socket.SetReadTimeout();
     return socket;
   }
   RawSocket(RawSocket&& aOther) noexcept
@@ -73,52 +73,52 @@
   }
 
   /// Bytes up to and with the mark, or up to the end.
-  std::string ReadUntil(std::string_view aMark)
+  std::string ReadUntil(std::string_view aDelimiter)
   {
     while (true) {
-      const auto found = buffer_.find(aMark);
+      const auto found = buffer_.find(aDelimiter);
       if (found != std::string::npos) {
-        return TakeFront(found + aMark.size());
+        return RemoveFront(found + aDelimiter.size());
       }
-      if (!Fill()) {
-        return TakeFront(buffer_.size());
+      if (!Receive()) {
+        return RemoveFront(buffer_.size());
       }
     }
   }
   std::string ReadBytes(std::size_t aCount)
   {
-    while (buffer_.size() < aCount && Fill()) {
+    while (buffer_.size() < aCount && Receive()) {
     }
-    return TakeFront(std::min(aCount, buffer_.size()));
+    return RemoveFront(std::min(aCount, buffer_.size()));
   }
   std::string ReadToEnd()
   {
-    while (Fill()) {
+    while (Receive()) {
     }
-    return TakeFront(buffer_.size());
+    return RemoveFront(buffer_.size());
   }
 
 private:
   RawSocket() = default;
-  void LimitReads()
+  void SetReadTimeout()
   {
     const timeval limit{ 5, 0 };
     ::setsockopt(descriptor_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
   }
-  std::string TakeFront(std::size_t aCount)
+  std::string RemoveFront(std::size_t aCount)
   {
     std::string front = buffer_.substr(0, aCount);
     buffer_.erase(0, aCount);
     return front;
   }
-  bool Fill()
+  bool Receive()
   {
     char bytes[16384];
-    const auto got = ::recv(descriptor_, bytes, sizeof(bytes), 0);
-    if (got <= 0) {
+    const auto received = ::recv(descriptor_, bytes, sizeof(bytes), 0);
+    if (received <= 0) {
       return false;
     }
-    buffer_.append(bytes, static_cast<std::size_t>(got));
+    buffer_.append(bytes, static_cast<std::size_t>(received));
     return true;
   }
 
