--- a/peridotquay/connection/FrameReader.cpp
+++ b/peridotquay/connection/FrameReader.cpp
@@ -1,4 +1,4 @@
-// Splits a byte stream into frames.
+// Implementation of FrameReader.
 #include "peridotquay/connection/FrameReader.h"
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -23,10 +23,10 @@
     length = (length << 8U) | static_cast<unsigned char>(rest[i]);
   }
   if (length > kMaxFrameBytes) {
-    return Fail(ErrorCode::kFrameTooLarge, "frame", "at most 1048576 bytes");
+    return Fail(ErrorCode::kFrameTooLarge, "frame", "maximum 1048576 bytes");
   }
   if (length == 0) {
-    return Fail(ErrorCode::kFrameMalformed, "frame", "at least 1 byte");
+    return Fail(ErrorCode::kFrameMalformed, "frame", "minimum 1 byte");
   }
   if (rest.size() - 4 < length) {
     return std::optional<std::string_view>();
--- a/peridotquay/connection/FrameReader.h
+++ b/peridotquay/connection/FrameReader.h
@@ -1,4 +1,4 @@
-// Splits a byte stream into frames: a 4-byte big-endian length and a body.
+// Splits a byte stream into frames. A frame is a 4-byte big-endian body length and the body.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -10,19 +10,21 @@
 
 namespace peridotquay {
 
-/// Collects bytes of one connection. Holds at most one incomplete frame plus what was added last.
+/// Buffers the received bytes of one connection: at most one incomplete frame and the bytes of the
+/// last Add.
 class FrameReader
 {
 public:
-  /// Appends received bytes. Invalidates views that Next returned.
+  /// Appends received bytes. Invalidates the views that Next returned.
   void Add(std::string_view aBytes);
-  /// Body of the next whole frame, or none if more bytes are needed. The view is valid until Add.
-  /// Errors: kFrameTooLarge for a length above kMaxFrameBytes, kFrameMalformed for length 0.
+  /// Returns the body of the next complete frame, or none if more bytes are needed. The view is
+  /// valid until Add is called. Errors: kFrameTooLarge for a length above kMaxFrameBytes,
+  /// kFrameMalformed for length 0.
   Result<std::optional<std::string_view>> Next();
 
 private:
   std::string buffer_;
-  std::size_t consumed_ = 0; ///< Bytes at the front of buffer_ that were returned already.
+  std::size_t consumed_ = 0; ///< Bytes at the front of buffer_ that Next has returned.
 };
 
 } // namespace peridotquay
--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -1,4 +1,5 @@
-// msgpack form of peer messages. Each message type lists its fields once, for both directions.
+// Encodes and decodes peer messages with msgpack. One VisitFields function for each type lists its
+// fields for both directions.
 #include "peridotquay/connection/PeerCodec.h"
 
 #include <cmath>
@@ -11,10 +12,11 @@
 
 namespace {
 
-// Most elements of one array in a frame. Bounds what the parser allocates for a claimed length.
+// Maximum number of elements of one array in a frame. Bounds what the parser allocates for the
+// length in an array header.
 constexpr std::size_t kMaxArrayElements = 65536;
 
-// Fields of each type, in the order of the wire form. A is a visitor that takes all of them.
+// VisitFields passes all fields of a type to the visitor (Encoder or Decoder) in wire order.
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, Hello& aItem)
 {
@@ -247,6 +249,7 @@
   aVisit(aItem.host_, aItem.incarnation_, aItem.secret_, aItem.records_, aItem.isLastBatch_);
 }
 
+// Id types, which wrap a string in value_ and are encoded as that string.
 template<typename T>
 concept StringId = requires(T aItem)
 {
@@ -280,7 +283,7 @@
 {
 };
 
-// Largest value of each enum on the wire.
+// Maximum value of each enum on the wire. The decoder rejects larger ones.
 template<typename T>
 constexpr std::uint64_t kMaxEnumValue = 0;
 template<>
@@ -297,17 +300,18 @@
 template<>
 constexpr std::uint64_t kMaxEnumValue<FeedTable> = static_cast<std::uint64_t>(FeedTable::kHosts);
 
-// Output that msgpack::packer writes to.
+// Output stream for msgpack::packer.
 struct StringOutput
 {
   std::string text_;
-  // The name is given by msgpack's stream concept.
+  // msgpack's stream concept requires this name.
   void write(const char* aData, std::size_t aSize) // NOLINT(readability-identifier-naming)
   {
     text_.append(aData, aSize);
   }
 };
 
+// Writes fields as a msgpack array.
 class Encoder
 {
 public:
@@ -357,7 +361,8 @@
   msgpack::packer<StringOutput> packer_;
 };
 
-// Reads fields from a parsed msgpack array. After the first mismatch valid_ is false.
+// Reads fields from a parsed msgpack array. valid_ turns false at the first value that has the
+// wrong type or is out of range; the rest is then skipped.
 class Decoder
 {
 public:
@@ -406,7 +411,7 @@
         aItem = static_cast<T>(aObject.via.u64);
       }
     } else if constexpr (std::is_floating_point_v<T>) {
-      // The packer writes whole numbers as integers.
+      // The packer writes floating-point numbers without fraction as integers.
       if (aObject.type == msgpack::type::POSITIVE_INTEGER) {
         aItem = static_cast<T>(aObject.via.u64);
       } else if (aObject.type == msgpack::type::NEGATIVE_INTEGER) {
@@ -453,7 +458,7 @@
   return Fail(ErrorCode::kFrameMalformed, "peer message");
 }
 
-// Decodes the fields as the alternative with the given number.
+// Decodes the fields of the PeerMessage alternative that has the given index.
 template<std::size_t I = 0>
 Result<PeerMessage> DecodeAlternative(std::size_t aNumber, const msgpack::object& aFields)
 {
@@ -473,7 +478,8 @@
   }
 }
 
-// Strings stay in the body during parsing; they are copied once, into the message.
+// Tells the parser to refer to strings in the body, so that they are copied only once, into the
+// message.
 bool ReferenceStringsInBody(msgpack::type::object_type /*aType*/,
                             std::size_t /*aSize*/,
                             void* /*aUser*/)
@@ -489,7 +495,8 @@
   Encoder encoder(aOutput);
   std::visit(
     [&](const auto& aItem) {
-      // Field lists serve both directions and take mutable references; encoding doesn't write.
+      // VisitFields takes mutable references because it also serves the decoder. The encoder only
+      // reads.
       using Item = std::remove_cvref_t<decltype(aItem)>;
       encoder.Write(const_cast<Item&>(aItem)); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     },
@@ -508,7 +515,7 @@
 Result<PeerMessage> DecodePeerMessage(std::string_view aBody)
 {
   if (aBody.size() > kMaxFrameBytes) {
-    return Fail(ErrorCode::kFrameTooLarge, "peer message", "at most 1048576 bytes");
+    return Fail(ErrorCode::kFrameTooLarge, "peer message", "maximum 1048576 bytes");
   }
   try {
     std::size_t offset = 0;
@@ -523,9 +530,9 @@
     }
     return DecodeAlternative(object.via.array.ptr[0].via.u64, object.via.array.ptr[1]);
   } catch (const msgpack::depth_size_overflow&) {
-    return Fail(ErrorCode::kFrameNesting, "peer message", "at most 8 levels");
+    return Fail(ErrorCode::kFrameNesting, "peer message", "maximum 8 nesting levels");
   } catch (const msgpack::size_overflow&) {
-    return Fail(ErrorCode::kFrameTooLarge, "peer message", "at most 65536 elements");
+    return Fail(ErrorCode::kFrameTooLarge, "peer message", "maximum 65536 array elements");
   } catch (const std::exception&) {
     return MalformedMessage();
   }
--- a/peridotquay/connection/PeerCodec.h
+++ b/peridotquay/connection/PeerCodec.h
@@ -1,5 +1,5 @@
-// Encodes and decodes peer messages as msgpack: an array of the message's number in PeerMessage and
-// its fields.
+// Encodes and decodes peer messages. A message is a msgpack array of two elements: its number (the
+// index in PeerMessage) and the array of its fields.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -10,14 +10,14 @@
 
 namespace peridotquay {
 
-/// Body of a frame or datagram, without the length prefix.
+/// Encodes a message as the body of a frame or datagram, without length prefix.
 std::string EncodePeerMessage(const PeerMessage& aMessage);
 
-/// Parses a body. Errors: kFrameMalformed, kFrameNesting, kFrameTooLarge. Never throws on hostile
-/// input.
+/// Decodes a body. Errors: kFrameMalformed, kFrameNesting, kFrameTooLarge. Malicious input causes
+/// an error, never an exception.
 Result<PeerMessage> DecodePeerMessage(std::string_view aBody);
 
-/// A body with its 4-byte big-endian length in front.
+/// Encodes a message as a frame: the 4-byte big-endian length of the body, then the body.
 std::string FramePeerMessage(const PeerMessage& aMessage);
 
 } // namespace peridotquay
--- a/peridotquay/connection/PeerHub.cpp
+++ b/peridotquay/connection/PeerHub.cpp
@@ -1,4 +1,4 @@
-// Connection table and outstanding calls.
+// Implementation of PeerHub: table of connections and of outstanding calls.
 #include "peridotquay/connection/PeerHub.h"
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,11 +17,11 @@
 
 namespace {
 
-// After a failed connect, sends to that address fail at once for this long, so that a dead host
-// doesn't cost a connect for each call.
+// After a failed connect, sends to that address fail immediately for this time, so that a dead host
+// doesn't cost one connect for each call.
 constexpr Duration kReconnectDelay = milliseconds(50);
 
-// Most connections, both ways; bounds descriptors and buffers.
+// Maximum number of connections, accepted and connected. Bounds file descriptors and buffers.
 constexpr std::size_t kMaxLinks = 4096;
 
 struct AddressLess
@@ -49,7 +49,7 @@
   std::unordered_map<std::uint64_t, std::shared_ptr<PeerLink>> linksByNumber_;
   std::unordered_map<std::uint64_t, OutstandingCall> outstandingCalls_; ///< By call id.
   std::map<Address, TimePoint, AddressLess>
-    failedConnects_; ///< Last failed connect of addresses without a link.
+    failedConnects_; ///< Time of the last failed connect to each address without a link.
 
   State(EventLoop& aLoop, const PeerLinkSettings& aSettings, PeerHubEvents aEvents)
     : loop_(aLoop)
@@ -94,7 +94,7 @@
           { callId, aReason != LinkEndReason::kNotConnected, aReason, aLink.Peer() });
       }
     }
-    // Lowest id first, so that the order doesn't depend on the hash table.
+    // Sorted by call id, so that the order of the callbacks doesn't depend on the hash table.
     std::sort(
       lostCalls.begin(), lostCalls.end(), [](const LostCall& aLeft, const LostCall& aRight) {
         return aLeft.callId_ < aRight.callId_;
@@ -118,7 +118,8 @@
     failedConnects_[aAddress] = now;
   }
 
-  // The link to an address; null if a connect has just failed or there are too many.
+  // Returns the link to an address. Null if the last connect failed within kReconnectDelay or there
+  // are already kMaxLinks links.
   std::shared_ptr<PeerLink> FindOrOpenLink(const Address& aPeer)
   {
     const auto entry = linksByAddress_.find(aPeer);
@@ -145,6 +146,7 @@
           return;
         }
         if (aError) {
+          // Without file descriptors left, accepting again immediately would loop.
           self->loop_.After(milliseconds(20), [weak] {
             if (const auto owner = weak.lock()) {
               owner->Accept();
@@ -195,7 +197,7 @@
   error_code error;
   const auto ip = boost::asio::ip::make_address(aAddress.ip_, error);
   if (error) {
-    return Fail(ErrorCode::kOutOfRange, text, "an IP number");
+    return Fail(ErrorCode::kOutOfRange, text, "IP address");
   }
   const tcp::endpoint endpoint(ip, aAddress.port_);
   auto& acceptor = state_->acceptor_;
--- a/peridotquay/connection/PeerHub.h
+++ b/peridotquay/connection/PeerHub.h
@@ -1,5 +1,5 @@
-// All peer connections of a node: listening, connecting on demand, and the calls that wait for
-// answers on them.
+// All peer connections of a node. Accepts connections, connects on demand and tracks the calls that
+// wait for answers.
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
@@ -13,23 +13,24 @@
 
 namespace peridotquay {
 
-/// Where a message came from.
+/// Origin of a received message.
 struct PeerSource
 {
-  std::uint64_t link_ = 0;
+  std::uint64_t link_ = 0; ///< Number of the link, for PeerHub::Reply.
   Hello hello_;
-  Address address_; ///< Sending to it uses the same connection while that is open.
+  Address address_; ///< PeerHub::Send to this address uses the same connection while it is open.
 };
 
-/// A call whose connection ended before the answer.
+/// A call whose connection ended before the answer arrived.
 struct LostCall
 {
   std::uint64_t callId_ = 0;
-  bool sent_ = false; ///< False: certainly no byte of it was sent.
+  bool sent_ = false; ///< False: no byte of it was sent. True: it may have been sent.
   LinkEndReason reason_ = LinkEndReason::kClosed;
-  Hello peer_; ///< Who the connection led to; host is empty if it never opened.
+  Hello peer_; ///< The peer's Hello; its host is empty if the connection never opened.
 };
 
+/// Callbacks of a PeerHub, called on the loop's thread.
 struct PeerHubEvents
 {
   std::function<void(const PeerSource&, PeerMessage)> onMessage_;
@@ -37,7 +38,7 @@
   std::function<void(std::uint64_t)> onLinkEnded_; ///< Number of the link.
 };
 
-/// Keeps one connection for each address that it sends to. Used on the loop's thread only.
+/// Keeps one connection to each address that it sends to. Used only on the loop's thread.
 class PeerHub
 {
 public:
@@ -46,26 +47,27 @@
   PeerHub& operator=(const PeerHub&) = delete;
   ~PeerHub();
 
-  /// Binds and accepts; returns the port. Errors: kAddressInUse.
+  /// Listens for connections and returns the bound port. Errors: kOutOfRange, kAddressInUse.
   Result<std::uint16_t> Listen(const Address& aAddress);
-  /// Sends a frame, connecting if needed. It is lost if the peer can't be reached.
+  /// Sends a message, connecting if needed. The message is lost if the peer is unreachable.
   void Send(const Address& aPeer, const PeerMessage& aMessage);
-  /// Sends a frame that will be answered. The id counts as outstanding on the connection until
-  /// EndCall; if the connection ends before, onCallLost_ is called, never from within SendCall.
+  /// Sends a message that expects an answer. The call is outstanding until EndCall or CancelCall.
+  /// If the connection ends earlier, onCallLost_ is called, but never from within SendCall.
   void SendCall(const Address& aPeer, std::uint64_t aCallId, const PeerMessage& aMessage);
-  /// The call is answered or given up. False if it wasn't outstanding.
+  /// Ends a call that was answered or abandoned. Returns false if it wasn't outstanding.
   bool EndCall(std::uint64_t aCallId);
-  /// The peer that an outstanding call went to; null if it isn't outstanding.
+  /// Hello of the peer that an outstanding call was sent to, or null if the call isn't outstanding.
   const Hello* PeerOfCall(std::uint64_t aCallId) const;
-  /// Number of the link that an outstanding call waits on; 0 if it isn't outstanding.
+  /// Number of the link that an outstanding call was sent on, or 0 if the call isn't outstanding.
   std::uint64_t LinkOfCall(std::uint64_t aCallId) const;
-  /// Sends a frame on the link that a message came by. False if that link has ended.
+  /// Sends a message on the link that another message arrived on (PeerSource::link_). Returns false
+  /// if that link has ended or its queue is full.
   bool Reply(std::uint64_t aLink, const PeerMessage& aMessage);
-  /// Sends a Cancel for an outstanding call and forgets it.
+  /// Sends a Cancel for an outstanding call and ends it.
   void CancelCall(std::uint64_t aCallId);
-  /// All queued frames are with the system.
+  /// True if all queued frames have been handed to the operating system.
   bool IsFlushed() const;
-  /// Open connections, both ways.
+  /// Number of open connections, accepted and connected.
   std::size_t OpenLinkCount() const;
 
   struct State;
--- a/peridotquay/connection/PeerLink.cpp
+++ b/peridotquay/connection/PeerLink.cpp
@@ -1,4 +1,4 @@
-// Peer connection on Boost.Asio: handshake, frames, silence detection.
+// Implementation of PeerLink on Boost.Asio: handshake, frames, silence detection.
 #include "peridotquay/connection/PeerLink.h"
 
 #include "peridotquay/connection/FrameReader.h"
@@ -21,13 +21,14 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
+// Size of the read buffer in bytes.
 constexpr std::size_t kReadBytes = std::size_t{ 16 } * 1024;
 
 template<int Name>
 using KeepAliveOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, Name>;
 
-// A check that comes this much late means that this process was paused; the peer's bytes may wait
-// unread, so silence is counted anew.
+// A silence check that runs later than this after it was due shows that this process was paused.
+// Bytes from the peer may then be waiting unread, so the silence period restarts.
 constexpr Duration kMaxCheckDelay = milliseconds(100);
 
 class TcpPeerLink final
@@ -148,8 +149,8 @@
   {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
-    // An accepted connection has no outstanding calls to judge silence by. Probes of the system
-    // close it about a minute after its peer vanished.
+    // An accepted connection has no outstanding calls, so silence doesn't end it. TCP keep-alive
+    // probes close it about one minute after its peer has vanished.
     socket_.set_option(boost::asio::socket_base::keep_alive(true), ignored);
     socket_.set_option(KeepAliveOption<TCP_KEEPIDLE>(30), ignored);
     socket_.set_option(KeepAliveOption<TCP_KEEPINTVL>(10), ignored);
@@ -263,7 +264,7 @@
   void OnHello(const Hello& aHello)
   {
     if (open_ || aHello.host_.value_.empty()) {
-      RejectFrame({ ErrorCode::kFrameMalformed, "Hello", "once, with a host", {} });
+      RejectFrame({ ErrorCode::kFrameMalformed, "Hello", "exactly one, with a host", {} });
       return;
     }
     if (aHello.protocol_ != kPeerProtocolVersion) {
@@ -327,10 +328,11 @@
   Hello peer_;
   FrameReader reader_;
   std::array<char, kReadBytes> readBuffer_;
-  std::string framesBeforeHello_; ///< Frames that wait for the peer's Hello.
-  std::string queuedFrames_;
-  std::string writeBuffer_; ///< Bytes that are being written.
-  TimePoint silentSince_{}; ///< Last byte received, or when the first outstanding call was added.
+  std::string framesBeforeHello_; ///< Frames that wait until the peer's Hello arrives.
+  std::string queuedFrames_;      ///< Frames that wait until writeBuffer_ is written.
+  std::string writeBuffer_;       ///< Bytes that are being written.
+  TimePoint silentSince_{}; ///< Time of the last byte received, of the first outstanding call or of
+                            ///< a late check.
   std::uint64_t lastPingNonce_ = 0;
   std::uint64_t handshakeTimer_ = 0;
   std::uint64_t silenceTimer_ = 0;
--- a/peridotquay/connection/PeerLink.h
+++ b/peridotquay/connection/PeerLink.h
@@ -13,44 +13,50 @@
 
 namespace peridotquay {
 
+/// Settings of all peer links of a node.
 struct PeerLinkSettings
 {
-  Hello ownHello_;
-  Duration connectTimeout_ = milliseconds(500); ///< From connect to the peer's Hello.
-  Duration pingDelay_ = milliseconds(250);      ///< Silence with calls outstanding before a ping.
-  Duration silenceTimeout_ = milliseconds(500); ///< Silence before the connection is given up.
-  std::size_t maxQueuedBytes_ = std::size_t{ 8 } << 20U; ///< Unsent bytes before frames are lost.
+  Hello ownHello_; ///< Sent as the first frame of each connection.
+  Duration connectTimeout_ =
+    milliseconds(500);                     ///< Limits connecting until the peer's Hello arrives.
+  Duration pingDelay_ = milliseconds(250); ///< Silence before a ping, while calls are outstanding.
+  Duration silenceTimeout_ =
+    milliseconds(500); ///< Silence before the connection is ended, while calls are outstanding.
+  std::size_t maxQueuedBytes_ = std::size_t{ 8 }
+                                << 20U; ///< Maximum unsent bytes. Send fails beyond.
 };
 
 /// Why a connection ended.
 enum class LinkEndReason : std::uint8_t
 {
-  kNotConnected, ///< The peer's Hello never came; no other frame was sent.
-  kClosed,       ///< By the peer, by an error or by a bad frame.
-  kSilent        ///< Calls were outstanding and nothing arrived for silenceTimeout_.
+  kNotConnected, ///< The peer's Hello never arrived. Only the own Hello may have been sent.
+  kClosed,       ///< Closed by the peer, by an error or because of an invalid frame.
+  kSilent        ///< Calls were outstanding and no byte arrived for silenceTimeout_.
 };
 
 class PeerLink;
 
-/// What a connection reports. All are called on the loop's thread.
+/// Callbacks of a PeerLink, called on the loop's thread.
 struct PeerLinkEvents
 {
-  std::function<void(PeerLink&)> onOpen_;                 ///< The peer's Hello arrived.
-  std::function<void(PeerLink&, PeerMessage)> onMessage_; ///< All but Hello, Ping and Ack.
-  std::function<void(PeerLink&, LinkEndReason)> onEnd_;   ///< Once, unless Close was called.
+  std::function<void(PeerLink&)> onOpen_; ///< The peer's Hello arrived.
+  std::function<void(PeerLink&, PeerMessage)>
+    onMessage_; ///< A message other than Hello, Ping and Ack arrived.
+  std::function<void(PeerLink&, LinkEndReason)>
+    onEnd_; ///< The link ended. Called once, or never after Close.
 };
 
-/// Sends Hello first. Frames sent before the peer's Hello arrived wait for it, so that nothing
-/// reaches a process of another protocol version.
+/// A connection with handshake and silence detection. Frames wait until the peer's Hello has
+/// arrived, so that a process with another protocol version receives none.
 class PeerLink
 {
 public:
-  /// Connects to a peer's address.
+  /// Starts connecting to a peer's address.
   static std::shared_ptr<PeerLink> Connect(EventLoop& aLoop,
                                            const PeerLinkSettings& aSettings,
                                            const Address& aPeer,
                                            PeerLinkEvents aEvents);
-  /// Takes over an accepted IPv4 or IPv6 socket.
+  /// Takes ownership of an accepted IPv4 or IPv6 socket.
   static std::shared_ptr<PeerLink> Adopt(EventLoop& aLoop,
                                          const PeerLinkSettings& aSettings,
                                          int aSocket,
@@ -61,22 +67,23 @@
   PeerLink& operator=(const PeerLink&) = delete;
   virtual ~PeerLink() = default;
 
-  /// Queues a frame. False if the link has ended or too many bytes wait.
+  /// Queues a message. Returns false if the link has ended, the message is too large or the queue
+  /// is full.
   virtual bool Send(const PeerMessage& aMessage) = 0;
-  /// Counts a call that waits for an answer; silence is judged while any does.
+  /// Counts a call that waits for an answer. Silence ends the link only while such calls exist.
   virtual void AddOutstandingCall() = 0;
   virtual void RemoveOutstandingCall() = 0;
-  /// The peer's Hello arrived.
+  /// True if the peer's Hello has arrived and the link hasn't ended.
   virtual bool IsOpen() const = 0;
-  /// All queued bytes are with the system.
+  /// True if all queued bytes have been handed to the operating system, or the link has ended.
   virtual bool IsFlushed() const = 0;
-  /// The peer's Hello; its host is empty before it arrived.
+  /// The peer's Hello. Its host is empty until the Hello arrives.
   virtual const Hello& Peer() const = 0;
-  /// Where the connection leads to, or came from.
+  /// Address that the link connects to or was accepted from.
   virtual const Address& PeerAddress() const = 0;
-  /// Number of the link in this process, never reused.
+  /// Number of the link, unique within this process.
   virtual std::uint64_t Number() const = 0;
-  /// Ends the connection without a report.
+  /// Ends the connection without calling onEnd_.
   virtual void Close() = 0;
 };
 
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -1,4 +1,5 @@
-// Messages between nodes. PeerCodec turns them into msgpack frames and datagrams and back.
+// Messages that nodes send each other. PeerCodec encodes them as msgpack for TCP frames and UDP
+// datagrams and decodes them. "Peer" means another node.
 #pragma once
 
 #include "peridotquay/request/Outcome.h"
@@ -14,18 +15,21 @@
 
 namespace peridotquay {
 
-/// Version of the node-to-node protocol; a Hello with another version ends the connection.
+/// Version of the node-to-node protocol. A node closes a connection whose Hello has another
+/// version.
 inline constexpr std::uint32_t kPeerProtocolVersion = 2;
 
-/// Largest frame body in bytes. Bounds the memory that a peer can claim.
+/// Maximum size of a frame body in bytes. Bounds the memory that a peer can make this node
+/// allocate.
 inline constexpr std::size_t kMaxFrameBytes = std::size_t{ 1 } << 20U;
 
-/// Deepest nesting of msgpack containers in a frame.
+/// Maximum nesting depth of msgpack containers in a frame.
 inline constexpr std::size_t kMaxFrameNesting = 8;
 
+/// HTTP headers, name and value, in the order received.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/// First frame of each connection, both ways.
+/// First frame that each side of a connection sends.
 struct Hello
 {
   std::uint32_t protocol_ = kPeerProtocolVersion;
@@ -35,10 +39,11 @@
   bool operator==(const Hello&) const = default;
 };
 
-/// A request for the target behind the receiving guard. Never holds a caller's key.
+/// A request for the target of the receiving node. The guard, the receiving
+/// node's part in front of the target, admits or refuses it. Never contains a caller's API key.
 struct Call
 {
-  std::uint64_t callId_ = 0; ///< Unique on the sending incarnation.
+  std::uint64_t callId_ = 0; ///< Unique within the incarnation of the sender.
   ServiceId service_;
   RouteId route_;
   std::string method_;
@@ -47,18 +52,21 @@
   std::string body_;
   ClientAccountId clientAccount_; ///< Empty on open routes.
   Importance importance_ = Importance::kNormal;
-  std::uint32_t deadlineMs_ = 0; ///< Time left when sent, in milliseconds.
-  std::uint32_t retries_ = 0;    ///< Retries lent to this call and all calls below it.
-  bool repeatable_ = true;
-  std::uint8_t depth_ = 0; ///< 0 for a caller's own request.
+  std::uint32_t deadlineMs_ = 0; ///< Time left until the deadline when sent.
+  std::uint32_t retries_ =
+    0;                     ///< Retry budget of this call and all calls below it in the call graph.
+  bool repeatable_ = true; ///< False: must run at most once.
+  std::uint8_t depth_ =
+    0; ///< Calls above this one in the call graph; 0 for a caller's own request.
   bool operator==(const Call&) const = default;
 };
 
-/// What a guard admits at present. Travels with each answer so that callers' hosts shed early.
+/// Which calls a guard currently admits. Sent with each answer, so that the hosts that send calls
+/// shed load before sending.
 struct AdmissionLevel
 {
-  Importance minAdmittedImportance_ = Importance::kLow;
-  double admittedFraction_ = 1.0; ///< Part of minAdmittedImportance_ that is admitted, 0 to 1.
+  Importance minAdmittedImportance_ = Importance::kLow; ///< Calls of lower importance are refused.
+  double admittedFraction_ = 1.0; ///< Fraction of calls of minAdmittedImportance_ admitted, 0 to 1.
   bool operator==(const AdmissionLevel&) const = default;
 };
 
@@ -67,47 +75,49 @@
 {
   std::uint64_t callId_ = 0;
   Outcome outcome_ = Outcome::kUnknown;
-  std::uint16_t error_ = 0; ///< ErrorCode if the call was refused or failed, else 0.
-  std::uint32_t retryAfterMs_ = 0;
-  std::uint16_t status_ = 0; ///< HTTP status of the target; 0 if there is none.
+  std::uint16_t error_ = 0;        ///< ErrorCode if the call was refused or failed, else 0.
+  std::uint32_t retryAfterMs_ = 0; ///< Suggested delay before a retry; 0 for none.
+  std::uint16_t status_ = 0;       ///< HTTP status from the target; 0 if it sent none.
   HeaderList headers_;
   std::string body_;
-  std::uint64_t declaredBodyBytes_ =
-    0; ///< Length of the body as the target declared it; must equal body_.size().
-  std::uint32_t retriesUnused_ = 0;
-  std::uint32_t inFlight_ = 0; ///< Calls running at the target.
-  std::uint32_t limit_ = 0;    ///< Present concurrency limit of the guard.
-  std::uint32_t queued_ = 0;
+  std::uint64_t declaredBodyBytes_ = 0; ///< Body length that the target declared. A different
+                                        ///< body_.size() means a truncated answer, except for HEAD.
+  std::uint32_t retriesUnused_ = 0;     ///< Part of Call::retries_ that was not used.
+  std::uint32_t inFlight_ = 0;          ///< Calls running at the target.
+  std::uint32_t limit_ = 0;             ///< Current concurrency limit of the guard.
+  std::uint32_t queued_ = 0;            ///< Calls queued at the guard.
   AdmissionLevel level_;
-  std::uint32_t failedPercent_ = 0; ///< Recent answers of the target that were failures.
+  std::uint32_t failedPercent_ =
+    0; ///< Percentage of the target's recent answers that were failures.
   bool operator==(const Answer&) const = default;
 };
 
-/// The sender no longer wants the answer.
+/// Cancels a call: the sender no longer needs the answer.
 struct Cancel
 {
   std::uint64_t callId_ = 0;
   bool operator==(const Cancel&) const = default;
 };
 
-/// Asks what became of a call whose connection fell silent.
+/// Queries the status of a call after its connection failed.
 struct CallStatusQuery
 {
-  Incarnation incarnation_ = 0; ///< Of the sender of the call.
+  Incarnation incarnation_ = 0; ///< Incarnation of the host that sent the call.
   std::uint64_t callId_ = 0;
   bool operator==(const CallStatusQuery&) const = default;
 };
 
-/// States of a call at the guard that was asked.
+/// Status of a call at the guard that received the query.
 enum class CallStatus : std::uint8_t
 {
-  kNeverArrived, ///< Not seen; the guard now refuses it for good.
+  kNeverArrived, ///< Not received. The guard refuses it if it arrives later.
   kRunning,
-  kDone,    ///< Its answer follows as an Answer.
-  kRefused, ///< Was refused before it started.
-  kForgotten
+  kDone,     ///< Finished. The guard sends its Answer after the reply.
+  kRefused,  ///< Refused before it started.
+  kForgotten ///< The guard can't tell: it keeps no record of the call or of its answer.
 };
 
+/// Reply to a CallStatusQuery.
 struct CallStatusReply
 {
   std::uint64_t callId_ = 0;
@@ -115,7 +125,8 @@
   bool operator==(const CallStatusReply&) const = default;
 };
 
-/// A caller's request with a request id that the receiving host issued. Answered with an Answer.
+/// A caller's request forwarded to the host that issued its request id and therefore owns the
+/// record of it. Answered with an Answer.
 struct OwnerCall
 {
   std::string requestId_;
@@ -123,46 +134,48 @@
   bool operator==(const OwnerCall&) const = default;
 };
 
+/// Checks that a silent connection still works. Answered with an Ack.
 struct Ping
 {
   std::uint64_t nonce_ = 0;
   bool operator==(const Ping&) const = default;
 };
 
+/// Answer to a Ping, with its nonce.
 struct Ack
 {
   std::uint64_t nonce_ = 0;
   bool operator==(const Ack&) const = default;
 };
 
-/// What members say of a member's life.
+/// Liveness of a member as the membership protocol sees it.
 enum class MemberState : std::uint8_t
 {
   kAlive,
   kSuspect,
-  kUnreachable, ///< Its whole data centre can't be reached.
+  kUnreachable, ///< Its whole data centre is unreachable.
   kDead,
-  kLeft
+  kLeft ///< Left on purpose.
 };
 
-/// One member as it travels in probes and tables.
+/// State of one member in probes, member tables and summaries.
 struct MemberEntry
 {
   HostId host_;
   Incarnation incarnation_ = 0;
   MemberState state_ = MemberState::kAlive;
-  Address peer_; ///< TCP for frames, UDP on the same port for probes.
+  Address peer_; ///< TCP for frames and UDP on the same port for datagrams.
   DataCentreId dataCentre_;
   RegionId region_;
   ServiceId service_;
   TargetState targetState_ = TargetState::kCold;
-  std::uint32_t slots_ = 0;
+  std::uint32_t slots_ = 0; ///< Calls that the target can run at once.
   double load_ = 0;
-  HostId successor_; ///< With kLeft: the host that took over the request records; may be empty.
+  HostId successor_; ///< If state_ is kLeft: host that took over its request records, or empty.
   bool operator==(const MemberEntry&) const = default;
 };
 
-/// Membership probe (datagram).
+/// Membership probe, sent as a datagram. updates_ spreads member changes by gossip.
 struct Probe
 {
   std::uint64_t sequence_ = 0;
@@ -171,6 +184,7 @@
   bool operator==(const Probe&) const = default;
 };
 
+/// Answer to a Probe, with its sequence number (datagram).
 struct ProbeAck
 {
   std::uint64_t sequence_ = 0;
@@ -179,102 +193,106 @@
   bool operator==(const ProbeAck&) const = default;
 };
 
-/// Asks another member to probe a member that did not answer (datagram).
+/// Asks another member to probe subject_, which did not answer a direct probe (datagram).
 struct ProbeRequest
 {
   std::uint64_t sequence_ = 0;
   MemberEntry sender_;
-  HostId subject_;
+  HostId subject_; ///< The member to probe.
   Address subjectAddress_;
   std::vector<MemberEntry> updates_;
   bool operator==(const ProbeRequest&) const = default;
 };
 
-/// A member table, or the request for one if empty.
+/// Member table, or a request for one. A request that lists members lists its sender first.
 struct MemberTable
 {
-  bool isRequest_ = false;
+  bool isRequest_ = false; ///< True: the receiver replies with its own table.
   std::vector<MemberEntry> members_;
   bool operator==(const MemberTable&) const = default;
 };
 
-/// One entity of the configuration put or removed, as canonical JSON text.
+/// Sets or removes one entity of the configuration.
 struct EntityEdit
 {
   std::string name_;                ///< For example "account/parish-7".
-  std::optional<std::string> json_; ///< Empty removes the entity.
+  std::optional<std::string> json_; ///< Canonical JSON text; none removes the entity.
   bool operator==(const EntityEdit&) const = default;
 };
 
-/// One version of the configuration: the edits from the version before. Also the audit record.
+/// One version of the configuration as edits to the version before it. Also serves as audit record.
 struct Change
 {
   Version version_ = 0;
   std::string operatorName_;
   std::string operationId_;
-  std::uint64_t wallMs_ = 0; ///< Operator's wall clock, milliseconds since 1970; for people only.
+  std::uint64_t wallMs_ =
+    0; ///< Operator's wall clock in milliseconds since 1970; informative only.
   std::string summary_;
   std::vector<EntityEdit> edits_;
   bool operator==(const Change&) const = default;
 };
 
-/// Asks the parent in the dissemination tree for news; sent once a second.
+/// Asks the parent in the dissemination tree for newer versions; sent once a second.
 struct SyncRequest
 {
   std::uint64_t nonce_ = 0;
   Version version_ = 0;
-  Version minSubtreeVersion_ = 0; ///< Least version in force in the sender's subtree.
+  Version minSubtreeVersion_ = 0; ///< Minimum version in force in the sender's subtree.
   std::uint32_t subtreeNodes_ =
-    0; ///< Nodes in the sender's subtree that it heard from, itself included.
-  std::vector<HostId> lagging_; ///< At most 8 hosts that hold back minSubtreeVersion_.
+    0; ///< Nodes in the sender's subtree that reported to it, itself included.
+  std::vector<HostId> lagging_; ///< At most 8 hosts that keep minSubtreeVersion_ from advancing.
   bool operator==(const SyncRequest&) const = default;
 };
 
+/// Reply to a SyncRequest.
 struct SyncReply
 {
   std::uint64_t nonce_ = 0;
   Version version_ = 0;
   std::uint64_t ageMs_ =
-    0; ///< Age of the proof that version_ was the latest, when this was sent. Max value: no proof.
+    0; ///< Age, when sent, of the proof that version_ was the latest. Max value: no proof.
   std::vector<Change> changes_;
   bool snapshot_ = false; ///< changes_ holds one Change that replaces all entities.
   std::uint64_t outageAgeMs_ =
-    ~std::uint64_t{ 0 }; ///< Age of the proof that the sender doesn't reach the platform: the start
-                         ///< of its last poll, which failed. Max value: no such proof.
+    ~std::uint64_t{ 0 }; ///< Age of the proof that the sender can't reach the platform: time since
+                         ///< the start of its last, failed poll. Max value: no proof.
   bool operator==(const SyncReply&) const = default;
 };
 
-/// News for a child in the dissemination tree.
+/// New versions for a child in the dissemination tree.
 struct VersionPush
 {
-  HostId root_;
+  HostId root_; ///< Root of the tree.
   std::vector<Change> changes_;
   bool operator==(const VersionPush&) const = default;
 };
 
-/// A host asks the share leader of its data centre for tokens.
+/// Requests rate limit tokens of a client account from the share leader of the sender's data
+/// centre.
 struct ShareRequest
 {
   std::uint64_t nonce_ = 0;
   ClientAccountId clientAccount_;
-  std::uint64_t grant_ = 0; ///< Earlier grant that used_ belongs to; 0 for none.
-  double used_ = 0;         ///< Tokens of that grant that were used; the rest is given back.
-  double wanted_ = 0;
+  std::uint64_t grant_ = 0; ///< Earlier grant that used_ refers to; 0 for none.
+  double used_ = 0;         ///< Tokens used of that grant. The rest is returned.
+  double wanted_ = 0;       ///< Tokens requested.
   bool operator==(const ShareRequest&) const = default;
 };
 
+/// Answer to a ShareRequest.
 struct ShareGrant
 {
   std::uint64_t nonce_ = 0;
   ClientAccountId clientAccount_;
-  std::uint64_t grant_ = 0;
+  std::uint64_t grant_ = 0; ///< Id of the grant.
   double tokens_ = 0;
-  std::uint32_t lifetimeMs_ = 0;   ///< Counted by the asker from before it asked.
-  std::uint32_t retryAfterMs_ = 0; ///< With no tokens: when some are expected.
+  std::uint32_t lifetimeMs_ = 0;   ///< Counted from just before the request was sent.
+  std::uint32_t retryAfterMs_ = 0; ///< If tokens_ is 0: delay until tokens are expected.
   bool operator==(const ShareGrant&) const = default;
 };
 
-/// Use of one account.
+/// A host's use of one account's rate limit.
 struct AccountUse
 {
   ClientAccountId account_;
@@ -282,25 +300,25 @@
   bool operator==(const AccountUse&) const = default;
 };
 
-/// What a host used of the accounts' limits.
+/// A host's use of the rate limits of all accounts.
 struct RateReport
 {
   HostId host_;
   Incarnation incarnation_ = 0;
-  std::uint64_t sequence_ = 0;   ///< Grows within an incarnation.
-  std::vector<AccountUse> uses_; ///< Accounts with use.
+  std::uint64_t sequence_ = 0;   ///< Increases within an incarnation.
+  std::vector<AccountUse> uses_; ///< Only accounts that were used.
   bool operator==(const RateReport&) const = default;
 };
 
 /// Reports of one or more hosts (datagram).
 struct RateReports
 {
-  HostId sender_; ///< The host that relays them, or the one that they are of.
+  HostId sender_; ///< Host that reports for itself or relays reports of others.
   std::vector<RateReport> reports_;
   bool operator==(const RateReports&) const = default;
 };
 
-/// Tokens of one account that all hosts together have left.
+/// Tokens of one account that all hosts together have left, as the sender estimates it.
 struct AccountLevel
 {
   ClientAccountId account_;
@@ -308,27 +326,28 @@
   bool operator==(const AccountLevel&) const = default;
 };
 
-/// What a host that has run for a while tells one that just started (datagram).
+/// Token levels for a host that has just started, from one that has run for longer (datagram).
 struct RateLevels
 {
-  Incarnation incarnation_ = 0; ///< Of the host that started.
-  std::uint64_t sequence_ = 0;  ///< Last report of it that the levels include.
+  Incarnation incarnation_ = 0; ///< Incarnation of the host that started.
+  std::uint64_t sequence_ = 0;  ///< Last report of that host included in the levels.
   std::vector<AccountLevel> levels_;
   bool operator==(const RateLevels&) const = default;
 };
 
-/// Newest rows of the platform's store that a host holds, by the store's versions.
+/// Versions of the newest rows of the platform's store that a host holds.
 struct RowVersions
 {
-  std::uint64_t config_ = 0; ///< Of the row with the configuration; 0: none.
-  std::uint64_t hosts_ = 0;  ///< Up to it, all rows of hosts are known.
+  std::uint64_t config_ = 0; ///< Version of the configuration row; 0 for none.
+  std::uint64_t hosts_ = 0;  ///< Version up to which all host rows are known.
   bool operator==(const RowVersions&) const = default;
 };
 
-/// Largest age of a proof that a FeedAnswer states; a larger one means that there is none.
+/// Maximum age of a proof in a FeedAnswer. A larger age means that there is no proof.
 inline constexpr std::uint64_t kMaxProofAgeMs = 60'000;
 
-/// Asks a host of the data centre for a proof of what the asker holds (datagram).
+/// Asks a host of the same data centre whether held_ is the newest content of the platform's store
+/// (datagram).
 struct FeedQuestion
 {
   std::uint64_t nonce_ = 0;
@@ -340,19 +359,21 @@
 struct FeedAnswer
 {
   std::uint64_t nonce_ = 0;
-  std::uint64_t proofAgeMs_ = 0;  ///< Time since newest_.config_ is known to have been the newest.
-  std::uint64_t answerAgeMs_ = 0; ///< Time since the store answered the host; it watches meanwhile.
-  RowVersions newest_;            ///< What the answering host holds.
+  std::uint64_t proofAgeMs_ = 0; ///< Time since newest_.config_ was last proved to be the newest.
+  std::uint64_t answerAgeMs_ =
+    0; ///< Time since the store last answered the sender, which watches the store meanwhile.
+  RowVersions newest_; ///< Versions that the sender holds.
   bool operator==(const FeedAnswer&) const = default;
 };
 
-/// Which rows a FeedRows holds.
+/// Kind of the rows in a FeedRows.
 enum class FeedTable : std::uint8_t
 {
   kConfig,
   kHosts
 };
 
+/// One row of the platform's store.
 struct FeedRow
 {
   std::string key_;
@@ -365,46 +386,49 @@
 struct FeedRows
 {
   FeedTable table_ = FeedTable::kConfig;
-  std::uint64_t afterVersion_ = 0; ///< rows_ are all that changed after this version of the store.
-  std::uint64_t version_ = 0;
+  std::uint64_t afterVersion_ = 0; ///< rows_ contains all rows changed after this store version.
+  std::uint64_t version_ = 0;      ///< Store version up to which rows_ is complete.
   std::vector<FeedRow> rows_;
   bool operator==(const FeedRows&) const = default;
 };
 
-/// What delegates of different data centres tell each other once a second.
+/// State of a data centre. Each data centre's delegate sends it to the delegates of the others once
+/// a second.
 struct DataCentreSummary
 {
   DataCentreId dataCentre_;
   Version version_ = 0;
-  std::uint64_t ageMs_ = 0;
+  std::uint64_t ageMs_ = 0; ///< Age of the proof that version_ was the latest.
   bool platformReachable_ = false;
   std::vector<MemberEntry>
-    members_; ///< Members that changed since the last summary, or all every 10 s.
+    members_; ///< Members changed since the last summary; every 10 s all members.
   bool operator==(const DataCentreSummary&) const = default;
 };
 
-/// One record of a request id in a handover.
+/// Record of one request id in a handover.
 struct HandoverRecord
 {
   std::uint64_t sequence_ = 0;
-  std::uint64_t ageMs_ = 0; ///< Time since the id was issued, when this was sent.
-  bool done_ = false;       ///< False: issued and never run.
+  std::uint64_t ageMs_ = 0; ///< Time since the id was issued, when sent.
+  bool done_ = false;       ///< False: the id was issued and its request never ran.
   std::string requestDigest_;
   std::optional<Answer> answer_;
   bool operator==(const HandoverRecord&) const = default;
 };
 
-/// Records of request ids, in batches, from a leaving host to its successor.
+/// Batch of request id records that a leaving host hands over to its successor.
 struct RequestHandover
 {
   HostId host_;
   Incarnation incarnation_ = 0;
-  std::string secret_; ///< Key of the MACs of the ids.
+  std::string secret_; ///< Key of the MAC in each request id.
   std::vector<HandoverRecord> records_;
-  bool isLastBatch_ = false; ///< After the last batch the successor may answer for the ids.
+  bool isLastBatch_ =
+    false; ///< After the last batch the successor may answer requests with these ids.
   bool operator==(const RequestHandover&) const = default;
 };
 
+/// Any peer message. The index of the alternative is its number on the wire.
 using PeerMessage = std::variant<Hello,
                                  Call,
                                  Answer,
