--- a/peridotquay/connection/Datagram.cpp
+++ b/peridotquay/connection/Datagram.cpp
@@ -1,4 +1,4 @@
-// UDP socket on Boost.Asio.
+// Implementation of Datagram on Boost.Asio.
 #include "peridotquay/connection/Datagram.h"
 
 #include "peridotquay/connection/PeerCodec.h"
@@ -39,7 +39,7 @@
         if (aError == boost::asio::error::operation_aborted || !self->socket_.is_open()) {
           return;
         }
-        // Other errors report an earlier datagram that found no receiver.
+        // Other errors mean that an earlier datagram was sent to a port without a receiver.
         if (!aError) {
           auto message = DecodePeerMessage(std::string_view(self->buffer_.data(), aBytes));
           if (message.has_error()) {
@@ -71,7 +71,7 @@
   error_code error;
   const auto ip = boost::asio::ip::make_address(aAddress.ip_, error);
   if (error) {
-    return Fail(ErrorCode::kOutOfRange, text, "an IP number");
+    return Fail(ErrorCode::kOutOfRange, text, "IP address");
   }
   const udp::endpoint endpoint(ip, aAddress.port_);
   state_->socket_.open(endpoint.protocol(), error);
--- a/peridotquay/connection/Datagram.h
+++ b/peridotquay/connection/Datagram.h
@@ -1,4 +1,4 @@
-// UDP socket for membership probes.
+// UDP socket for peer messages such as membership probes and rate reports.
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
@@ -11,11 +11,12 @@
 
 namespace peridotquay {
 
-/// Largest datagram. Larger ones don't pass all networks unfragmented, and loopback takes it whole.
+/// Maximum size of a datagram in bytes. Fits loopback in one packet; not all networks pass it
+/// unfragmented.
 inline constexpr std::size_t kMaxDatagramBytes = std::size_t{ 16 } * 1024;
 
-/// Sends and receives peer messages as datagrams. Bad datagrams are dropped and counted. Used on
-/// the loop's thread only.
+/// Sends and receives peer messages as datagrams. Drops and counts malformed datagrams. Used only
+/// on the loop's thread.
 class Datagram
 {
 public:
@@ -26,11 +27,12 @@
   Datagram& operator=(const Datagram&) = delete;
   ~Datagram();
 
-  /// Binds and receives; returns the port. Errors: kAddressInUse.
+  /// Starts receiving and returns the bound port. Errors: kOutOfRange, kAddressInUse.
   Result<std::uint16_t> Listen(const Address& aAddress);
-  /// Sends at once, or drops the message if it is too large or the system has no room.
+  /// Sends immediately, or drops the message if it is too large or the socket's send buffer is
+  /// full.
   void Send(const Address& aPeer, const PeerMessage& aMessage);
-  /// Datagrams that were dropped on receipt because they were malformed.
+  /// Number of received datagrams that were dropped as malformed.
   std::uint64_t DroppedDatagrams() const;
 
   struct State;
--- a/peridotquay/connection/EventLoop.cpp
+++ b/peridotquay/connection/EventLoop.cpp
@@ -1,4 +1,4 @@
-// Event loop on Boost.Asio with one system timer for all timers of the loop.
+// Implementation of EventLoop on Boost.Asio. One Asio timer serves all timers of the loop.
 #include "peridotquay/connection/EventLoop.h"
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -19,11 +19,12 @@
     context_.get_executor()
   };
   boost::asio::steady_timer systemTimer_{ context_ };
+  // Due time and number of a timer. The number keeps timers with equal due time apart and in order.
   using TimerKey = std::pair<TimePoint, std::uint64_t>;
   std::map<TimerKey, std::function<void()>> timers_;
-  std::unordered_map<std::uint64_t, TimePoint> dueTimes_; ///< Key time of each timer in timers_.
+  std::unordered_map<std::uint64_t, TimePoint> dueTimes_; ///< Due time of each timer, by number.
   std::uint64_t nextNumber_ = 1;
-  TimePoint armedFor_ = TimePoint::max(); ///< When systemTimer_ fires; max if it isn't armed.
+  TimePoint armedFor_ = TimePoint::max(); ///< When systemTimer_ fires; max if not armed.
 
   void ArmSystemTimer()
   {
@@ -43,7 +44,8 @@
   {
     armedFor_ = TimePoint::max();
     const TimePoint now = Clock::now();
-    // Functions may add timers; those due now run in the next round, so that sockets get a turn.
+    // Timers that the called functions add run in a later call, so that socket events are handled
+    // in between.
     std::uint64_t endNumber = nextNumber_;
     while (!timers_.empty() && timers_.begin()->first.first <= now) {
       auto earliest = timers_.begin();
--- a/peridotquay/connection/EventLoop.h
+++ b/peridotquay/connection/EventLoop.h
@@ -1,4 +1,4 @@
-// Event loop of the socket thread: timers, posted functions and the I/O context.
+// Event loop of the socket thread: timers, posted functions and the Boost.Asio context.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -13,7 +13,8 @@
 
 namespace peridotquay {
 
-/// Runs on one thread. All functions but Post and Stop are called on that thread, or before Run.
+/// Runs on one thread. All functions except Post and Stop must be called on that thread or before
+/// Run.
 class EventLoop
 {
 public:
@@ -27,11 +28,11 @@
   TimePoint Now() const;
   /// Calls the function after the delay. Returns a number for CancelTimer, never 0.
   std::uint64_t After(Duration aDelay, std::function<void()> aFunction);
-  /// Forgets a timer; no effect if it has fired or the number is 0.
+  /// Cancels a timer. No effect if it has fired or the number is 0.
   void CancelTimer(std::uint64_t aTimer);
   /// Calls the function on the loop's thread. May be called from any thread.
   void Post(std::function<void()> aFunction);
-  /// Serves events until Stop. Can be called again after that.
+  /// Runs the loop until Stop. Can be called again afterwards.
   void Run();
   /// Ends Run. May be called from any thread.
   void Stop();
--- a/peridotquay/connection/HttpFront.cpp
+++ b/peridotquay/connection/HttpFront.cpp
@@ -1,5 +1,6 @@
-// HTTP front on Boost.Beast's parser. The head of a request is checked as raw bytes before it is
-// parsed, because the parser folds lines and merges repeated headers.
+// Implementation of HttpFront on Boost.Asio and Boost.Beast's parser. The head of a request is
+// checked as raw bytes before it is parsed, because the parser joins folded lines and merges
+// repeated headers.
 #include "peridotquay/connection/HttpFront.h"
 
 #include "peridotquay/connection/KeepAlive.h"
@@ -26,7 +27,7 @@
 
 class Session;
 
-// Bytes read at once.
+// Size of the read buffer in bytes.
 constexpr std::size_t kReadBytes = std::size_t{ 16 } * 1024;
 
 std::string ToLower(std::string_view aText)
@@ -38,14 +39,16 @@
   return text;
 }
 
-// Headers that must not appear twice, because different readers would take different values.
+// True for headers that must not be repeated, because HTTP implementations differ in which value
+// they use.
 bool MustBeUnique(const std::string& aLowerName)
 {
   return aLowerName == "content-length" || aLowerName == "transfer-encoding" ||
          aLowerName == "host" || aLowerName == "expect" || aLowerName.starts_with("quay-");
 }
 
-// Checks a raw request head including its final empty line.
+// Checks a raw request head including its final empty line. Returns the error, or none if it is
+// valid.
 std::optional<ErrorCode> CheckHead(std::string_view aHead)
 {
   std::set<std::string> seen;
@@ -57,7 +60,7 @@
     }
     const std::string_view line = aHead.substr(0, end);
     aHead.remove_prefix(end + 2);
-    // A lone CR, LF or NUL ends a line for some readers and not for others.
+    // HTTP implementations differ in whether a single CR, LF or NUL ends a line.
     if (line.find_first_of(std::string_view("\r\n\0", 3)) != std::string_view::npos) {
       return ErrorCode::kMalformedRequest;
     }
@@ -66,7 +69,7 @@
       continue;
     }
     const std::size_t colon = line.find(':');
-    // A line that begins with a space continues the line before it; that form is obsolete.
+    // A line that begins with a space would continue the previous line (obsolete line folding).
     if (colon == std::string_view::npos || colon == 0 ||
         line.substr(0, colon).find_first_of(" \t") != std::string_view::npos) {
       return ErrorCode::kMalformedRequest;
@@ -75,7 +78,7 @@
     if (MustBeUnique(name) && !seen.insert(name).second) {
       return ErrorCode::kConflictingHeaders;
     }
-    // The parser also takes a list of equal lengths, which other readers refuse or misread.
+    // The parser accepts a list of equal lengths, which other implementations reject or misread.
     const std::size_t valueStart = std::min(line.find_first_not_of(" \t", colon + 1), line.size());
     if (name == "content-length" &&
         line.find_first_not_of("0123456789", valueStart) != std::string_view::npos) {
@@ -112,6 +115,7 @@
 
 namespace {
 
+// The exchange that a Session passes to the handler.
 class Exchange final : public HttpExchange
 {
 public:
@@ -126,6 +130,7 @@
   bool answered_ = false;
 };
 
+// One accepted connection.
 class Session final : public std::enable_shared_from_this<Session>
 {
 public:
@@ -141,7 +146,7 @@
     Read();
   }
 
-  // Ends the connection and tells the handler of a request that isn't answered yet.
+  // Closes the connection and calls onClosed_ of a request that has no answer yet.
   void Close()
   {
     if (closed_) {
@@ -203,6 +208,7 @@
       });
   }
 
+  // Answers an invalid request with an error and discards further input.
   void Reject(ErrorCode aCode)
   {
     ++front_.rejectedRequests_;
@@ -211,11 +217,12 @@
     Answer(ErrorResponse(aCode, Outcome::kNotRun, "request was not accepted"));
   }
 
-  std::shared_ptr<Exchange> exchange_; ///< The request that is being handled.
+  std::shared_ptr<Exchange> exchange_; ///< The request being handled; null if none.
 
 private:
   using Parser = http::request_parser<http::string_body>;
 
+  // After aTimeout, closes the connection or, if aRejectsRequest, rejects the request as too slow.
   void RestartTimer(Duration aTimeout, bool aRejectsRequest)
   {
     front_.loop_.CancelTimer(timer_);
@@ -234,8 +241,8 @@
 
   void Read()
   {
-    // While a request is handled, reading goes on to notice that the caller closed; requests sent
-    // ahead are kept up to one request's size.
+    // Reading continues while a request is handled, to detect that the caller closes the
+    // connection. Pipelined requests are buffered up to the maximum size of one request.
     if (reading_ || closed_ || unparsed_.size() > MaxInputBytes()) {
       return;
     }
@@ -259,7 +266,7 @@
       return;
     }
     if (aError) {
-      // An answer that is being written is still delivered if only the sending side was closed.
+      // If the caller closed only its sending side, the current answer can still be delivered.
       if (writing_ && aError == boost::asio::error::eof) {
         keepAlive_ = false;
         return;
@@ -282,7 +289,7 @@
       return;
     }
     if (!parser_) {
-      // Empty lines before a request line are ignored, as RFC 9112 asks for.
+      // Empty lines before a request line are ignored, as RFC 9112 recommends.
       const std::size_t start = std::min(unparsed_.find_first_not_of("\r\n"), unparsed_.size());
       unparsed_.erase(0, start);
       if (unparsed_.empty()) {
@@ -360,7 +367,8 @@
         SendContinue();
       }
     }
-    // Only the head counts: the parser adds trailers of a chunked body to the same list later.
+    // Headers are copied before the body is parsed, because the parser later adds the trailers of a
+    // chunked body to the same list.
     headers_.clear();
     for (const auto& field : message) {
       headers_.emplace_back(std::string(field.name_string()), std::string(field.value()));
@@ -371,7 +379,7 @@
 
   void SendContinue()
   {
-    // Nothing else is being written while a request arrives, so this can't interleave.
+    // No other write is running while a request arrives, so the bytes can't interleave.
     static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
     boost::asio::async_write(socket_,
                              boost::asio::buffer(kContinue.data(), kContinue.size()),
@@ -402,7 +410,7 @@
     if (parser_->is_done()) {
       Dispatch();
     } else if (unparsed_.size() > front_.settings_.maxHeaderBytes_) {
-      // The parser holds back an incomplete chunk header only.
+      // The parser leaves only an incomplete chunk header unparsed, and this one is too long.
       Reject(ErrorCode::kMalformedRequest);
     }
   }
@@ -439,8 +447,9 @@
       return;
     }
     if (!keepAlive_) {
-      // The sending side closes first and what still arrives is read away for a moment. A full
-      // close with unread input resets the connection, and the caller can lose the answer.
+      // Closes the sending side and discards input for a short time before closing the
+      // connection.
+      // Closing with unread input would reset the connection, and the caller could lose the answer.
       error_code ignored;
       socket_.shutdown(tcp::socket::shutdown_send, ignored);
       discardsInput_ = true;
@@ -459,15 +468,15 @@
   std::array<char, kReadBytes> readBuffer_;
   std::string unparsed_;
   std::string writeBuffer_;
-  std::optional<Parser> parser_; ///< Set while the body of a request arrives.
-  HeaderList headers_;           ///< Of the request whose body arrives.
+  std::optional<Parser> parser_; ///< Set while the body of a request is being received.
+  HeaderList headers_;           ///< Headers of the request in parser_.
   std::uint64_t timer_ = 0;
-  bool requestBegan_ = false; ///< The first byte of a request is here.
+  bool requestBegan_ = false; ///< The first byte of a request has arrived.
   bool reading_ = false;
   bool writing_ = false;
   bool keepAlive_ = true;
-  bool isHead_ = false;        ///< The request in hand has method HEAD.
-  bool discardsInput_ = false; ///< Further input is read and thrown away.
+  bool isHead_ = false;        ///< The current request has method HEAD.
+  bool discardsInput_ = false; ///< Further input is read and discarded.
   bool closed_ = false;
 };
 
@@ -491,7 +500,7 @@
         return;
       }
       if (aError) {
-        // Out of descriptors: accepting again at once would spin.
+        // Without file descriptors left, accepting again immediately would loop.
         state->loop_.After(milliseconds(20), [weak] {
           if (const auto owner = weak.lock()) {
             Accept(owner);
@@ -523,7 +532,7 @@
   error_code error;
   const auto ip = boost::asio::ip::make_address(aSettings.listen_.ip_, error);
   if (error) {
-    return Fail(ErrorCode::kOutOfRange, text, "an IP number");
+    return Fail(ErrorCode::kOutOfRange, text, "IP address");
   }
   const tcp::endpoint endpoint(ip, aSettings.listen_.port_);
   state->acceptor_.open(endpoint.protocol(), error);
--- a/peridotquay/connection/HttpFront.h
+++ b/peridotquay/connection/HttpFront.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 server for callers, for the local target's deeper calls and for operators.
+// HTTP/1.1 server. Serves callers, the calls that the local target makes to other services, and
+// operators.
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
@@ -13,19 +14,19 @@
 
 namespace peridotquay {
 
-/// Settings of one HTTP front.
+/// Settings of one HttpFront.
 struct HttpFrontSettings
 {
   Address listen_{ "127.0.0.1", 0 };
   std::size_t maxBodyBytes_ = std::size_t{ 768 } * 1024;
   std::size_t maxHeaderBytes_ = std::size_t{ 16 } * 1024;
   std::uint32_t maxConnections_ = 4096;
-  Duration readTimeout_ = seconds(5);   ///< A request must arrive whole within this.
-  Duration idleTimeout_ = seconds(60);  ///< A connection between requests is closed after this.
-  Duration writeTimeout_ = seconds(10); ///< An answer must be taken whole within this.
+  Duration readTimeout_ = seconds(5);   ///< Limits receiving a whole request.
+  Duration idleTimeout_ = seconds(60);  ///< A connection without a request is closed after this.
+  Duration writeTimeout_ = seconds(10); ///< Limits sending a whole answer.
 };
 
-/// One request and the place for its answer. Used on the loop's thread only.
+/// One request, and the means to answer it. Used only on the loop's thread.
 class HttpExchange
 {
 public:
@@ -34,22 +35,23 @@
   HttpExchange& operator=(const HttpExchange&) = delete;
   virtual ~HttpExchange() = default;
 
-  /// Sends the answer. Only the first call has an effect, and none if the connection is gone.
+  /// Sends the answer. No effect after the first call or after the connection has closed.
   virtual void Respond(const HttpResponse& aResponse) = 0;
 
   HttpRequest request_;
-  /// Called if the caller closes the connection before the answer. Set it in the handler.
+  /// Called if the connection closes before the answer was sent. The handler may set it.
   std::function<void()> onClosed_;
 };
 
-/// A listener and its connections. Requests of one connection are handled one after the other, in
-/// order. Malformed requests are answered here and never reach the handler.
+/// A listening socket and its connections. Requests of one connection are handled in order, one at
+/// a time. Invalid requests are answered with an error and never reach the handler.
 class HttpFront
 {
 public:
+  /// Handles one valid request.
   using Handler = std::function<void(std::shared_ptr<HttpExchange>)>;
 
-  /// Binds and starts accepting. Errors: kAddressInUse.
+  /// Listens and starts accepting connections. Errors: kOutOfRange, kAddressInUse.
   static Result<std::unique_ptr<HttpFront>> Listen(EventLoop& aLoop,
                                                    const HttpFrontSettings& aSettings,
                                                    Handler aHandler);
@@ -57,15 +59,16 @@
   HttpFront& operator=(const HttpFront&) = delete;
   ~HttpFront();
 
-  /// Port that was bound.
+  /// The bound port.
   std::uint16_t Port() const;
-  /// Open connections.
+  /// Number of open connections.
   std::size_t ConnectionCount() const;
-  /// Requests that were answered here because they were malformed, too large or too slow.
+  /// Number of requests answered with an error without calling the handler: malformed, too large,
+  /// too slow, or on a connection above maxConnections_.
   std::uint64_t RejectedRequests() const;
-  /// Answers whose last byte hasn't been handed to the system yet.
+  /// Number of answers that the operating system hasn't completely accepted yet.
   std::size_t PendingAnswerCount() const;
-  /// Answers from now on end their connection.
+  /// From now on, each answer ends its connection.
   void CloseAfterAnswers();
 
   struct State;
--- a/peridotquay/connection/HttpMessage.cpp
+++ b/peridotquay/connection/HttpMessage.cpp
@@ -1,4 +1,4 @@
-// Header handling, status codes and error bodies.
+// Implementation of header functions, HTTP status codes and error bodies.
 #include "peridotquay/connection/HttpMessage.h"
 
 #include "peridotquay/process/Events.h"
@@ -38,6 +38,7 @@
   return aText;
 }
 
+// Headers that apply to a single connection and are never forwarded.
 constexpr std::array<std::string_view, 10> kHopByHopHeaders = { "Connection",
                                                                 "Keep-Alive",
                                                                 "Proxy-Connection",
@@ -49,7 +50,7 @@
                                                                 "Upgrade",
                                                                 "Expect" };
 
-// Number of the log event that the node writes with the failure; 0 if it writes none.
+// Number of the log event that the node writes for this failure; 0 for none.
 int EventNumberOf(ErrorCode aCode, Outcome aOutcome)
 {
   if (aOutcome == Outcome::kUnknown) {
--- a/peridotquay/connection/HttpMessage.h
+++ b/peridotquay/connection/HttpMessage.h
@@ -1,4 +1,4 @@
-// HTTP requests and answers as plain values, and the answers that nodes make themselves.
+// HTTP requests and answers as plain values, header functions, and error answers that nodes create.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -12,52 +12,54 @@
 
 namespace peridotquay {
 
-/// A whole request. Hop-by-hop headers are removed.
+/// A complete request, without hop-by-hop headers.
 struct HttpRequest
 {
   std::string method_;
-  std::string path_; ///< Request target in origin form, with its query.
+  std::string path_; ///< Request target in origin form: path and query.
   HeaderList headers_;
   std::string body_;
   bool operator==(const HttpRequest&) const = default;
 };
 
-/// A whole answer. Hop-by-hop headers and Content-Length are removed.
+/// A complete answer, without hop-by-hop headers and Content-Length.
 struct HttpResponse
 {
   std::uint16_t status_ = 200;
   HeaderList headers_;
   std::string body_;
-  /// Content-Length of an answer that has no body by rule (HEAD, 304).
+  /// Content-Length of an answer that never has a body (to HEAD, or with status 304).
   std::optional<std::uint64_t> declaredLength_;
   bool operator==(const HttpResponse&) const = default;
 };
 
-/// First value of a header, by case-insensitive name; empty if absent.
+/// Returns the first value of a header, or none. Compares names case-insensitively.
 std::optional<std::string_view> FindHeader(const HeaderList& aHeaders, std::string_view aName);
 
-/// Removes all headers of the name.
+/// Removes all headers with this name. Compares names case-insensitively.
 void RemoveHeader(HeaderList& aHeaders, std::string_view aName);
 
-/// Removes all headers whose name begins with the prefix, case-insensitive.
+/// Removes all headers whose name begins with the prefix. Compares names case-insensitively.
 void RemoveHeadersWithPrefix(HeaderList& aHeaders, std::string_view aPrefix);
 
-/// Removes headers that concern one connection only: the fixed set and those named in Connection.
+/// Removes the headers that apply to a single connection: a fixed set, and those named in
+/// Connection.
 void RemoveHopByHopHeaders(HeaderList& aHeaders);
 
-/// Parses a decimal number without sign; empty for other text or above the bound.
+/// Parses a decimal number without sign. Returns none for other text or a number above aMax.
 std::optional<std::uint64_t> ParseNumber(std::string_view aText, std::uint64_t aMax);
 
-/// HTTP status for a failure of a call with a known outcome. Outcome::kUnknown is always 504.
+/// HTTP status for a failed call. Always 504 for Outcome::kUnknown.
 std::uint16_t HttpStatusOf(ErrorCode aCode, Outcome aOutcome);
 
-/// Answer with Quay-Outcome and the JSON error body. aRetryAfterMs 0 gives no hint.
+/// Error answer with a Quay-Outcome header and a JSON body. With aRetryAfterMs 0 it has no
+/// Retry-After headers.
 HttpResponse ErrorResponse(ErrorCode aCode,
                            Outcome aOutcome,
                            std::string_view aDetail,
                            std::uint32_t aRetryAfterMs = 0);
 
-/// Answer with a JSON body.
+/// Answer with the given JSON text as body.
 HttpResponse JsonResponse(std::uint16_t aStatus, std::string aJson);
 
 } // namespace peridotquay
--- a/peridotquay/connection/KeepAlive.cpp
+++ b/peridotquay/connection/KeepAlive.cpp
@@ -1,4 +1,4 @@
-// Socket options of keep-alive probes.
+// Sets the socket options of TCP keep-alive probes.
 #include "peridotquay/connection/KeepAlive.h"
 
 #include <netinet/in.h>
@@ -9,18 +9,19 @@
 
 namespace {
 
-// Silence in seconds before the first probe, between probes, and probes without an answer. A fresh
-// connection takes over within the 3 s in which a host counts as disturbed.
+// Silence before the first probe, interval between probes, and number of unanswered probes that end
+// the connection. They sum to 3 s, the time for which a host counts as disturbed, so that a new
+// connection is used within it.
 constexpr int kIdleSeconds = 1;
 constexpr int kProbeIntervalSeconds = 1;
 constexpr int kMaxUnansweredProbes = 2;
 
-// Longest time in milliseconds that sent bytes may stay unacknowledged.
+// Maximum time that sent bytes may stay unacknowledged.
 constexpr int kMaxUnacknowledgedMs = 3000;
 
 void SetSocketOption(int aSocket, int aLevel, int aName, int aValue)
 {
-  // Without the option the connection works as well; it only ends later if it goes silent.
+  // Errors are ignored: without the option, a silent connection only ends later.
   static_cast<void>(setsockopt(aSocket, aLevel, aName, &aValue, sizeof aValue));
 }
 
--- a/peridotquay/connection/KeepAlive.h
+++ b/peridotquay/connection/KeepAlive.h
@@ -1,10 +1,10 @@
-// Keep-alive probes of the system's TCP, which end connections that have gone silent.
+// TCP keep-alive probes, which end silent connections.
 #pragma once
 
 namespace peridotquay {
 
-/// Makes the system probe an unused connection and end it if the other side doesn't answer: after
-/// about 3 s of silence, also while sent bytes aren't acknowledged.
+/// Makes the operating system probe an idle connection and end it if the other side doesn't answer
+/// for about 3 s. A connection with unacknowledged sent bytes ends after 3 s too.
 void SetKeepAlive(int aSocket);
 
 } // namespace peridotquay
--- a/peridotquay/connection/PeerHub.cpp
+++ b/peridotquay/connection/PeerHub.cpp
@@ -48,8 +48,8 @@
   std::map<Address, std::shared_ptr<PeerLink>, AddressLess> linksByAddress_;
   std::unordered_map<std::uint64_t, std::shared_ptr<PeerLink>> linksByNumber_;
   std::unordered_map<std::uint64_t, OutstandingCall> outstandingCalls_; ///< By call id.
-  std::map<Address, TimePoint, AddressLess>
-    failedConnects_; ///< Time of the last failed connect to each address without a link.
+  /// Time of the last failed connect to each address without a link.
+  std::map<Address, TimePoint, AddressLess> failedConnects_;
 
   State(EventLoop& aLoop, const PeerLinkSettings& aSettings, PeerHubEvents aEvents)
     : loop_(aLoop)
--- a/peridotquay/connection/PeerLink.cpp
+++ b/peridotquay/connection/PeerLink.cpp
@@ -331,8 +331,8 @@
   std::string framesBeforeHello_; ///< Frames that wait until the peer's Hello arrives.
   std::string queuedFrames_;      ///< Frames that wait until writeBuffer_ is written.
   std::string writeBuffer_;       ///< Bytes that are being written.
-  TimePoint silentSince_{}; ///< Time of the last byte received, of the first outstanding call or of
-                            ///< a late check.
+  /// Time of the last byte received, of the first outstanding call or of a late check.
+  TimePoint silentSince_{};
   std::uint64_t lastPingNonce_ = 0;
   std::uint64_t handshakeTimer_ = 0;
   std::uint64_t silenceTimer_ = 0;
--- a/peridotquay/connection/PeerLink.h
+++ b/peridotquay/connection/PeerLink.h
@@ -16,20 +16,19 @@
 /// Settings of all peer links of a node.
 struct PeerLinkSettings
 {
-  Hello ownHello_; ///< Sent as the first frame of each connection.
-  Duration connectTimeout_ =
-    milliseconds(500);                     ///< Limits connecting until the peer's Hello arrives.
+  Hello ownHello_;                              ///< Sent as the first frame of each connection.
+  Duration connectTimeout_ = milliseconds(500); ///< From connect until the peer's Hello.
   Duration pingDelay_ = milliseconds(250); ///< Silence before a ping, while calls are outstanding.
-  Duration silenceTimeout_ =
-    milliseconds(500); ///< Silence before the connection is ended, while calls are outstanding.
-  std::size_t maxQueuedBytes_ = std::size_t{ 8 }
-                                << 20U; ///< Maximum unsent bytes. Send fails beyond.
+  /// Silence before the connection is ended, while calls are outstanding.
+  Duration silenceTimeout_ = milliseconds(500);
+  /// Maximum unsent bytes. Send fails beyond.
+  std::size_t maxQueuedBytes_ = std::size_t{ 8 } << 20U;
 };
 
 /// Why a connection ended.
 enum class LinkEndReason : std::uint8_t
 {
-  kNotConnected, ///< The peer's Hello never arrived. Only the own Hello may have been sent.
+  kNotConnected, ///< The peer's Hello never arrived. Only this node's Hello may have been sent.
   kClosed,       ///< Closed by the peer, by an error or because of an invalid frame.
   kSilent        ///< Calls were outstanding and no byte arrived for silenceTimeout_.
 };
@@ -40,10 +39,10 @@
 struct PeerLinkEvents
 {
   std::function<void(PeerLink&)> onOpen_; ///< The peer's Hello arrived.
-  std::function<void(PeerLink&, PeerMessage)>
-    onMessage_; ///< A message other than Hello, Ping and Ack arrived.
-  std::function<void(PeerLink&, LinkEndReason)>
-    onEnd_; ///< The link ended. Called once, or never after Close.
+  /// A message other than Hello, Ping and Ack arrived.
+  std::function<void(PeerLink&, PeerMessage)> onMessage_;
+  /// The link ended. Called once, or never after Close.
+  std::function<void(PeerLink&, LinkEndReason)> onEnd_;
 };
 
 /// A connection with handshake and silence detection. Frames wait until the peer's Hello has
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -39,8 +39,8 @@
   bool operator==(const Hello&) const = default;
 };
 
-/// A request for the target of the receiving node. The guard, the receiving
-/// node's part in front of the target, admits or refuses it. Never contains a caller's API key.
+/// A request for the target of the receiving node, whose guard (the part in front of the target)
+/// admits or refuses it. Never contains a caller's API key.
 struct Call
 {
   std::uint64_t callId_ = 0; ///< Unique within the incarnation of the sender.
@@ -53,11 +53,10 @@
   ClientAccountId clientAccount_; ///< Empty on open routes.
   Importance importance_ = Importance::kNormal;
   std::uint32_t deadlineMs_ = 0; ///< Time left until the deadline when sent.
-  std::uint32_t retries_ =
-    0;                     ///< Retry budget of this call and all calls below it in the call graph.
-  bool repeatable_ = true; ///< False: must run at most once.
-  std::uint8_t depth_ =
-    0; ///< Calls above this one in the call graph; 0 for a caller's own request.
+  std::uint32_t retries_ = 0;    ///< Retries left for this call and all calls below it.
+  bool repeatable_ = true;       ///< False: must run at most once.
+  /// Calls above this one in the call graph; 0 for a caller's own request.
+  std::uint8_t depth_ = 0;
   bool operator==(const Call&) const = default;
 };
 
@@ -80,15 +79,16 @@
   std::uint16_t status_ = 0;       ///< HTTP status from the target; 0 if it sent none.
   HeaderList headers_;
   std::string body_;
-  std::uint64_t declaredBodyBytes_ = 0; ///< Body length that the target declared. A different
-                                        ///< body_.size() means a truncated answer, except for HEAD.
-  std::uint32_t retriesUnused_ = 0;     ///< Part of Call::retries_ that was not used.
-  std::uint32_t inFlight_ = 0;          ///< Calls running at the target.
-  std::uint32_t limit_ = 0;             ///< Current concurrency limit of the guard.
-  std::uint32_t queued_ = 0;            ///< Calls queued at the guard.
+  /// Body length that the target declared. A different body_.size() means a truncated answer,
+  /// except for HEAD.
+  std::uint64_t declaredBodyBytes_ = 0;
+  std::uint32_t retriesUnused_ = 0; ///< Unused retries of Call::retries_.
+  std::uint32_t inFlight_ = 0;      ///< Calls running at the target.
+  std::uint32_t limit_ = 0;         ///< Current concurrency limit of the guard.
+  std::uint32_t queued_ = 0;        ///< Calls queued at the guard.
   AdmissionLevel level_;
-  std::uint32_t failedPercent_ =
-    0; ///< Percentage of the target's recent answers that were failures.
+  /// Percentage of the target's recent answers that were failures.
+  std::uint32_t failedPercent_ = 0;
   bool operator==(const Answer&) const = default;
 };
 
@@ -226,8 +226,8 @@
   Version version_ = 0;
   std::string operatorName_;
   std::string operationId_;
-  std::uint64_t wallMs_ =
-    0; ///< Operator's wall clock in milliseconds since 1970; informative only.
+  /// Operator's wall clock in milliseconds since 1970; informative only.
+  std::uint64_t wallMs_ = 0;
   std::string summary_;
   std::vector<EntityEdit> edits_;
   bool operator==(const Change&) const = default;
@@ -239,8 +239,8 @@
   std::uint64_t nonce_ = 0;
   Version version_ = 0;
   Version minSubtreeVersion_ = 0; ///< Minimum version in force in the sender's subtree.
-  std::uint32_t subtreeNodes_ =
-    0; ///< Nodes in the sender's subtree that reported to it, itself included.
+  /// Nodes in the sender's subtree that reported to it, itself included.
+  std::uint32_t subtreeNodes_ = 0;
   std::vector<HostId> lagging_; ///< At most 8 hosts that keep minSubtreeVersion_ from advancing.
   bool operator==(const SyncRequest&) const = default;
 };
@@ -250,13 +250,13 @@
 {
   std::uint64_t nonce_ = 0;
   Version version_ = 0;
-  std::uint64_t ageMs_ =
-    0; ///< Age, when sent, of the proof that version_ was the latest. Max value: no proof.
+  /// Age, when sent, of the proof that version_ was the latest. Max value: no proof.
+  std::uint64_t ageMs_ = 0;
   std::vector<Change> changes_;
   bool snapshot_ = false; ///< changes_ holds one Change that replaces all entities.
-  std::uint64_t outageAgeMs_ =
-    ~std::uint64_t{ 0 }; ///< Age of the proof that the sender can't reach the platform: time since
-                         ///< the start of its last, failed poll. Max value: no proof.
+  /// Age of the proof that the sender can't reach the platform: time since the start of its last,
+  /// failed poll. Max value: no proof.
+  std::uint64_t outageAgeMs_ = ~std::uint64_t{ 0 };
   bool operator==(const SyncReply&) const = default;
 };
 
@@ -360,8 +360,8 @@
 {
   std::uint64_t nonce_ = 0;
   std::uint64_t proofAgeMs_ = 0; ///< Time since newest_.config_ was last proved to be the newest.
-  std::uint64_t answerAgeMs_ =
-    0; ///< Time since the store last answered the sender, which watches the store meanwhile.
+  /// Time since the store last answered the sender, which watches the store meanwhile.
+  std::uint64_t answerAgeMs_ = 0;
   RowVersions newest_; ///< Versions that the sender holds.
   bool operator==(const FeedAnswer&) const = default;
 };
@@ -400,8 +400,8 @@
   Version version_ = 0;
   std::uint64_t ageMs_ = 0; ///< Age of the proof that version_ was the latest.
   bool platformReachable_ = false;
-  std::vector<MemberEntry>
-    members_; ///< Members changed since the last summary; every 10 s all members.
+  /// Members changed since the last summary; every 10 s all members.
+  std::vector<MemberEntry> members_;
   bool operator==(const DataCentreSummary&) const = default;
 };
 
@@ -423,8 +423,8 @@
   Incarnation incarnation_ = 0;
   std::string secret_; ///< Key of the MAC in each request id.
   std::vector<HandoverRecord> records_;
-  bool isLastBatch_ =
-    false; ///< After the last batch the successor may answer requests with these ids.
+  /// True for the last batch. After it the successor may answer requests with these ids.
+  bool isLastBatch_ = false;
   bool operator==(const RequestHandover&) const = default;
 };
 
--- a/peridotquay/connection/TargetClient.cpp
+++ b/peridotquay/connection/TargetClient.cpp
@@ -1,4 +1,4 @@
-// Pooled HTTP client on Boost.Beast's response parser.
+// Implementation of TargetClient on Boost.Asio and Boost.Beast's response parser.
 #include "peridotquay/connection/TargetClient.h"
 
 #include "peridotquay/connection/KeepAlive.h"
@@ -25,8 +25,10 @@
 namespace {
 
 class TargetConnection;
+// Size of the read buffer in bytes.
 constexpr std::size_t kReadBytes = std::size_t{ 16 } * 1024;
 
+// Returns the bytes of a request as sent to the target.
 std::string SerializeRequest(const HttpRequest& aRequest, const Address& aTarget)
 {
   std::string text = aRequest.method_ + " " + aRequest.path_ + " HTTP/1.1\r\n";
@@ -55,8 +57,10 @@
 {
   EventLoop& loop_;
   TargetClientSettings settings_;
-  std::vector<std::shared_ptr<TargetConnection>> idleConnections_; ///< The most recently used last.
-  std::map<std::uint64_t, std::shared_ptr<TargetConnection>> busyConnections_; ///< By request.
+  /// Idle connections, the most recently used one last.
+  std::vector<std::shared_ptr<TargetConnection>> idleConnections_;
+  /// Connections with a running request, by request number.
+  std::map<std::uint64_t, std::shared_ptr<TargetConnection>> busyConnections_;
   std::uint64_t nextRequest_ = 1;
 
   State(EventLoop& aLoop, const TargetClientSettings& aSettings)
@@ -68,7 +72,7 @@
 
 namespace {
 
-// One connection; serves one request at a time.
+// One connection to the target. Serves one request at a time.
 class TargetConnection final : public std::enable_shared_from_this<TargetConnection>
 {
 public:
@@ -109,7 +113,7 @@
     Connect(client->settings_);
   }
 
-  // Closes without calling completionHandler_.
+  // Closes the connection without calling completionHandler_.
   void Close()
   {
     closed_ = true;
@@ -121,7 +125,7 @@
 
   bool WriteStarted() const { return writeStarted_; }
 
-  /// Time since the last answer; only of a kept connection.
+  // Time since the last answer. Valid only for an idle connection.
   Duration IdleTime() const { return loop_.Now() - idleSince_; }
 
   void StartIdle(Duration aTimeout)
@@ -132,7 +136,7 @@
         self->CloseIdle();
       }
     });
-    // Reading on notices when the target closes a kept connection.
+    // A pending read detects that the target closes the idle connection.
     Read();
   }
 
@@ -174,8 +178,8 @@
     boost::asio::async_write(socket_,
                              boost::asio::buffer(writeBuffer_),
                              [self = shared_from_this()](const error_code& aError, std::size_t) {
-                               // A failed write also fails the read, which then ends the request;
-                               // the target may have answered before it stopped reading.
+                               // If the write fails, the read fails too and ends the request. Until
+                               // then, an answer that the target sent early can still arrive.
                                self->fullyWritten_ = !aError;
                              });
     Read();
@@ -201,7 +205,7 @@
       return;
     }
     if (!completionHandler_) {
-      // Bytes or an end on a kept connection: it can't be used again.
+      // An idle connection that received bytes, an end of stream or an error can't be reused.
       CloseIdle();
       return;
     }
@@ -247,7 +251,7 @@
       ParseNextAnswer();
       return;
     }
-    // Interim answers (1xx) come before the one that counts.
+    // Interim answers (1xx other than 101) precede the final one.
     if (parser_->get().result_int() / 100 == 1 && parser_->get().result_int() != 101) {
       ParseNextAnswer();
       return;
@@ -255,7 +259,7 @@
     FinishAnswer();
   }
 
-  // Whether the answer names another request than the one that waits.
+  // True if the echo header of the answer names another request than the current one.
   bool AnswersOtherRequest() const
   {
     if (expectedEcho_.empty()) {
@@ -266,7 +270,8 @@
            std::string_view(field->value().data(), field->value().size()) != expectedEcho_;
   }
 
-  // The target says for how many whole seconds it keeps an unused connection.
+  // Shortens idleTimeout_ to less than the timeout in seconds that the target states in its
+  // Keep-Alive header.
   void ReadKeepAliveTimeout()
   {
     constexpr std::string_view kName = "timeout=";
@@ -283,11 +288,12 @@
     const auto statedSeconds =
       ParseNumber(rest.substr(0, rest.find_first_not_of("0123456789")), 3600);
     if (statedSeconds) {
-      // A request that is sent as the target closes would be lost.
+      // 70% of the timeout: a request sent while the target closes the connection would be lost.
       idleTimeout_ = std::min<Duration>(idleTimeout_, milliseconds(*statedSeconds * 700));
     }
   }
 
+  // Parses the answer after one that was dropped.
   void ParseNextAnswer()
   {
     const auto client = client_.lock();
@@ -314,7 +320,7 @@
   void FinishAnswer()
   {
     const auto length = parser_->content_length();
-    // A request that isn't written whole would go on into the next one.
+    // The rest of a request that isn't completely written would precede the next request.
     const bool keep =
       parser_->keep_alive() && !parser_->need_eof() && unparsed_.empty() && fullyWritten_;
     ReadKeepAliveTimeout();
@@ -334,7 +340,7 @@
     End(TargetRequestStatus::kAnswered);
   }
 
-  // Ends the request and keeps the connection if it is still good.
+  // Ends the request, and keeps the connection as idle if it can be reused.
   void End(TargetRequestStatus aStatus)
   {
     const auto client = client_.lock();
@@ -372,7 +378,7 @@
   std::string unparsed_;
   std::string writeBuffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
-  TargetClient::Done completionHandler_; ///< Set while a request is under way.
+  TargetClient::Done completionHandler_; ///< Set while a request is running.
   TargetResult result_;
   TimePoint connectStartedAt_{};
   TimePoint idleSince_{};
@@ -380,10 +386,10 @@
   std::uint64_t timer_ = 0;
   bool open_ = false;
   bool writeStarted_ = false;
-  bool fullyWritten_ = false; ///< The whole request is with the system.
+  bool fullyWritten_ = false; ///< The operating system has accepted all bytes of the request.
   bool allowsCloseDelimited_ = false;
   std::string echoHeader_;
-  std::string expectedEcho_; ///< Value that the answer must repeat; empty for any.
+  std::string expectedEcho_; ///< Echo header value that the answer must have; empty for any.
   Duration idleTimeout_{};
   bool answerBegan_ = false;
   bool reading_ = false;
@@ -416,7 +422,7 @@
   const TargetClientSettings& settings = state_->settings_;
   auto& idle = state_->idleConnections_;
   std::shared_ptr<TargetConnection> connection;
-  // The last one has rested the shortest.
+  // The last idle connection is the most recently used one.
   if (!idle.empty() && (aReuse == ConnectionReuse::kAny ||
                         idle.back()->IdleTime() <= settings.recentlyUsedPeriod_)) {
     connection = idle.back();
--- a/peridotquay/connection/TargetClient.h
+++ b/peridotquay/connection/TargetClient.h
@@ -1,4 +1,4 @@
-// HTTP client for the one local target, with a pool of kept connections.
+// HTTP/1.1 client for one target, with a pool of idle connections.
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
@@ -13,6 +13,7 @@
 
 namespace peridotquay {
 
+/// Settings of a TargetClient.
 struct TargetClientSettings
 {
   Address target_{ "127.0.0.1", 0 };
@@ -20,45 +21,48 @@
   std::size_t maxBodyBytes_ = std::size_t{ 768 } * 1024;
   std::size_t maxHeaderBytes_ = std::size_t{ 16 } * 1024;
   Duration connectTimeout_ = milliseconds(500);
-  Duration idleTimeout_ = seconds(30);              ///< An unused connection is closed after this.
-  Duration recentlyUsedPeriod_ = milliseconds(200); ///< For requests with Reuse::kRecentlyUsed.
-  /// Header that answers repeat from their request. An answer with another value is late, belongs
-  /// to an earlier request and is dropped. Empty for none.
+  Duration idleTimeout_ = seconds(30);              ///< An idle connection is closed after this.
+  Duration recentlyUsedPeriod_ = milliseconds(200); ///< For ConnectionReuse::kRecentlyUsed.
+  /// Header that the target copies from the request to the answer. An answer with another value
+  /// belongs to an earlier request and is dropped. Empty for none.
   std::string echoHeader_{};
-  /// An answer without a length is whole when its connection ends in order; otherwise it counts as
-  /// truncated, because a whole answer can't be told from a cut one.
+  /// True: an answer without a length is complete when the target closes the connection in order.
+  /// False: it counts as truncated, because a complete answer can't be told from a truncated one.
   bool allowsCloseDelimited_ = false;
 };
 
 /// How a request to the target ended.
 enum class TargetRequestStatus : std::uint8_t
 {
-  kAnswered,  ///< The whole answer is here.
-  kNotSent,   ///< No connection could be had; no byte was sent.
+  kAnswered,  ///< The answer is complete.
+  kNotSent,   ///< No connection was available; no byte was sent.
   kLost,      ///< The connection ended before the answer began.
-  kTruncated, ///< The answer began and its end can't be proved, or it is malformed or too large.
+  kTruncated, ///< The answer began, and it is incomplete, malformed or too large.
 };
 
+/// Result of a request to the target.
 struct TargetResult
 {
   TargetRequestStatus requestStatus_ = TargetRequestStatus::kNotSent;
-  HttpResponse response_;     ///< With kAnswered.
-  Duration connectTime_{ 0 }; ///< Zero on a kept connection.
+  HttpResponse response_;     ///< Set if requestStatus_ is kAnswered.
+  Duration connectTime_{ 0 }; ///< Zero if an idle connection was reused.
 };
 
-/// Which kept connections a request may use.
+/// Which idle connections a request may reuse.
 enum class ConnectionReuse : std::uint8_t
 {
   kAny,
-  /// Only one that was used within recentlyUsedPeriod_. A target may have forgotten a connection
-  /// that rested, and a request that is reset on it can't be told from one that ran.
+  /// Only a connection that was used within recentlyUsedPeriod_. The target may have dropped one
+  /// that was idle for longer. A request on it would be reset, and it would be unknown whether it
+  /// ran.
   kRecentlyUsed
 };
 
-/// Sends each request once.
+/// Sends each request once and never retries. Used only on the loop's thread.
 class TargetClient
 {
 public:
+  /// Completion handler of a request.
   using Done = std::function<void(TargetResult)>;
 
   TargetClient(EventLoop& aLoop, const TargetClientSettings& aSettings);
@@ -66,18 +70,18 @@
   TargetClient& operator=(const TargetClient&) = delete;
   ~TargetClient();
 
-  /// Sends a request. aDone is called once, never from within Send, unless Cancel comes first.
-  /// Returns a number for Cancel.
+  /// Sends a request and returns its number for Cancel. aDone is called once, but not from within
+  /// Send and not after Cancel.
   std::uint64_t Send(const HttpRequest& aRequest,
                      Done aDone,
                      ConnectionReuse aReuse = ConnectionReuse::kAny);
-  /// Ends a request by closing its connection. Returns true if a byte of it may have been sent.
+  /// Cancels a request by closing its connection. Returns true if a byte of it may have been sent.
   bool Cancel(std::uint64_t aRequest);
-  /// Closes all kept connections that aren't in use.
+  /// Closes all idle connections.
   void DropIdle();
-  /// Kept connections that aren't in use.
+  /// Number of idle connections.
   std::size_t IdleConnectionCount() const;
-  /// Connections in use or kept.
+  /// Number of connections, busy and idle.
   std::size_t ConnectionCount() const;
 
   struct State;
--- a/tests/connection/HttpFrontTest.cpp
+++ b/tests/connection/HttpFrontTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the HTTP front and of the client for the target, against raw bytes over loopback.
+// Tests of HttpFront and TargetClient with raw bytes over loopback.
 #include "peridotquay/connection/HttpFront.h"
 
 #include "peridotquay/connection/TargetClient.h"
@@ -15,7 +15,8 @@
 
 namespace {
 
-// A front that answers with the request it saw, on its own thread.
+// A front on its own thread that answers each request with its method, path and body. It never
+// answers /hold, and delays the answer to /slow.
 struct EchoFront
 {
   EventLoop loop_;
@@ -33,14 +34,14 @@
           heldExchanges_.push_back(std::move(aExchange));
           return;
         }
-        // Trailers must not count as headers.
+        // Trailers must not be treated as headers.
         if (FindHeader(aExchange->request_.headers_, "Quay-Key")) {
           aExchange->Respond({ 500, {}, "", std::nullopt });
           return;
         }
         std::string text = aExchange->request_.method_ + " " + aExchange->request_.path_ + " " +
                            aExchange->request_.body_;
-        // Answers of later requests must still come later.
+        // The delay gives later requests the chance to overtake.
         const Duration delay = milliseconds(aExchange->request_.path_ == "/slow" ? 30 : 0);
         loop_.After(delay, [aExchange, text] {
           aExchange->Respond({ 200, {}, text, std::nullopt });
@@ -57,6 +58,7 @@
   }
 };
 
+// Bytes of an invalid request and the HTTP status that must answer it.
 struct BadInput
 {
   std::string name_;
@@ -66,8 +68,9 @@
 
 } // namespace
 
-// Guards against request smuggling and against input that is taken for something it isn't.
-TEST_CASE("bad requests get their status and the connection ends", "[http]")
+// Guards against request smuggling and other misreadings of invalid requests.
+TEST_CASE("invalid requests are answered with the matching status and the connection ends",
+          "[http]")
 {
   HttpFrontSettings settings;
   settings.maxBodyBytes_ = 1000;
@@ -101,10 +104,10 @@
       "POST / HTTP/1.1\r\n" + host +
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
       400 },
-    { "other coding",
+    { "unsupported coding before chunked",
       "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
       400 },
-    { "coding with a twist",
+    { "coding name that only ends in chunked",
       "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
       400 },
     { "chunked in 1.0",
@@ -150,7 +153,8 @@
   }
 }
 
-// Guards against answers in the wrong order when requests are sent ahead.
+// Guards against answers in the wrong order, and trailers treated as headers, in pipelined
+// requests.
 TEST_CASE("pipelined requests are answered in order", "[http]")
 {
   EchoFront front;
@@ -170,8 +174,8 @@
   CHECK(second < third);
 }
 
-// Guards against a request that runs on although nobody waits for its answer.
-TEST_CASE("a closed connection is reported to the handler", "[http]")
+// Guards against a request that keeps running after its caller has disconnected.
+TEST_CASE("the handler is told when the caller closes the connection", "[http]")
 {
   EchoFront front;
   {
@@ -186,8 +190,9 @@
   CHECK(front.closedCount_ == 1);
 }
 
-// Guards against a cut answer that is passed on as whole, and against a false "not sent".
-TEST_CASE("the target client tells whole answers from cut ones", "[target]")
+// Guards against truncated answers that pass as complete, and against reporting a request that was
+// sent as not sent.
+TEST_CASE("the target client tells complete answers from truncated ones", "[target]")
 {
   struct Script
   {
@@ -196,28 +201,30 @@
     TargetRequestStatus requestStatus_;
   };
   const std::vector<Script> scripts = {
-    { "whole", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", TargetRequestStatus::kAnswered },
+    { "complete",
+      "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+      TargetRequestStatus::kAnswered },
     { "chunked",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
       TargetRequestStatus::kAnswered },
     { "interim answer first",
       "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
       TargetRequestStatus::kAnswered },
-    { "cut body",
+    { "truncated body",
       "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok",
       TargetRequestStatus::kTruncated },
-    { "cut chunks",
+    { "truncated chunks",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
       TargetRequestStatus::kTruncated },
-    { "cut head", "HTTP/1.1 200 OK\r\nContent-Le", TargetRequestStatus::kTruncated },
-    { "ended by closing", "HTTP/1.1 200 OK\r\n\r\nok", TargetRequestStatus::kTruncated },
+    { "truncated head", "HTTP/1.1 200 OK\r\nContent-Le", TargetRequestStatus::kTruncated },
+    { "without length, closed", "HTTP/1.1 200 OK\r\n\r\nok", TargetRequestStatus::kTruncated },
     { "two lengths",
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
       TargetRequestStatus::kTruncated },
     { "too large",
       "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n",
       TargetRequestStatus::kTruncated },
-    { "nothing", "", TargetRequestStatus::kLost },
+    { "no answer", "", TargetRequestStatus::kLost },
   };
   for (const auto& script : scripts) {
     INFO(script.name_);
@@ -247,9 +254,9 @@
   }
 }
 
-// Guards against an answer to an earlier request that is given to the next one, and against an
-// answer that was reset and passes as ended by closing.
-TEST_CASE("answers are told apart by what they echo and how they end", "[target]")
+// Guards against an answer to an earlier request that is matched with the next one, and against a
+// reset connection that passes as the regular end of an answer without length.
+TEST_CASE("answers with another echo header value or ended by a reset are not accepted", "[target]")
 {
   struct Script
   {
@@ -260,13 +267,13 @@
   };
   const std::string matching = "HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 2\r\n\r\nok";
   const std::string earlier = "HTTP/1.1 200 OK\r\nX-Id: 6\r\nContent-Length: 3\r\n\r\nold";
-  const std::string unframed = "HTTP/1.1 200 OK\r\nX-Id: 7\r\n\r\nok";
+  const std::string withoutLength = "HTTP/1.1 200 OK\r\nX-Id: 7\r\n\r\nok";
   const std::vector<Script> scripts = {
-    { "right", matching, false, TargetRequestStatus::kAnswered },
-    { "late one first", earlier + matching, false, TargetRequestStatus::kAnswered },
-    { "late one only", earlier, false, TargetRequestStatus::kTruncated },
-    { "unframed", unframed, false, TargetRequestStatus::kAnswered },
-    { "unframed, reset", unframed, true, TargetRequestStatus::kTruncated }
+    { "matching", matching, false, TargetRequestStatus::kAnswered },
+    { "earlier request's answer first", earlier + matching, false, TargetRequestStatus::kAnswered },
+    { "earlier request's answer only", earlier, false, TargetRequestStatus::kTruncated },
+    { "without length, closed", withoutLength, false, TargetRequestStatus::kAnswered },
+    { "without length, reset", withoutLength, true, TargetRequestStatus::kTruncated }
   };
   for (const auto& script : scripts) {
     INFO(script.name_);
@@ -301,9 +308,10 @@
   }
 }
 
-// Guards against a request that must run at most once and is sent on a connection that the target
-// has forgotten: it is reset, and nobody can tell whether it ran.
-TEST_CASE("a connection that rested isn't used for what can't be repeated", "[target]")
+// Guards against sending a request that must run at most once on an idle connection that the target
+// may have dropped: the request would be reset, and it would be unknown whether it ran.
+TEST_CASE("a request that must run at most once doesn't reuse a connection idle for long",
+          "[target]")
 {
   RawListener listener;
   std::thread target([&] {
@@ -333,7 +341,7 @@
     return result;
   };
   CHECK(send(ConnectionReuse::kRecentlyUsed).requestStatus_ == TargetRequestStatus::kAnswered);
-  // At once, the connection is used again.
+  // Immediately afterwards, the connection is reused.
   CHECK(send(ConnectionReuse::kRecentlyUsed).connectTime_ == Duration::zero());
   loop.After(settings.recentlyUsedPeriod_ + milliseconds(50), [&] { loop.Stop(); });
   loop.Run();
@@ -343,8 +351,9 @@
   target.join();
 }
 
-// Guards against a refusal that claims "not run" for a request that reached the target.
-TEST_CASE("no connection means that nothing was sent", "[target]")
+// Guards against treating a request as possibly run although the connect failed and no byte was
+// sent.
+TEST_CASE("a request without a connection is reported as not sent", "[target]")
 {
   std::uint16_t port = 0;
   {
--- a/tests/connection/PeerCodecTest.cpp
+++ b/tests/connection/PeerCodecTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the msgpack form of peer messages and of frame reading.
+// Tests of encoding and decoding peer messages and of splitting a stream into frames.
 #include "peridotquay/connection/PeerCodec.h"
 
 #include "peridotquay/connection/FrameReader.h"
@@ -60,6 +60,7 @@
            { Importance::kHigh, 0.5 } };
 }
 
+// One message of each type.
 std::vector<PeerMessage> Samples()
 {
   const Change change{ 4, "op", "id", 123, "sum", { { "account/a", "{}" }, { "key/b", {} } } };
@@ -94,8 +95,8 @@
 
 } // namespace
 
-// Guards against a field that is written in one order and read in another, or not at all.
-TEST_CASE("every message decodes to what was encoded", "[codec]")
+// Guards against fields that are encoded and decoded in different orders, or left out.
+TEST_CASE("every message type decodes to the message that was encoded", "[codec]")
 {
   REQUIRE(Samples().size() == std::variant_size_v<PeerMessage>);
   for (const auto& message : Samples()) {
@@ -105,8 +106,8 @@
   }
 }
 
-// Guards against a peer that crashes the process or makes it read outside the frame by a bad body.
-TEST_CASE("mutated bodies give an error or a valid message and never throw", "[codec]")
+// Guards against a malformed body that crashes the process or makes it read outside the frame.
+TEST_CASE("decoding a mutated body returns an error or a valid message and never throws", "[codec]")
 {
   std::mt19937_64 random(20260104);
   std::size_t rejected = 0;
@@ -141,14 +142,14 @@
   CHECK(rejected > 10000);
 }
 
-// Guards against stack or memory exhaustion by deep nesting and by claimed lengths.
-TEST_CASE("nesting and claimed sizes are bounded", "[codec]")
+// Guards against stack exhaustion by deep nesting and memory exhaustion by large array lengths.
+TEST_CASE("bodies that are nested too deeply or state too large sizes are rejected", "[codec]")
 {
   CHECK(DecodePeerMessage(std::string(1000, '\x91')).assume_error().code_ ==
         ErrorCode::kFrameNesting);
   CHECK(DecodePeerMessage(std::string(kMaxFrameBytes + 1, 'x')).assume_error().code_ ==
         ErrorCode::kFrameTooLarge);
-  // An array header that claims 2^32 - 1 elements.
+  // An array header with a length of 2^32 - 1 elements.
   CHECK(DecodePeerMessage("\xdd\xff\xff\xff\xff").assume_error().code_ ==
         ErrorCode::kFrameTooLarge);
   CHECK(DecodePeerMessage("").has_error());
@@ -156,8 +157,8 @@
   CHECK(DecodePeerMessage(body + "x").assume_error().code_ == ErrorCode::kFrameMalformed);
 }
 
-// Guards against a not-a-number that would poison averages and comparisons of the receiver.
-TEST_CASE("numbers that are not finite are rejected", "[codec]")
+// Guards against NaN and infinity, which would corrupt averages and comparisons at the receiver.
+TEST_CASE("NaN and infinity are rejected", "[codec]")
 {
   ShareRequest request;
   request.used_ = std::numeric_limits<double>::quiet_NaN();
@@ -166,8 +167,9 @@
   CHECK(DecodePeerMessage(EncodePeerMessage(request)).has_error());
 }
 
-// Guards against frames that are cut or merged when bytes arrive in other portions than sent.
-TEST_CASE("frames survive any split of the stream", "[frames]")
+// Guards against frames that are cut or merged when the stream arrives in chunks of other sizes
+// than sent.
+TEST_CASE("frames are read correctly however the stream is split", "[frames]")
 {
   std::string stream;
   const auto samples = Samples();
@@ -195,8 +197,8 @@
   }
 }
 
-// Guards against a peer that claims a frame of gigabytes and makes the receiver wait for it.
-TEST_CASE("oversized and empty frames are rejected at the length", "[frames]")
+// Guards against a peer that announces a frame of gigabytes and makes the receiver buffer it.
+TEST_CASE("too large and empty frames are rejected once their length is read", "[frames]")
 {
   FrameReader large;
   large.Add(std::string_view("\x00\x10\x00\x01", 4));
--- a/tests/connection/PeerHubTest.cpp
+++ b/tests/connection/PeerHubTest.cpp
@@ -1,4 +1,4 @@
-// Tests of peer connections over loopback: calls, loss, silence, bad peers.
+// Tests of peer connections over loopback: lost calls, silent connections and invalid peers.
 #include "peridotquay/connection/PeerHub.h"
 
 #include "peridotquay/connection/Datagram.h"
@@ -17,7 +17,7 @@
 
 namespace {
 
-// A hub that records what happens to it.
+// A listening hub that records its callbacks.
 struct RecordingHub
 {
   std::vector<std::pair<PeerSource, PeerMessage>> messages_;
@@ -43,7 +43,7 @@
   }
 };
 
-// Runs the loop until the condition holds, at most 3 s.
+// Runs the loop until the condition holds or 3 s have passed. Returns whether it holds.
 template<typename F>
 bool RunUntil(EventLoop& aLoop, F aCondition)
 {
@@ -66,8 +66,10 @@
 
 } // namespace
 
-// Guards against frames that are lost while the connection opens, and answers on another link.
-TEST_CASE("frames sent before the connection is open arrive in order", "[peer]")
+// Guards against frames that are lost or reordered while the connection opens, and against replies
+// on a second connection.
+TEST_CASE("frames sent before the connection is open arrive in order and are answered on it",
+          "[peer]")
 {
   EventLoop loop;
   RecordingHub left(loop, "left");
@@ -82,7 +84,7 @@
   CHECK(right.messages_[0].first.hello_.host_.value_ == "left");
   REQUIRE(left.hub_->PeerOfCall(20) != nullptr);
   CHECK(left.hub_->PeerOfCall(20)->incarnation_ == 7);
-  // The control side answers by address; that must use the same connection.
+  // The control plane replies by address, which must use the same connection.
   right.hub_->Send(right.messages_[0].first.address_, Cancel{ 99 });
   REQUIRE(right.hub_->Reply(right.messages_[0].first.link_, Cancel{ 100 }));
   REQUIRE(RunUntil(loop, [&] { return left.messages_.size() == 2; }));
@@ -90,8 +92,8 @@
   CHECK(right.hub_->OpenLinkCount() == 1);
 }
 
-// Guards against "not sent" for a call that may have left, and against the opposite.
-TEST_CASE("a lost call says whether it was sent", "[peer]")
+// Guards against reporting a call as not sent that may have been sent, and the reverse.
+TEST_CASE("a lost call reports whether it was sent", "[peer]")
 {
   EventLoop loop;
   RecordingHub left(loop, "left");
@@ -114,9 +116,9 @@
   CHECK(left.lostCalls_[1].peer_.host_.value_ == "right");
 }
 
-// Guards against a peer that accepts connections and then never says Hello: nothing may count as
-// sent to it, and the calls must end.
-TEST_CASE("a peer without Hello gets no calls", "[peer]")
+// Guards against calls that hang, or count as sent, at a peer that accepts the connection and never
+// sends Hello.
+TEST_CASE("a peer that sends no Hello receives no calls", "[peer]")
 {
   EventLoop loop;
   RecordingHub left(loop, "left");
@@ -130,8 +132,9 @@
   CHECK(socket.ReadToEnd() == hello);
 }
 
-// Guards against calls that hang on a connection that went silent while the host lives.
-TEST_CASE("a silent connection is pinged and given up; an idle one is left alone", "[peer]")
+// Guards against calls that hang on a connection that is silent although its host is alive, and
+// against ending a connection whose peer answers pings.
+TEST_CASE("a silent connection is pinged and ended but one that answers pings stays open", "[peer]")
 {
   EventLoop loop;
   RecordingHub left(loop, "left");
@@ -156,15 +159,15 @@
   RecordingHub right(loop, "right");
   left.hub_->SendCall(right.address_, 2, Cancel{ 2 });
   REQUIRE(RunUntil(loop, [&] { return right.messages_.size() == 1; }));
-  // The peer answers pings, so a call may take longer than the limit of silence.
+  // The peer answers pings, so a call may take longer than the silence timeout.
   const TimePoint endOfWait = Clock::now() + milliseconds(900);
   REQUIRE(RunUntil(loop, [&] { return Clock::now() > endOfWait; }));
   CHECK(left.lostCalls_.size() == 1);
   CHECK(left.hub_->EndCall(2));
 }
 
-// Guards against a peer of another protocol and against hostile first bytes.
-TEST_CASE("bad peers are disconnected and others go on", "[peer]")
+// Guards against peers of another protocol version and against malicious first bytes.
+TEST_CASE("invalid peers are disconnected and other connections keep working", "[peer]")
 {
   EventLoop loop;
   RecordingHub left(loop, "left");
@@ -192,8 +195,8 @@
   REQUIRE(RunUntil(loop, [&] { return right.messages_.size() == 2; }));
 }
 
-// Guards against a stray datagram that ends the receiver.
-TEST_CASE("datagrams arrive and bad ones are dropped", "[datagram]")
+// Guards against a malformed datagram that stops the receiver.
+TEST_CASE("valid datagrams arrive and malformed ones are dropped", "[datagram]")
 {
   EventLoop loop;
   std::vector<PeerMessage> received;
--- a/tests/connection/RawSocket.h
+++ b/tests/connection/RawSocket.h
@@ -1,4 +1,4 @@
-// Blocking sockets for tests that need control over every byte.
+// Blocking TCP sockets for tests that control every byte sent.
 #pragma once
 
 #include <arpa/inet.h>
@@ -24,7 +24,7 @@
   return address;
 }
 
-/// A connected TCP socket. Reads give up after 5 s.
+/// A connected TCP socket. A read fails after 5 s without data.
 class RawSocket
 {
 public:
@@ -72,7 +72,7 @@
     }
   }
 
-  /// Bytes up to and with the mark, or up to the end.
+  /// Returns the bytes up to and including the delimiter, or up to the end of the stream.
   std::string ReadUntil(std::string_view aDelimiter)
   {
     while (true) {
@@ -126,7 +126,7 @@
   std::string buffer_;
 };
 
-/// A listener on a port that the kernel chooses.
+/// A listening socket on a port that the kernel chooses.
 class RawListener
 {
 public:
