--- a/peridotquay/connection/HttpFront.h
+++ b/peridotquay/connection/HttpFront.h
@@ -39,7 +39,7 @@
   virtual void Respond(const HttpResponse& aResponse) = 0;
 
   HttpRequest request_;
-  /// Called if the connection closes before the answer was sent. The handler may set it.
+  /// Called if the connection closes before Respond was called. The handler may set it.
   std::function<void()> onClosed_;
 };
 
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -169,7 +169,7 @@
   RegionId region_;
   ServiceId service_;
   TargetState targetState_ = TargetState::kCold;
-  std::uint32_t slots_ = 0; ///< Calls that the target can run at once.
+  std::uint32_t slots_ = 0; ///< Concurrent requests that the target announced; 0 for none.
   double load_ = 0;
   HostId successor_; ///< If state_ is kLeft: host that took over its request records, or empty.
   bool operator==(const MemberEntry&) const = default;
