--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -280,7 +280,7 @@
       }
     }
     for (auto& message : aEffects.summaries_) {
-      FillSummary(versions_, std::get<Summary>(message.message_), now_);
+      FillSummary(versions_, std::get<DataCentreSummary>(message.message_), now_);
       Sent(message);
     }
   }
@@ -299,8 +299,8 @@
     }
     if (aEffects.call_) {
       PlatformAnswer answer;
-      answer.started_ = now_;
-      answer.finished_ = now_;
+      answer.startedAt_ = now_;
+      answer.finishedAt_ = now_;
       std::holds_alternative<TransactCall>(*aEffects.call_) ? ++platformWrites_ : ++platformReads_;
       const auto started = CpuSeconds();
       DisseminationEffects effects;
@@ -325,7 +325,7 @@
     }
     if (position_ < 2) {
       for (std::size_t centre = 1; centre < fleet_.centres_; ++centre) {
-        Summary summary;
+        DataCentreSummary summary;
         summary.dataCentre_.value_ = "dc" + std::to_string(centre);
         summary.platformReachable_ = true;
         summary.members_ = { MakeEntry(centre, 0), MakeEntry(centre, 1), MakeEntry(centre, 2) };
@@ -528,7 +528,7 @@
     for (int i = 0; i < kRequests; ++i) {
       time += microseconds(20);
       const auto& id = ids[static_cast<std::size_t>(i) % accounts];
-      last = GrantTokens(ledger, { "h" }, { 1, id, 0, 0, 3 }, kGrantLifetime, time).grant_;
+      last = GrantTokens(ledger, { "h" }, { 1, id, 0, 0, 3 }, kMaxGrantLifetime, time).grant_;
     }
     const auto grantSeconds = (CpuSeconds() - grantsStarted) / kRequests;
     std::printf(
--- a/peridotquay/connection/Datagram.cpp
+++ b/peridotquay/connection/Datagram.cpp
@@ -1,4 +1,4 @@
-// UDP socket on Boost.Asio.
+// Implementation of Datagram on Boost.Asio.
 #include "peridotquay/connection/Datagram.h"
 
 #include "peridotquay/connection/PeerCodec.h"
@@ -19,7 +19,7 @@
   EventLoop& loop_;
   OnMessage onMessage_;
   udp::socket socket_;
-  udp::endpoint from_;
+  udp::endpoint sender_;
   std::array<char, kMaxDatagramBytes> buffer_;
   std::uint64_t dropped_ = 0;
 
@@ -34,18 +34,18 @@
   {
     socket_.async_receive_from(
       boost::asio::buffer(buffer_),
-      from_,
+      sender_,
       [self = shared_from_this()](const error_code& aError, std::size_t aBytes) {
         if (aError == boost::asio::error::operation_aborted || !self->socket_.is_open()) {
           return;
         }
-        // Other errors report an earlier datagram that found no receiver.
+        // Other errors mean that an earlier datagram was sent to a port without a receiver.
         if (!aError) {
           auto message = DecodePeerMessage(std::string_view(self->buffer_.data(), aBytes));
           if (message.has_error()) {
             ++self->dropped_;
           } else {
-            self->onMessage_({ self->from_.address().to_string(), self->from_.port() },
+            self->onMessage_({ self->sender_.address().to_string(), self->sender_.port() },
                              std::move(message.assume_value()));
           }
         }
@@ -71,7 +71,7 @@
   error_code error;
   const auto ip = boost::asio::ip::make_address(aAddress.ip_, error);
   if (error) {
-    return Fail(ErrorCode::kOutOfRange, text, "an IP number");
+    return Fail(ErrorCode::kOutOfRange, text, "IP address");
   }
   const udp::endpoint endpoint(ip, aAddress.port_);
   state_->socket_.open(endpoint.protocol(), error);
@@ -100,7 +100,7 @@
   state_->socket_.send_to(boost::asio::buffer(body), udp::endpoint(ip, aPeer.port_), 0, error);
 }
 
-std::uint64_t Datagram::Dropped() const
+std::uint64_t Datagram::DroppedDatagrams() const
 {
   return state_->dropped_;
 }
--- a/peridotquay/connection/PeerLink.cpp
+++ b/peridotquay/connection/PeerLink.cpp
@@ -1,4 +1,4 @@
-// Peer connection on Boost.Asio: handshake, frames, silence detection.
+// Implementation of PeerLink on Boost.Asio: handshake, frames, silence detection.
 #include "peridotquay/connection/PeerLink.h"
 
 #include "peridotquay/connection/FrameReader.h"
@@ -21,14 +21,15 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
+// Size of the read buffer in bytes.
 constexpr std::size_t kReadBytes = std::size_t{ 16 } * 1024;
 
 template<int Name>
 using KeepAliveOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, Name>;
 
-// A check that comes this much late means that this process was paused; the peer's bytes may wait
-// unread, so silence is counted anew.
-constexpr Duration kPauseSlack = milliseconds(100);
+// A silence check that runs later than this after it was due shows that this process was paused.
+// Bytes from the peer may then be waiting unread, so the silence period restarts.
+constexpr Duration kMaxCheckDelay = milliseconds(100);
 
 class TcpPeerLink final
   : public PeerLink
@@ -60,7 +61,7 @@
                               return;
                             }
                             if (aError) {
-                              self->End(LinkEnd::kNotConnected);
+                              self->End(LinkEndReason::kNotConnected);
                               return;
                             }
                             self->StartStream();
@@ -74,7 +75,7 @@
       peerAddress_.ip_.find(':') == std::string::npos ? tcp::v4() : tcp::v6(), aSocket, error);
     StartHandshakeTimer();
     if (error) {
-      loop_.Post([self = shared_from_this()] { self->End(LinkEnd::kNotConnected); });
+      loop_.Post([self = shared_from_this()] { self->End(LinkEndReason::kNotConnected); });
       return;
     }
     StartStream();
@@ -85,7 +86,7 @@
     if (ended_) {
       return false;
     }
-    std::string& queue = open_ ? queued_ : beforeHello_;
+    std::string& queue = open_ ? queuedFrames_ : framesBeforeHello_;
     const std::string frame = FramePeerMessage(aMessage);
     if (frame.size() > kMaxFrameBytes + 4 ||
         queue.size() + frame.size() > settings_.maxQueuedBytes_) {
@@ -96,27 +97,27 @@
     return true;
   }
 
-  void AddOutstanding() override
+  void AddOutstandingCall() override
   {
-    if (outstanding_++ == 0) {
-      heard_ = loop_.Now();
-      if (!watching_) {
-        Watch();
+    if (outstandingCalls_++ == 0) {
+      silentSince_ = loop_.Now();
+      if (!silenceCheckScheduled_) {
+        ScheduleSilenceCheck();
       }
     }
   }
 
-  void RemoveOutstanding() override
+  void RemoveOutstandingCall() override
   {
-    if (outstanding_ > 0) {
-      --outstanding_;
+    if (outstandingCalls_ > 0) {
+      --outstandingCalls_;
     }
   }
 
   bool IsOpen() const override { return open_ && !ended_; }
   bool IsFlushed() const override
   {
-    return ended_ || (!writing_ && queued_.empty() && beforeHello_.empty());
+    return ended_ || (!writing_ && queuedFrames_.empty() && framesBeforeHello_.empty());
   }
   const Hello& Peer() const override { return peer_; }
   const Address& PeerAddress() const override { return peerAddress_; }
@@ -129,7 +130,7 @@
     }
     ended_ = true;
     loop_.CancelTimer(handshakeTimer_);
-    loop_.CancelTimer(watchTimer_);
+    loop_.CancelTimer(silenceTimer_);
     error_code ignored;
     socket_.close(ignored);
   }
@@ -139,7 +140,7 @@
   {
     handshakeTimer_ = loop_.After(settings_.connectTimeout_, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
-        self->End(LinkEnd::kNotConnected);
+        self->End(LinkEndReason::kNotConnected);
       }
     });
   }
@@ -148,19 +149,19 @@
   {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
-    // An accepted connection has no outstanding calls to judge silence by. Probes of the system
-    // close it about a minute after its peer vanished.
+    // An accepted connection has no outstanding calls, so silence doesn't end it. TCP keep-alive
+    // probes close it about one minute after its peer has vanished.
     socket_.set_option(boost::asio::socket_base::keep_alive(true), ignored);
     socket_.set_option(KeepAliveOption<TCP_KEEPIDLE>(30), ignored);
     socket_.set_option(KeepAliveOption<TCP_KEEPINTVL>(10), ignored);
     socket_.set_option(KeepAliveOption<TCP_KEEPCNT>(3), ignored);
     connected_ = true;
-    queued_ = FramePeerMessage(settings_.own_) + queued_;
+    queuedFrames_ = FramePeerMessage(settings_.ownHello_) + queuedFrames_;
     Write();
     Read();
   }
 
-  void End(LinkEnd aEnd)
+  void End(LinkEndReason aReason)
   {
     if (ended_) {
       return;
@@ -170,27 +171,27 @@
     if (open_) {
       LogEvent(Event::kPeerDisconnected,
                { { "peer", peer_.host_.value_ },
-                 { "reason", aEnd == LinkEnd::kSilent ? "silent" : "closed" } });
+                 { "reason", aReason == LinkEndReason::kSilent ? "silent" : "closed" } });
     }
     if (events_.onEnd_) {
-      events_.onEnd_(*this, open_ ? aEnd : LinkEnd::kNotConnected);
+      events_.onEnd_(*this, open_ ? aReason : LinkEndReason::kNotConnected);
     }
   }
 
   void Write()
   {
-    if (writing_ || !connected_ || ended_ || queued_.empty()) {
+    if (writing_ || !connected_ || ended_ || queuedFrames_.empty()) {
       return;
     }
     writing_ = true;
-    output_.swap(queued_);
-    queued_.clear();
+    writeBuffer_.swap(queuedFrames_);
+    queuedFrames_.clear();
     boost::asio::async_write(socket_,
-                             boost::asio::buffer(output_),
+                             boost::asio::buffer(writeBuffer_),
                              [self = shared_from_this()](const error_code& aError, std::size_t) {
                                self->writing_ = false;
                                if (aError) {
-                                 self->End(LinkEnd::kClosed);
+                                 self->End(LinkEndReason::kClosed);
                                  return;
                                }
                                self->Write();
@@ -200,17 +201,17 @@
   void Read()
   {
     socket_.async_read_some(
-      boost::asio::buffer(chunk_),
+      boost::asio::buffer(readBuffer_),
       [self = shared_from_this()](const error_code& aError, std::size_t aBytes) {
         if (self->ended_) {
           return;
         }
         if (aError) {
-          self->End(LinkEnd::kClosed);
+          self->End(LinkEndReason::kClosed);
           return;
         }
-        self->heard_ = self->loop_.Now();
-        self->OnBytes(std::string_view(self->chunk_.data(), aBytes));
+        self->silentSince_ = self->loop_.Now();
+        self->OnBytes(std::string_view(self->readBuffer_.data(), aBytes));
         if (!self->ended_) {
           self->Read();
         }
@@ -244,7 +245,7 @@
              { { "peer", peer_.host_.value_ },
                { "address", peerAddress_.ip_ + ":" + std::to_string(peerAddress_.port_) },
                { "error", Describe(aError) } });
-    End(LinkEnd::kClosed);
+    End(LinkEndReason::kClosed);
   }
 
   void OnMessage(PeerMessage aMessage)
@@ -263,7 +264,7 @@
   void OnHello(const Hello& aHello)
   {
     if (open_ || aHello.host_.value_.empty()) {
-      RejectFrame({ ErrorCode::kFrameMalformed, "Hello", "once, with a host", {} });
+      RejectFrame({ ErrorCode::kFrameMalformed, "Hello", "exactly one, with a host", {} });
       return;
     }
     if (aHello.protocol_ != kPeerProtocolVersion) {
@@ -275,8 +276,8 @@
     open_ = true;
     loop_.CancelTimer(handshakeTimer_);
     handshakeTimer_ = 0;
-    queued_ += beforeHello_;
-    beforeHello_.clear();
+    queuedFrames_ += framesBeforeHello_;
+    framesBeforeHello_.clear();
     LogEvent(Event::kPeerConnected, { { "peer", peer_.host_.value_ } });
     if (events_.onOpen_) {
       events_.onOpen_(*this);
@@ -284,38 +285,38 @@
     Write();
   }
 
-  void Watch()
+  void ScheduleSilenceCheck()
   {
-    watching_ = true;
-    const Duration step = settings_.pingAfter_ / 2;
-    const TimePoint due = loop_.Now() + step;
-    watchTimer_ = loop_.After(step, [weak = weak_from_this(), due] {
+    silenceCheckScheduled_ = true;
+    const Duration checkInterval = settings_.pingDelay_ / 2;
+    const TimePoint dueAt = loop_.Now() + checkInterval;
+    silenceTimer_ = loop_.After(checkInterval, [weak = weak_from_this(), dueAt] {
       if (const auto self = weak.lock()) {
-        self->CheckSilence(due);
+        self->CheckSilence(dueAt);
       }
     });
   }
 
-  void CheckSilence(TimePoint aDue)
+  void CheckSilence(TimePoint aDueAt)
   {
-    watching_ = false;
-    if (outstanding_ == 0 || ended_) {
+    silenceCheckScheduled_ = false;
+    if (outstandingCalls_ == 0 || ended_) {
       return;
     }
     const TimePoint now = loop_.Now();
-    if (now - aDue > kPauseSlack) {
-      heard_ = now;
+    if (now - aDueAt > kMaxCheckDelay) {
+      silentSince_ = now;
     }
-    const Duration silence = now - heard_;
-    if (silence >= settings_.suspectAfter_) {
+    const Duration silence = now - silentSince_;
+    if (silence >= settings_.silenceTimeout_) {
       LogEvent(Event::kPeerConnectionSilent, { { "peer", peer_.host_.value_ } });
-      End(LinkEnd::kSilent);
+      End(LinkEndReason::kSilent);
       return;
     }
-    if (silence >= settings_.pingAfter_) {
-      Send(Ping{ ++pings_ });
+    if (silence >= settings_.pingDelay_) {
+      Send(Ping{ ++lastPingNonce_ });
     }
-    Watch();
+    ScheduleSilenceCheck();
   }
 
   EventLoop& loop_;
@@ -326,19 +327,20 @@
   std::uint64_t number_ = 0;
   Hello peer_;
   FrameReader reader_;
-  std::array<char, kReadBytes> chunk_;
-  std::string beforeHello_; ///< Frames that wait for the peer's Hello.
-  std::string queued_;
-  std::string output_; ///< Bytes that are being written.
-  TimePoint heard_{};  ///< Last byte received, or when the first outstanding call was added.
-  std::uint64_t pings_ = 0;
+  std::array<char, kReadBytes> readBuffer_;
+  std::string framesBeforeHello_; ///< Frames that wait until the peer's Hello arrives.
+  std::string queuedFrames_;      ///< Frames that wait until writeBuffer_ is written.
+  std::string writeBuffer_;       ///< Bytes that are being written.
+  /// Time of the last byte received, of the first outstanding call or of a late check.
+  TimePoint silentSince_{};
+  std::uint64_t lastPingNonce_ = 0;
   std::uint64_t handshakeTimer_ = 0;
-  std::uint64_t watchTimer_ = 0;
-  std::size_t outstanding_ = 0;
+  std::uint64_t silenceTimer_ = 0;
+  std::size_t outstandingCalls_ = 0;
   bool connected_ = false;
   bool open_ = false;
   bool writing_ = false;
-  bool watching_ = false;
+  bool silenceCheckScheduled_ = false;
   bool ended_ = false;
 };
 
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -319,7 +319,7 @@
   const bool own = aSender.dataCentre_ == aState.dataCentre_;
   if (own && aRequest.subtreeNodes_ > 0) {
     aState.subtreeReports_[aSender.host_] = {
-      aRequest.subtreeLeast_, aRequest.subtreeNodes_, aRequest.lagging_, aNow
+      aRequest.minSubtreeVersion_, aRequest.subtreeNodes_, aRequest.lagging_, aNow
     };
   }
   SyncReply reply;
@@ -909,7 +909,7 @@
     HandleSyncReply(aState, *reply, aNow, aEffects);
   } else if (const auto* push = std::get_if<VersionPush>(&aMessage)) {
     HandlePush(aState, *push, aNow, aEffects);
-  } else if (const auto* summary = std::get_if<Summary>(&aMessage)) {
+  } else if (const auto* summary = std::get_if<DataCentreSummary>(&aMessage)) {
     if (summary->platformReachable_) {
       aState.centreOutages_.erase(summary->dataCentre_);
     }
@@ -963,7 +963,7 @@
   LogFreshnessChange(aState, aNow, aEffects);
 }
 
-void FillSummary(const Dissemination& aState, Summary& aSummary, TimePoint aNow)
+void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow)
 {
   aSummary.version_ = aState.inForce_;
   aSummary.ageMs_ = AgeMs(aState.provenUntil_, aNow);
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -222,7 +222,7 @@
                           DisseminationEffects& aEffects);
 
 /// Sets version, freshness and platform state of a summary.
-void FillSummary(const Dissemination& aState, Summary& aSummary, TimePoint aNow);
+void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow);
 
 /// The last time at which the configuration in force is known to have been the latest; empty
 /// without a proof.
--- a/tests/standins/LoadRunnerTest.cpp
+++ b/tests/standins/LoadRunnerTest.cpp
@@ -43,7 +43,7 @@
     TargetSettings top = deep;
     top.name_ = "top";
     top.outbound_ = Address{ "127.0.0.1", deep_->Port() };
-    top.deeper_ = { "/deep/work" };
+    top.deeperPaths_ = { "/deep/work" };
     top_ = std::make_shared<TargetServer>(context_, top);
     REQUIRE(top_->Start().has_value());
     address_ = { "127.0.0.1", top_->Port() };
@@ -182,8 +182,8 @@
 {
   for (const char* name : { "foundry", "landesamt" }) {
     const FleetProfile profile = FindProfile(name);
-    CHECK(Capacity(profile) > 100);
-    CHECK(Capacity(profile, 5) < Capacity(profile) / 3);
+    CHECK(CapacityPerSecond(profile) > 100);
+    CHECK(CapacityPerSecond(profile, 5) < CapacityPerSecond(profile) / 3);
     double parts = 0;
     for (const FleetClass& kind : profile.classes_) {
       parts += kind.part_;
