--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -206,8 +206,8 @@
                        std::uint64_t aWallMs,
                        DisseminationEffects& aEffects);
 
-/// Handles SyncRequest, SyncReply, VersionPush and the platform state in Summary, and ignores other
-/// messages. aFrom is the address that replies are sent to.
+/// Handles SyncRequest, SyncReply, VersionPush and the platform state in DataCentreSummary, and
+/// ignores other messages. aFrom is the address that replies are sent to.
 void HandleVersionMessage(Dissemination& aState,
                           const Hello& aSender,
                           const Address& aFrom,
--- a/peridotquay/version/Membership.h
+++ b/peridotquay/version/Membership.h
@@ -181,8 +181,8 @@
 /// Does the work that is due: joining, probes, suspicion, tombstones, anti-entropy, summaries.
 void StepMembership(Membership& aState, TimePoint aNow, MembershipEffects& aEffects);
 
-/// Handles Probe, ProbeAck, ProbeRequest, MemberTable and Summary, and ignores other messages.
-/// aFrom is the address that replies are sent to.
+/// Handles Probe, ProbeAck, ProbeRequest, MemberTable and DataCentreSummary, and ignores other
+/// messages. aFrom is the address that replies are sent to.
 void HandleMembershipMessage(Membership& aState,
                              const Address& aFrom,
                              const PeerMessage& aMessage,
