--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -61,7 +61,7 @@
   const auto fresh = FreshUntil(dissemination);
   status.freshnessAgeMs_ =
     fresh ? static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *fresh).count())
-          : kNoProof;
+          : kUnknownAgeMs;
   status.delegate_ = IsDelegate(dissemination);
   status.platformReachable_ = dissemination.platformReachable_;
   status.minDataCentreVersion_ = dissemination.watermark_;
@@ -76,7 +76,7 @@
     ->request(aSelf->state.platformActor_, caf::infinite, PlatformCallRequest{ std::move(aCall) })
     .then([aSelf](const PlatformAnswer& aAnswer) {
       DisseminationEffects effects;
-      HandleVersionAnswer(aSelf->state.dissemination_, aAnswer, aSelf->clock().now(), effects);
+      HandlePlatformAnswer(aSelf->state.dissemination_, aAnswer, aSelf->clock().now(), effects);
       ApplyEffects(aSelf, effects);
     });
 }
@@ -85,7 +85,7 @@
 {
   auto& state = aSelf->state;
   const auto& callbacks = state.context_.callbacks_;
-  if (aEffects.config_ != nullptr || aEffects.freshness_) {
+  if (aEffects.config_ != nullptr || aEffects.freshUntil_) {
     PublishStatus(state, aSelf->clock().now());
   }
   // The configuration is published first: freshness must never be published for a version that
@@ -94,8 +94,8 @@
     callbacks.publishConfig_(aEffects.config_);
     aSelf->send(state.shareActor_, ConfigUpdate{ aEffects.config_ });
   }
-  if (aEffects.freshness_) {
-    callbacks.publishFreshness_(*aEffects.freshness_);
+  if (aEffects.freshUntil_) {
+    callbacks.publishFreshness_(*aEffects.freshUntil_);
   }
   for (auto& message : aEffects.messages_) {
     callbacks.sendPeer_(message.to_, std::move(message.message_));
@@ -152,7 +152,8 @@
     },
     [=](SummaryBatch& aBatch) {
       for (auto& message : aBatch.summaries_) {
-        FillSummary(aSelf->state.dissemination_, std::get<Summary>(message.message_), now());
+        FillSummary(
+          aSelf->state.dissemination_, std::get<DataCentreSummary>(message.message_), now());
         aSelf->state.context_.callbacks_.sendPeer_(message.to_, std::move(message.message_));
       }
     },
