--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -1,4 +1,5 @@
-// Actor around dissemination.
+// Actor that runs dissemination and publishes the configuration and its freshness to the data
+// plane.
 #include "peridotquay/process/ControlActor.h"
 #include "peridotquay/process/Events.h"
 
@@ -13,18 +14,18 @@
 struct VersionActorState
 {
   ControlContext context_;
-  Dissemination versions_;
-  caf::actor platform_;
-  caf::actor shares_;
-  caf::actor membership_; ///< Empty until it is told.
+  Dissemination dissemination_;
+  caf::actor platformActor_;
+  caf::actor shareActor_;
+  caf::actor membershipActor_; ///< Empty until the message that sets it arrives.
 };
 
 using VersionActor = caf::stateful_actor<VersionActorState>;
 
-std::uint64_t WallMs()
+std::uint64_t WallClockMs()
 {
-  const auto since = std::chrono::system_clock::now().time_since_epoch();
-  return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(since).count());
+  const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
+  return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(sinceEpoch).count());
 }
 
 void LogDisseminationEvent(const DisseminationEvent& aEvent)
@@ -54,104 +55,109 @@
 
 void PublishStatus(const VersionActorState& aState, TimePoint aNow)
 {
-  const auto& versions = aState.versions_;
+  const auto& dissemination = aState.dissemination_;
   ControlStatus status;
-  status.version_ = versions.inForce_;
-  const auto fresh = FreshUntil(versions);
+  status.version_ = dissemination.inForce_;
+  const auto fresh = FreshUntil(dissemination);
   status.freshnessAgeMs_ =
     fresh ? static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *fresh).count())
           : kUnknownAgeMs;
-  status.delegate_ = IsDelegate(versions);
-  status.platformReachable_ = versions.platformReachable_;
-  status.minDataCentreVersion_ = versions.watermark_;
+  status.delegate_ = IsDelegate(dissemination);
+  status.platformReachable_ = dissemination.platformReachable_;
+  status.minDataCentreVersion_ = dissemination.watermark_;
   aState.context_.status_->versions_.store(std::make_shared<const ControlStatus>(status));
 }
 
-void CarryOut(VersionActor* aSelf, DisseminationEffects& aEffects);
+void ApplyEffects(VersionActor* aSelf, DisseminationEffects& aEffects);
 
-void Ask(VersionActor* aSelf, PlatformCall aCall)
+void StartPlatformCall(VersionActor* aSelf, PlatformCall aCall)
 {
-  aSelf->request(aSelf->state.platform_, caf::infinite, PlatformCallRequest{ std::move(aCall) })
+  aSelf
+    ->request(aSelf->state.platformActor_, caf::infinite, PlatformCallRequest{ std::move(aCall) })
     .then([aSelf](const PlatformAnswer& aAnswer) {
       DisseminationEffects effects;
-      HandlePlatformAnswer(aSelf->state.versions_, aAnswer, aSelf->clock().now(), effects);
-      CarryOut(aSelf, effects);
+      HandlePlatformAnswer(aSelf->state.dissemination_, aAnswer, aSelf->clock().now(), effects);
+      ApplyEffects(aSelf, effects);
     });
 }
 
-void CarryOut(VersionActor* aSelf, DisseminationEffects& aEffects)
+void ApplyEffects(VersionActor* aSelf, DisseminationEffects& aEffects)
 {
   auto& state = aSelf->state;
-  const auto& port = state.context_.port_;
+  const auto& callbacks = state.context_.callbacks_;
   if (aEffects.config_ != nullptr || aEffects.freshUntil_) {
     PublishStatus(state, aSelf->clock().now());
   }
-  // The configuration goes first: freshness must never be published for a version not in force yet.
+  // The configuration is published first: freshness must never be published for a version that
+  // isn't in force yet.
   if (aEffects.config_ != nullptr) {
-    port.publishConfig_(aEffects.config_);
-    aSelf->send(state.shares_, ConfigUpdate{ aEffects.config_ });
+    callbacks.publishConfig_(aEffects.config_);
+    aSelf->send(state.shareActor_, ConfigUpdate{ aEffects.config_ });
   }
   if (aEffects.freshUntil_) {
-    port.publishFreshness_(*aEffects.freshUntil_);
+    callbacks.publishFreshness_(*aEffects.freshUntil_);
   }
   for (auto& message : aEffects.messages_) {
-    port.sendPeer_(message.to_, std::move(message.message_));
+    callbacks.sendPeer_(message.to_, std::move(message.message_));
   }
-  if (!aEffects.contacts_.empty() && state.membership_) {
-    aSelf->send(state.membership_, ContactUpdate{ std::move(aEffects.contacts_) });
+  if (!aEffects.contacts_.empty() && state.membershipActor_) {
+    aSelf->send(state.membershipActor_, ContactUpdate{ std::move(aEffects.contacts_) });
   }
   for (const auto& event : aEffects.events_) {
     LogDisseminationEvent(event);
   }
   if (aEffects.call_) {
-    Ask(aSelf, std::move(*aEffects.call_));
+    StartPlatformCall(aSelf, std::move(*aEffects.call_));
   }
 }
 
-// Address that answers reach: the member's own one if known, since a connection's remote address
-// may be an ephemeral port.
-Address ReplyAddress(const VersionActorState& aState, const ReceivedPeerMessage& aArrival)
+// Address for answers: the one that the member announced, if it is known. The remote address of a
+// connection may have an ephemeral port.
+Address ReplyAddress(const VersionActorState& aState, const ReceivedPeerMessage& aReceived)
 {
-  const auto& ranking = aState.versions_.ranking_;
+  const auto& ranking = aState.dissemination_.ranking_;
   if (ranking != nullptr) {
-    const auto found = ranking->addresses_.find(aArrival.from_.host_);
+    const auto found = ranking->addresses_.find(aReceived.from_.host_);
     if (found != ranking->addresses_.end()) {
       return found->second;
     }
   }
-  return aArrival.peer_;
+  return aReceived.peer_;
 }
 
-caf::behavior RunVersions(VersionActor* aSelf)
+caf::behavior MakeVersionBehavior(VersionActor* aSelf)
 {
   const auto now = [aSelf] { return aSelf->clock().now(); };
   aSelf->send(aSelf, TickAtom::value);
   return {
     [=](TickAtom) {
-      aSelf->delayed_send(aSelf, kControlStep, TickAtom::value);
+      aSelf->delayed_send(aSelf, kControlTickInterval, TickAtom::value);
       DisseminationEffects effects;
-      StepDissemination(aSelf->state.versions_, now(), WallMs(), effects);
-      CarryOut(aSelf, effects);
+      StepDissemination(aSelf->state.dissemination_, now(), WallClockMs(), effects);
+      ApplyEffects(aSelf, effects);
       PublishStatus(aSelf->state, now());
     },
-    [=](const ReceivedPeerMessage& aArrival) {
+    [=](const ReceivedPeerMessage& aReceived) {
       DisseminationEffects effects;
-      HandleVersionMessage(aSelf->state.versions_,
-                           aArrival.from_,
-                           ReplyAddress(aSelf->state, aArrival),
-                           aArrival.message_,
+      HandleVersionMessage(aSelf->state.dissemination_,
+                           aReceived.from_,
+                           ReplyAddress(aSelf->state, aReceived),
+                           aReceived.message_,
                            now(),
                            effects);
-      CarryOut(aSelf, effects);
+      ApplyEffects(aSelf, effects);
+    },
+    [=](const RankingUpdate& aUpdate) {
+      SetRanking(aSelf->state.dissemination_, aUpdate.ranking_, now());
     },
-    [=](const RankingUpdate& aNews) { SetRanking(aSelf->state.versions_, aNews.ranking_, now()); },
     [=](SummaryBatch& aBatch) {
       for (auto& message : aBatch.summaries_) {
-        FillSummary(aSelf->state.versions_, std::get<DataCentreSummary>(message.message_), now());
-        aSelf->state.context_.port_.sendPeer_(message.to_, std::move(message.message_));
+        FillSummary(
+          aSelf->state.dissemination_, std::get<DataCentreSummary>(message.message_), now());
+        aSelf->state.context_.callbacks_.sendPeer_(message.to_, std::move(message.message_));
       }
     },
-    [=](const caf::actor& aMembership) { aSelf->state.membership_ = aMembership; },
+    [=](const caf::actor& aMembershipActor) { aSelf->state.membershipActor_ = aMembershipActor; },
   };
 }
 
@@ -160,15 +166,15 @@
 caf::actor SpawnVersionActor(caf::actor_system& aSystem,
                              const ControlContext& aContext,
                              const Dissemination& aState,
-                             const caf::actor& aPlatform,
-                             const caf::actor& aShares)
+                             const caf::actor& aPlatformActor,
+                             const caf::actor& aShareActor)
 {
   return aSystem.spawn([=](VersionActor* aSelf) {
     aSelf->state.context_ = aContext;
-    aSelf->state.versions_ = aState;
-    aSelf->state.platform_ = aPlatform;
-    aSelf->state.shares_ = aShares;
-    return RunVersions(aSelf);
+    aSelf->state.dissemination_ = aState;
+    aSelf->state.platformActor_ = aPlatformActor;
+    aSelf->state.shareActor_ = aShareActor;
+    return MakeVersionBehavior(aSelf);
   });
 }
 
--- a/peridotquay/process/ShareLedger.cpp
+++ b/peridotquay/process/ShareLedger.cpp
@@ -1,4 +1,4 @@
-// Refill, grants, settlement and expiry.
+// Refills token buckets, grants tokens, and settles or expires grants.
 #include "peridotquay/process/ShareLedger.h"
 
 #include <algorithm>
@@ -9,33 +9,34 @@
 
 namespace {
 
-// Absorbs rounding of sums of fractions in comparisons.
+// Tolerance in tokens for rounding errors in comparisons.
 constexpr double kEpsilon = 1e-9;
 
-// Share of the last period in the moving average: it follows a change within about 3 s.
-constexpr double kUseWeight = 0.3;
+// Weight of the last period in the moving average of use, which follows a change within about 3 s.
+constexpr double kUseAverageWeight = 0.3;
 
+// Limits the level to what the burst leaves beside the outstanding tokens.
 void CapLevel(AccountLedger& aAccount)
 {
-  const double room = std::max(0.0, aAccount.limit_.burst_ - aAccount.outstanding_);
-  aAccount.level_ = std::min(aAccount.level_, room);
+  const double maxLevel = std::max(0.0, aAccount.limit_.burst_ - aAccount.outstanding_);
+  aAccount.level_ = std::min(aAccount.level_, maxLevel);
 }
 
-// Tokens that a host kept after its clock ended the grant are lost, never returned: a return after
-// the level was refilled would exceed the burst.
-void Expire(AccountLedger& aAccount, TimePoint aNow)
+// Removes expired grants and counts their tokens as used. The tokens are never returned to the
+// level: the refill may have replaced them already, and a return would then exceed the burst.
+void ExpireGrants(AccountLedger& aAccount, TimePoint aNow)
 {
-  if (aNow < aAccount.nextExpiry_) {
+  if (aNow < aAccount.nextExpiryAt_) {
     return;
   }
-  aAccount.nextExpiry_ = TimePoint::max();
+  aAccount.nextExpiryAt_ = TimePoint::max();
   for (auto it = aAccount.grants_.begin(); it != aAccount.grants_.end();) {
-    if (it->second.expires_ <= aNow) {
+    if (it->second.expiresAt_ <= aNow) {
       aAccount.outstanding_ -= it->second.tokens_;
       aAccount.usedInPeriod_ += it->second.tokens_;
       it = aAccount.grants_.erase(it);
     } else {
-      aAccount.nextExpiry_ = std::min(aAccount.nextExpiry_, it->second.expires_);
+      aAccount.nextExpiryAt_ = std::min(aAccount.nextExpiryAt_, it->second.expiresAt_);
       ++it;
     }
   }
@@ -44,24 +45,26 @@
   }
 }
 
-// Adds what accrued since the last refill. The cap counts outstanding tokens.
+// Adds the tokens that accrued since the last refill, up to the burst less the outstanding tokens.
 void Refill(AccountLedger& aAccount, TimePoint aNow)
 {
-  if (aNow > aAccount.refilled_) {
-    aAccount.level_ += aAccount.limit_.ratePerSecond_ * ToSeconds(aNow - aAccount.refilled_);
-    aAccount.refilled_ = aNow;
+  if (aNow > aAccount.refilledAt_) {
+    aAccount.level_ += aAccount.limit_.ratePerSecond_ * ToSeconds(aNow - aAccount.refilledAt_);
+    aAccount.refilledAt_ = aNow;
   }
   CapLevel(aAccount);
 }
 
-void Settle(AccountLedger& aAccount, const HostId& aHost, const ShareRequest& aRequest)
+// Ends the grant that the request reports on and returns its unused tokens to the level. Reports on
+// an expired grant or on a grant of another host are ignored.
+void SettleGrant(AccountLedger& aAccount, const HostId& aHost, const ShareRequest& aRequest)
 {
   const auto found = aAccount.grants_.find(aRequest.grant_);
   if (found == aAccount.grants_.end() || found->second.host_ != aHost) {
     return;
   }
   const double tokens = found->second.tokens_;
-  // Anything but a number counts as all used.
+  // NaN and infinity count as all tokens used.
   const double used =
     std::isfinite(aRequest.used_) ? std::clamp(aRequest.used_, 0.0, tokens) : tokens;
   aAccount.outstanding_ -= tokens;
@@ -73,9 +76,10 @@
   }
 }
 
-// Grants of small bursts live shorter. Used tokens count as outstanding until they are reported, so
-// with a lifetime above burst / rate the refill would stand still while hosts hold used grants.
-Duration GrantLifetime(const AccountLedger& aAccount)
+// Lifetime of a grant: half of the time that refills the burst, within the minimum and maximum.
+// Used tokens count as outstanding until they are reported or expire, so with a lifetime above
+// burst / rate the refill would stop while hosts hold used grants.
+Duration LifetimeOfGrants(const AccountLedger& aAccount)
 {
   const double refillSeconds =
     aAccount.limit_.burst_ / std::max(aAccount.limit_.ratePerSecond_, kEpsilon);
@@ -84,28 +88,31 @@
                   kMinGrantLifetime);
 }
 
+// Time after which a refused host should ask again: when the next token has accrued or, if the
+// burst leaves no room for one, when the outstanding grants have expired.
 std::uint32_t RetryAfterMs(const AccountLedger& aAccount, TimePoint aNow)
 {
-  constexpr double kLongestMs = 1000;
-  double waitMs = kLongestMs;
+  constexpr double kMaxRetryAfterMs = 1000;
+  double waitMs = kMaxRetryAfterMs;
   const auto& limit = aAccount.limit_;
   if (limit.ratePerSecond_ > 0 && limit.burst_ >= 1) {
     waitMs = (1 - aAccount.level_) / limit.ratePerSecond_ * 1000;
   }
-  // Without room below the burst, the next expiry frees some.
+  // No token can accrue before outstanding grants expire.
   if (aAccount.level_ + aAccount.outstanding_ + 1 > limit.burst_) {
     for (const auto& [id, grant] : aAccount.grants_) {
-      waitMs = std::max(waitMs, std::min(kLongestMs, ToSeconds(grant.expires_ - aNow) * 1000));
+      waitMs =
+        std::max(waitMs, std::min(kMaxRetryAfterMs, ToSeconds(grant.expiresAt_ - aNow) * 1000));
     }
   }
-  return static_cast<std::uint32_t>(std::ceil(std::clamp(waitMs, 1.0, kLongestMs)));
+  return static_cast<std::uint32_t>(std::ceil(std::clamp(waitMs, 1.0, kMaxRetryAfterMs)));
 }
 
 } // namespace
 
 void UpdateAccount(AccountLedger& aAccount, TimePoint aNow)
 {
-  Expire(aAccount, aNow);
+  ExpireGrants(aAccount, aNow);
   Refill(aAccount, aNow);
 }
 
@@ -117,7 +124,7 @@
   const auto [it, added] = aLedger.accounts_.try_emplace(aAccount);
   auto& account = it->second;
   if (added) {
-    account.refilled_ = aNow;
+    account.refilledAt_ = aNow;
   }
   UpdateAccount(account, aNow);
   account.limit_ = aLimit;
@@ -127,7 +134,7 @@
 ShareGrant GrantTokens(ShareLedger& aLedger,
                        const HostId& aHost,
                        const ShareRequest& aRequest,
-                       Duration aLongest,
+                       Duration aMaxLifetime,
                        TimePoint aNow)
 {
   ShareGrant grant;
@@ -139,24 +146,25 @@
     return grant;
   }
   auto& account = found->second;
-  Expire(account, aNow);
-  Settle(account, aHost, aRequest);
+  ExpireGrants(account, aNow);
+  SettleGrant(account, aHost, aRequest);
   Refill(account, aNow);
   const double wanted = std::isfinite(aRequest.wanted_) ? std::floor(aRequest.wanted_) : 0;
   if (wanted < 1) {
     return grant;
   }
-  const auto lifetime = std::min(GrantLifetime(account), aLongest);
-  // Also short if the halving keeps the level up while hosts get less than they want.
-  const bool low =
+  const auto lifetime = std::min(LifetimeOfGrants(account), aMaxLifetime);
+  // Because a grant is at most half of the level, hosts may get less than they want while the level
+  // never reaches zero. That counts as a shortage too.
+  const bool levelLow =
     account.level_ < account.limit_.burst_ / 2 && wanted > std::floor(account.level_ / 2);
-  if (low || wanted > std::floor(account.level_ + kEpsilon)) {
-    account.short_ = aNow;
+  if (levelLow || wanted > std::floor(account.level_ + kEpsilon)) {
+    account.lastShortAt_ = aNow;
     account.everShort_ = true;
   }
-  // Half of the level at most, so that the first host to ask doesn't starve the others.
-  const double most = std::max(1.0, std::floor(account.level_ / 2));
-  const double tokens = std::min({ wanted, most, std::floor(account.level_ + kEpsilon) });
+  // At most half of the level, so that the first host that asks doesn't starve the others.
+  const double maxTokens = std::max(1.0, std::floor(account.level_ / 2));
+  const double tokens = std::min({ wanted, maxTokens, std::floor(account.level_ + kEpsilon) });
   if (tokens < 1 || lifetime < kMinGrantLifetime) {
     grant.retryAfterMs_ = RetryAfterMs(account, aNow);
     return grant;
@@ -168,7 +176,7 @@
   account.level_ = std::max(0.0, account.level_ - tokens);
   account.outstanding_ += tokens;
   account.grants_[grant.grant_] = { aHost, tokens, aNow + lifetime };
-  account.nextExpiry_ = std::min(account.nextExpiry_, aNow + lifetime);
+  account.nextExpiryAt_ = std::min(account.nextExpiryAt_, aNow + lifetime);
   assert(account.level_ + account.outstanding_ <= account.limit_.burst_ + 1e-6 ||
          account.level_ == 0);
   return grant;
@@ -190,11 +198,11 @@
 
 void EndUsePeriod(ShareLedger& aLedger, Duration aPeriod, TimePoint aNow)
 {
-  const double length = std::max(ToSeconds(aPeriod), kEpsilon);
+  const double periodSeconds = std::max(ToSeconds(aPeriod), kEpsilon);
   for (auto& [id, account] : aLedger.accounts_) {
     UpdateAccount(account, aNow);
-    const double use = account.usedInPeriod_ / length;
-    account.usePerSecond_ += kUseWeight * (use - account.usePerSecond_);
+    const double usePerSecond = account.usedInPeriod_ / periodSeconds;
+    account.usePerSecond_ += kUseAverageWeight * (usePerSecond - account.usePerSecond_);
     account.usedInPeriod_ = 0;
   }
 }
--- a/tests/process/ControlActorTest.cpp
+++ b/tests/process/ControlActorTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the actors with a paused clock: nothing happens unless the test advances the time.
+// Tests of the control actors with a clock that moves only when the test advances it.
 #include "peridotquay/process/ControlActor.h"
 
 #include "tests/version/FakePlatform.h"
@@ -17,32 +17,32 @@
   TestConfig() { set("scheduler.policy", caf::atom("testing")); }
 };
 
-// One node whose three actors run in the test's thread, with a platform that answers at once.
-class PausedNode
+// Node whose actors run in the test's thread, with a platform that answers at once.
+class ManualClockNode
 {
 public:
-  PausedNode()
+  ManualClockNode()
     : system_(config_)
     , scheduler_(dynamic_cast<caf::scheduler::test_coordinator&>(system_.scheduler()))
   {
     scheduler_.advance_time(seconds(1000));
     ControlContext context{ {}, std::make_shared<ControlStatusSlots>() };
-    context.port_.sendPeer_ = [this](const Address&, PeerMessage) { ++sent_; };
-    context.port_.sendDatagram_ = [this](const Address&, PeerMessage) { ++sent_; };
-    context.port_.publishConfig_ = [this](std::shared_ptr<const Config> aConfig) {
-      config_ptr_ = std::move(aConfig);
+    context.callbacks_.sendPeer_ = [this](const Address&, PeerMessage) { ++messagesSent_; };
+    context.callbacks_.sendDatagram_ = [this](const Address&, PeerMessage) { ++messagesSent_; };
+    context.callbacks_.publishConfig_ = [this](std::shared_ptr<const Config> aConfig) {
+      publishedConfig_ = std::move(aConfig);
     };
-    context.port_.publishTargets_ = [this](std::shared_ptr<const TargetView> aView) {
-      view_ = std::move(aView);
+    context.callbacks_.publishTargets_ = [this](std::shared_ptr<const TargetView> aView) {
+      publishedTargets_ = std::move(aView);
     };
-    context.port_.publishFreshness_ = [this](TimePoint aTime) { fresh_ = aTime; };
-    context.port_.deliverGrant_ = [this](ShareGrant aGrant, TimePoint aAsked) {
+    context.callbacks_.publishFreshness_ = [this](TimePoint aTime) { publishedFreshness_ = aTime; };
+    context.callbacks_.deliverGrant_ = [this](ShareGrant aGrant, TimePoint aAsked) {
       grant_ = std::move(aGrant);
       asked_ = aAsked;
     };
     const auto platform = system_.spawn([this](caf::event_based_actor* aSelf) -> caf::behavior {
-      return { [this, aSelf](const PlatformCallRequest& aJob) {
-        auto answer = RunPlatformCall(platform_, aJob.call_);
+      return { [this, aSelf](const PlatformCallRequest& aRequest) {
+        auto answer = RunPlatformCall(platform_, aRequest.call_);
         answer.startedAt_ = aSelf->clock().now();
         answer.finishedAt_ = aSelf->clock().now();
         return answer;
@@ -64,7 +64,7 @@
     scheduler_.run();
   }
 
-  ~PausedNode()
+  ~ManualClockNode()
   {
     for (const auto& actor : { membership_, versions_, shares_ }) {
       caf::anon_send_exit(actor, caf::exit_reason::user_shutdown);
@@ -72,8 +72,8 @@
     scheduler_.run();
   }
 
-  PausedNode(const PausedNode&) = delete;
-  PausedNode& operator=(const PausedNode&) = delete;
+  ManualClockNode(const ManualClockNode&) = delete;
+  ManualClockNode& operator=(const ManualClockNode&) = delete;
 
   TimePoint Now() { return scheduler_.clock().now(); }
 
@@ -85,14 +85,14 @@
     }
   }
 
-  // Time passes without a chance to act, as in a paused process.
+  // Advances the time in one step, in which no actor runs, as in a paused process.
   void Pause(Duration aLength)
   {
     scheduler_.advance_time(aLength);
     scheduler_.run();
   }
 
-  double Ask(double aWanted)
+  double RequestTokens(double aWanted)
   {
     grant_.reset();
     caf::anon_send(shares_, TokenRequest{ { 77, { "mill" }, 0, 0, aWanted }, Now() });
@@ -100,7 +100,7 @@
     return grant_ ? grant_->tokens_ : -1;
   }
 
-  void Accept(Version aVersion, const std::string& aAccount)
+  void CommitVersion(Version aVersion, const std::string& aAccount)
   {
     Change change;
     change.version_ = aVersion;
@@ -113,12 +113,12 @@
   }
 
   FakePlatform platform_;
-  std::shared_ptr<const Config> config_ptr_;
-  std::shared_ptr<const TargetView> view_;
-  std::optional<TimePoint> fresh_;
+  std::shared_ptr<const Config> publishedConfig_;
+  std::shared_ptr<const TargetView> publishedTargets_;
+  std::optional<TimePoint> publishedFreshness_;
   std::optional<ShareGrant> grant_;
   TimePoint asked_{};
-  int sent_ = 0;
+  int messagesSent_ = 0;
   TestConfig config_;
   caf::actor_system system_;
   caf::scheduler::test_coordinator& scheduler_;
@@ -129,55 +129,55 @@
 
 } // namespace
 
-// Guards against a timer that doesn't use the actor clock, and against a version that isn't
-// published within a poll.
-TEST_CASE("actors follow the platform by the actor clock", "[actors]")
+// Guards against a timer that doesn't use the clock of the actor system, and against a new version
+// that isn't published within 700 ms.
+TEST_CASE("actors poll the platform by the clock of the actor system", "[actors]")
 {
-  PausedNode node;
-  node.Accept(1, R"({"burst":20,"rate":10})");
+  ManualClockNode node;
+  node.CommitVersion(1, R"({"burst":20,"rate":10})");
   node.Advance(seconds(1));
-  REQUIRE(node.config_ptr_ != nullptr);
-  CHECK(node.config_ptr_->version_ == 1);
-  CHECK(node.view_->hosts_.size() == 1);
-  node.Accept(2, R"({"burst":20,"rate":11})");
+  REQUIRE(node.publishedConfig_ != nullptr);
+  CHECK(node.publishedConfig_->version_ == 1);
+  CHECK(node.publishedTargets_->hosts_.size() == 1);
+  node.CommitVersion(2, R"({"burst":20,"rate":11})");
   node.scheduler_.run();
-  CHECK(node.config_ptr_->version_ == 1);
+  CHECK(node.publishedConfig_->version_ == 1);
   node.Advance(milliseconds(700));
-  CHECK(node.config_ptr_->version_ == 2);
-  CHECK(node.Now() - *node.fresh_ <= milliseconds(700));
+  CHECK(node.publishedConfig_->version_ == 2);
+  CHECK(node.Now() - *node.publishedFreshness_ <= milliseconds(700));
 }
 
-// Guards against freshness that goes on while the platform is away, in a data centre without
-// others.
-TEST_CASE("freshness stops with the platform", "[actors]")
+// Guards against freshness that advances while the only node of a data centre can't reach the
+// platform.
+TEST_CASE("freshness doesn't advance in a platform outage", "[actors]")
 {
-  PausedNode node;
-  node.Accept(1, R"({"burst":20,"rate":10})");
+  ManualClockNode node;
+  node.CommitVersion(1, R"({"burst":20,"rate":10})");
   node.Advance(seconds(2));
   node.platform_.down_ = true;
-  const auto before = *node.fresh_;
+  const auto before = *node.publishedFreshness_;
   node.Advance(seconds(30));
-  CHECK(*node.fresh_ == before);
+  CHECK(*node.publishedFreshness_ == before);
   node.platform_.down_ = false;
   node.Advance(seconds(1));
-  CHECK(*node.fresh_ > before + seconds(29));
+  CHECK(*node.publishedFreshness_ > before + seconds(29));
 }
 
-// Guards against a leader that grants from a lease that ended while its process was paused, and
-// against grants counted from a later time than that of the request.
-TEST_CASE("a paused leader grants nothing from an expired lease", "[actors]")
+// Guards against a share leader that grants tokens under a lease that ended while its process was
+// paused, and against a grant whose lifetime is counted from a later time than the request.
+TEST_CASE("a share leader grants nothing after its lease ended during a pause", "[actors]")
 {
-  PausedNode node;
-  node.Accept(1, R"({"burst":20,"rate":10})");
+  ManualClockNode node;
+  node.CommitVersion(1, R"({"burst":20,"rate":10})");
   node.Advance(seconds(6));
   const auto asked = node.Now();
-  CHECK(node.Ask(2) == 2);
+  CHECK(node.RequestTokens(2) == 2);
   CHECK(node.grant_->nonce_ == 77);
   CHECK(node.asked_ == asked);
   node.platform_.down_ = true;
   node.Pause(seconds(700));
-  CHECK(node.Ask(2) == 0);
+  CHECK(node.RequestTokens(2) == 0);
   node.platform_.down_ = false;
   node.Advance(seconds(3));
-  CHECK(node.Ask(2) == 2);
+  CHECK(node.RequestTokens(2) == 2);
 }
