--- a/programs/quayload.cpp
+++ b/programs/quayload.cpp
@@ -111,7 +111,7 @@
   return 0;
 }
 
-nlohmann::json LatencyJson(const std::vector<LatencyTurn>& aTurns)
+nlohmann::json LatencyJson(const std::vector<LatencyComparison>& aTurns)
 {
   nlohmann::json json;
   for (const double rate : { 253.0, 2530.0 }) {
@@ -120,16 +120,16 @@
     std::vector<double> p99;
     std::vector<double> ratio;
     std::uint64_t failed = 0;
-    for (const LatencyTurn& turn : aTurns) {
+    for (const LatencyComparison& turn : aTurns) {
       if (turn.rate_ == rate) {
-        p50.push_back(turn.throughP50Ms_ - turn.directP50Ms_);
-        p99.push_back(turn.throughP99Ms_ - turn.directP99Ms_);
-        ratio.push_back(turn.directP99Ms_ > 0 ? turn.throughP99Ms_ / turn.directP99Ms_ : 0);
+        p50.push_back(turn.proxiedP50Ms_ - turn.directP50Ms_);
+        p99.push_back(turn.proxiedP99Ms_ - turn.directP99Ms_);
+        ratio.push_back(turn.directP99Ms_ > 0 ? turn.proxiedP99Ms_ / turn.directP99Ms_ : 0);
         failed += turn.failed_;
         entry["turns"].push_back({ { "direct_p50_ms", turn.directP50Ms_ },
                                    { "direct_p99_ms", turn.directP99Ms_ },
-                                   { "through_p50_ms", turn.throughP50Ms_ },
-                                   { "through_p99_ms", turn.throughP99Ms_ } });
+                                   { "through_p50_ms", turn.proxiedP50Ms_ },
+                                   { "through_p99_ms", turn.proxiedP99Ms_ } });
       }
     }
     entry["added_p50_ms"] = SpreadJson(p50);
@@ -164,7 +164,7 @@
 int RunChanges(const ExperimentSettings& aSettings)
 {
   constexpr int kCount = 30;
-  const auto measured = MeasureChanges(aSettings, kCount);
+  const auto measured = MeasureConfigChangeTimes(aSettings, kCount);
   if (!measured) {
     std::cerr << "quayload: " << Describe(measured.assume_error()) << "\n";
     return kExitFailed;
@@ -184,16 +184,16 @@
 int RunQuiet(const ExperimentSettings& aSettings)
 {
   constexpr int kSeconds = 10;
-  const auto measured = MeasureQuiet(aSettings, kSeconds);
+  const auto measured = MeasureIdleCost(aSettings, kSeconds);
   if (!measured) {
     std::cerr << "quayload: " << Describe(measured.assume_error()) << "\n";
     return kExitFailed;
   }
-  const QuietCost& cost = measured.assume_value();
+  const IdleNodeCost& cost = measured.assume_value();
   const nlohmann::json json{ { "scenario", "quiet" },
-                             { "mean_core", cost.meanCore_ },
-                             { "most_core", cost.mostCore_ },
-                             { "most_megabytes", cost.mostMegabytes_ } };
+                             { "mean_core", cost.meanCpuFraction_ },
+                             { "most_core", cost.maxCpuFraction_ },
+                             { "most_megabytes", cost.maxResidentMegabytes_ } };
   std::cout << json.dump(2) << "\n";
   return 0;
 }
@@ -222,13 +222,13 @@
   const bool asJson = absl::GetFlag(FLAGS_json);
   nlohmann::json json{ { "scenario", settings.scenario_ },
                        { "profile", settings.profile_.name_ },
-                       { "scale", settings.profile_.scale_ },
+                       { "scale", settings.profile_.scaleDescription_ },
                        { "seed", absl::GetFlag(FLAGS_seed) },
-                       { "capacity_per_s", Capacity(settings.profile_) } };
+                       { "capacity_per_s", CapacityPerSecond(settings.profile_) } };
   if (!asJson) {
     std::cout << settings.scenario_ << " on " << settings.profile_.name_ << ", capacity "
-              << Capacity(settings.profile_)
-              << " whole requests/s\nscale: " << settings.profile_.scale_ << std::endl;
+              << CapacityPerSecond(settings.profile_)
+              << " whole requests/s\nscale: " << settings.profile_.scaleDescription_ << std::endl;
   }
   std::vector<double> product;
   std::vector<double> naive;
@@ -248,7 +248,7 @@
       }
       const LoadReport& value = report.assume_value();
       (isNaive ? naive : product).push_back(MainPhaseGoodput(value));
-      const bool keyEnded = value.withdrawnServedSeconds_.value_or(0) <= kMaxWithdrawnKeySeconds;
+      const bool keyEnded = value.withdrawnKeyServedSeconds_.value_or(0) <= kMaxWithdrawnKeySeconds;
       holds = holds && (isNaive || (value.history_.Holds() && keyEnded));
       auto entry = nlohmann::json::parse(ReportJson(value));
       entry["seed"] = settings.seed_;
--- a/standins/lib/Fleet.cpp
+++ b/standins/lib/Fleet.cpp
@@ -257,7 +257,7 @@
         return Fail(ErrorCode::kDeadlineExceeded, host.name_ + " serves no whole request", last);
       }
       const std::string target = "/" + profile.services_.front().name_ + "/" + kind->name_;
-      HttpQuery query{ "GET", target, { { "Quay-Key", profile.accounts_[0].key_ } }, "" };
+      FetchRequest query{ "GET", target, { { "Quay-Key", profile.accounts_[0].key_ } }, "" };
       query.timeout_ = seconds(5);
       const auto reply = FetchHttp(host.callers_, query);
       const bool served = reply && reply.assume_value().status_ == 200;
@@ -383,7 +383,7 @@
     if (host.killed_) {
       continue;
     }
-    HttpQuery query{ "GET", "/executions", {}, "" };
+    FetchRequest query{ "GET", "/executions", {}, "" };
     query.timeout_ = seconds(20);
     const auto reply = FetchHttp(host.target_, query);
     if (!reply) {
--- a/standins/lib/FleetHttp.cpp
+++ b/standins/lib/FleetHttp.cpp
@@ -97,7 +97,7 @@
 
 HttpSession::~HttpSession() = default;
 
-Result<HttpReply> HttpSession::Fetch(const HttpQuery& aQuery, bool aKeep)
+Result<FetchResponse> HttpSession::Fetch(const FetchRequest& aQuery, bool aKeep)
 {
   http::request<http::string_body> request;
   request.method_string(aQuery.method_);
@@ -123,7 +123,7 @@
   if (!parser.keep_alive() || !aKeep) {
     state_->Close();
   }
-  HttpReply reply;
+  FetchResponse reply;
   reply.status_ = parser.get().result_int();
   for (const auto& field : parser.get()) {
     reply.headers_[LowerCase(std::string(field.name_string()))] = std::string(field.value());
@@ -132,7 +132,7 @@
   return reply;
 }
 
-Result<HttpReply> FetchHttp(const Address& aServer, const HttpQuery& aQuery)
+Result<FetchResponse> FetchHttp(const Address& aServer, const FetchRequest& aQuery)
 {
   return HttpSession(aServer).Fetch(aQuery, false);
 }
--- a/standins/lib/FleetHttp.h
+++ b/standins/lib/FleetHttp.h
@@ -13,7 +13,7 @@
 
 namespace peridotquay::standins {
 
-struct HttpReply
+struct FetchResponse
 {
   unsigned status_ = 0;
   std::map<std::string, std::string> headers_; ///< Names in lower case.
@@ -21,7 +21,7 @@
 };
 
 /// What is sent with one exchange.
-struct HttpQuery
+struct FetchRequest
 {
   std::string method_ = "GET";
   std::string target_ = "/";
@@ -41,7 +41,7 @@
 
   /// Connects if there is no connection, sends a request and reads the whole answer. Errors as
   /// FetchHttp; after one the connection is closed.
-  Result<HttpReply> Fetch(const HttpQuery& aQuery, bool aKeep = true);
+  Result<FetchResponse> Fetch(const FetchRequest& aQuery, bool aKeep = true);
 
 private:
   struct State;
@@ -50,6 +50,6 @@
 
 /// Sends a request on a fresh connection and reads the whole answer. Errors: kTargetUnreachable,
 /// kTruncatedAnswer, kDeadlineExceeded.
-Result<HttpReply> FetchHttp(const Address& aServer, const HttpQuery& aQuery);
+Result<FetchResponse> FetchHttp(const Address& aServer, const FetchRequest& aQuery);
 
 } // namespace peridotquay::standins
--- a/standins/lib/FleetProfile.cpp
+++ b/standins/lib/FleetProfile.cpp
@@ -33,8 +33,9 @@
 {
   FleetProfile profile;
   profile.name_ = "foundry";
-  profile.scale_ = "service times chosen (3 x 40 ms, archive 200 ms) so that 16 hosts fit on one "
-                   "machine; slots and connections as deployed";
+  profile.scaleDescription_ =
+    "service times chosen (3 x 40 ms, archive 200 ms) so that 16 hosts fit on one "
+    "machine; slots and connections as deployed";
   profile.sites_ = FourSites();
   profile.services_ = { { "profiles", 50, 400, 40 },
                         { "alloy", 50, 400, 40 },
@@ -55,7 +56,7 @@
   profile.name_ = "landesamt";
   // The laboratory slowed by 5 takes 1.5 s.
   profile.deadlineMs_ = 3000;
-  profile.scale_ =
+  profile.scaleDescription_ =
     "service times chosen (3 x 40 ms, laboratory 300 ms) so that 16 hosts fit on one "
     "machine; slots and connections as deployed";
   profile.sites_ = FourSites();
@@ -77,7 +78,7 @@
 {
   FleetProfile profile;
   profile.name_ = "pair";
-  profile.scale_ = "no service time; one data centre with two hosts";
+  profile.scaleDescription_ = "no service time; one data centre with two hosts";
   profile.sites_ = { { "north-1", "north" } };
   profile.services_ = { { "profiles", 50, 400, 0 }, { "alloy", 50, 400, 0 } };
   profile.accounts_ = Accounts({ "bursa" });
@@ -101,7 +102,7 @@
   return {};
 }
 
-double Capacity(const FleetProfile& aProfile, double aSlow)
+double CapacityPerSecond(const FleetProfile& aProfile, double aSlow)
 {
   // Without service times a slot isn't what limits the fleet; the bound only keeps rates finite.
   constexpr double kNoServiceTime = 5000;
@@ -129,7 +130,7 @@
     weights += account.weight_;
   }
   const double part = aProfile.accounts_[aAccount].weight_ / weights;
-  return std::ceil(Capacity(aProfile) * aProfile.rateFactor_ * part);
+  return std::ceil(CapacityPerSecond(aProfile) * aProfile.rateFactor_ * part);
 }
 
 std::string BaseConfiguration(const FleetProfile& aProfile)
--- a/standins/lib/FleetProfile.h
+++ b/standins/lib/FleetProfile.h
@@ -46,7 +46,8 @@
 struct FleetProfile
 {
   std::string name_;
-  std::string scale_; ///< How service times were scaled to one machine; printed with every result.
+  std::string
+    scaleDescription_; ///< How service times were scaled to one machine; printed with every result.
   std::vector<FleetSite> sites_;
   std::vector<FleetService> services_;
   std::vector<FleetAccount> accounts_;
@@ -64,7 +65,7 @@
 /// Whole requests a second that the fleet can serve: the least, over the services, of slots over
 /// the time that a request holds one (own work and all deeper work). With "aSlow", the last
 /// service's own work takes that many times longer.
-double Capacity(const FleetProfile& aProfile, double aSlow = 1);
+double CapacityPerSecond(const FleetProfile& aProfile, double aSlow = 1);
 
 /// Rate of an account in requests a second.
 double AccountRate(const FleetProfile& aProfile, std::size_t aAccount);
--- a/standins/lib/LoadDemo.cpp
+++ b/standins/lib/LoadDemo.cpp
@@ -231,7 +231,8 @@
   settings.seed_ = aSeed;
   Fleet fleet(settings);
   const FleetProfile profile = settings.profile_;
-  Progress("demo: starting a fleet of 16 hosts in 2 regions (scale: " + profile.scale_ + ")");
+  Progress("demo: starting a fleet of 16 hosts in 2 regions (scale: " + profile.scaleDescription_ +
+           ")");
   const TimePoint begun = Clock::now();
   const auto started = fleet.Start();
   if (!started) {
--- a/standins/lib/LoadExperiment.cpp
+++ b/standins/lib/LoadExperiment.cpp
@@ -117,7 +117,8 @@
 
 } // namespace
 
-Result<std::vector<double>> MeasureChanges(const ExperimentSettings& aSettings, int aCount)
+Result<std::vector<double>> MeasureConfigChangeTimes(const ExperimentSettings& aSettings,
+                                                     int aCount)
 {
   constexpr Duration kLimit = seconds(10);
   Fleet fleet(SettingsOf(aSettings));
@@ -146,7 +147,7 @@
   return times;
 }
 
-Result<QuietCost> MeasureQuiet(const ExperimentSettings& aSettings, int aSeconds)
+Result<IdleNodeCost> MeasureIdleCost(const ExperimentSettings& aSettings, int aSeconds)
 {
   Fleet fleet(SettingsOf(aSettings));
   BOOST_OUTCOME_TRYV(fleet.Start());
@@ -157,13 +158,13 @@
   }
   std::this_thread::sleep_for(seconds(aSeconds));
   const double elapsed = ToSeconds(Clock::now() - begun);
-  QuietCost cost;
+  IdleNodeCost cost;
   for (std::size_t i = 0; i < before.size(); ++i) {
     const pid_t process = fleet.Hosts()[i].node_.Id();
     const double part = (ProcessorSeconds(process) - before[i]) / elapsed;
-    cost.meanCore_ += part / static_cast<double>(before.size());
-    cost.mostCore_ = std::max(cost.mostCore_, part);
-    cost.mostMegabytes_ = std::max(cost.mostMegabytes_, ResidentMegabytes(process));
+    cost.meanCpuFraction_ += part / static_cast<double>(before.size());
+    cost.maxCpuFraction_ = std::max(cost.maxCpuFraction_, part);
+    cost.maxResidentMegabytes_ = std::max(cost.maxResidentMegabytes_, ResidentMegabytes(process));
   }
   return cost;
 }
@@ -190,10 +191,10 @@
     *scenario, aSettings.profile_, plan, result, fleet.Executions(), events.lastBegun_);
 }
 
-Result<std::vector<LatencyTurn>> MeasureLatency(const std::string& aBinaries,
-                                                std::uint64_t aSeed,
-                                                int aTurns,
-                                                bool aNaive)
+Result<std::vector<LatencyComparison>> MeasureLatency(const std::string& aBinaries,
+                                                      std::uint64_t aSeed,
+                                                      int aTurns,
+                                                      bool aNaive)
 {
   // The first part of each block opens connections and isn't counted.
   constexpr double kWarmSeconds = 0.5;
@@ -218,11 +219,11 @@
     plan.seed_ = aSeed + aBlock;
     return RunLoad(plan, { { aServer } }, [](TimePoint) {});
   };
-  std::vector<LatencyTurn> turns;
+  std::vector<LatencyComparison> turns;
   std::uint64_t block = 0;
   for (const double rate : { 253.0, 2530.0 }) {
     for (int turn = 0; turn < aTurns; ++turn) {
-      LatencyTurn result;
+      LatencyComparison result;
       result.rate_ = rate;
       for (const bool direct : { true, false }) {
         const LoadResult load = run(direct ? second.target_ : first.callers_, rate, ++block);
@@ -234,8 +235,8 @@
             times.push_back(record.seconds_ * 1000);
           }
         }
-        (direct ? result.directP50Ms_ : result.throughP50Ms_) = Percentile(times, 0.5);
-        (direct ? result.directP99Ms_ : result.throughP99Ms_) = Percentile(times, 0.99);
+        (direct ? result.directP50Ms_ : result.proxiedP50Ms_) = Percentile(times, 0.5);
+        (direct ? result.directP99Ms_ : result.proxiedP99Ms_) = Percentile(times, 0.99);
       }
       turns.push_back(result);
     }
--- a/standins/lib/LoadExperiment.h
+++ b/standins/lib/LoadExperiment.h
@@ -22,35 +22,36 @@
 Result<LoadReport> RunExperiment(const ExperimentSettings& aSettings);
 
 /// Latency of calls through two hosts and of direct calls to the same target, at one rate.
-struct LatencyTurn
+struct LatencyComparison
 {
   double rate_ = 0; ///< Calls a second.
   double directP50Ms_ = 0;
   double directP99Ms_ = 0;
-  double throughP50Ms_ = 0;
-  double throughP99Ms_ = 0;
+  double proxiedP50Ms_ = 0;
+  double proxiedP99Ms_ = 0;
   std::uint64_t failed_ = 0; ///< Calls that weren't answered with 200.
 };
 
 /// Measures by turns: direct, through, direct, ... at 253 and 2,530 calls a second.
-Result<std::vector<LatencyTurn>> MeasureLatency(const std::string& aBinaries,
-                                                std::uint64_t aSeed,
-                                                int aTurns,
-                                                bool aNaive);
+Result<std::vector<LatencyComparison>> MeasureLatency(const std::string& aBinaries,
+                                                      std::uint64_t aSeed,
+                                                      int aTurns,
+                                                      bool aNaive);
 
 /// Seconds from the start of `quayctl apply` until every host has the version in force, for each of
 /// aCount changes on a quiet fleet.
-Result<std::vector<double>> MeasureChanges(const ExperimentSettings& aSettings, int aCount);
+Result<std::vector<double>> MeasureConfigChangeTimes(const ExperimentSettings& aSettings,
+                                                     int aCount);
 
 /// Cost of a node without traffic.
-struct QuietCost
+struct IdleNodeCost
 {
-  double meanCore_ = 0; ///< Part of a core, mean over the nodes.
-  double mostCore_ = 0;
-  double mostMegabytes_ = 0; ///< Resident memory of the largest node.
+  double meanCpuFraction_ = 0; ///< Part of a core, mean over the nodes.
+  double maxCpuFraction_ = 0;
+  double maxResidentMegabytes_ = 0; ///< Resident memory of the largest node.
 };
 
 /// Measures over aSeconds on a fleet without calls.
-Result<QuietCost> MeasureQuiet(const ExperimentSettings& aSettings, int aSeconds);
+Result<IdleNodeCost> MeasureIdleCost(const ExperimentSettings& aSettings, int aSeconds);
 
 } // namespace peridotquay::standins
--- a/standins/lib/LoadReport.cpp
+++ b/standins/lib/LoadReport.cpp
@@ -49,7 +49,8 @@
 {
   const LoadPhase& phase = aScenario.phases_[aPhase];
   const bool slow = phase.name_ == "trigger";
-  const double capacity = Capacity(aProfile, slow ? aScenario.slowFactor_ : 1) * phase.seconds_;
+  const double capacity =
+    CapacityPerSecond(aProfile, slow ? aScenario.slowFactor_ : 1) * phase.seconds_;
   std::vector<double> demands;
   std::vector<double> weights;
   for (std::size_t i = 0; i < aPlan.accounts_.size(); ++i) {
@@ -182,11 +183,11 @@
       requests, PhaseStart(aScenario, "after"), PhaseStart(aScenario, ""), before, 0.98);
   }
   if (aScenario.withdrawn_ && aWithdrawnAt) {
-    report.withdrawnServedSeconds_ = 0;
+    report.withdrawnKeyServedSeconds_ = 0;
     for (const LoadRecord& record : aResult.records_) {
       if (record.arrival_.account_ == *aScenario.withdrawn_ && record.served_) {
-        report.withdrawnServedSeconds_ =
-          std::max(*report.withdrawnServedSeconds_, record.arrival_.at_ - *aWithdrawnAt);
+        report.withdrawnKeyServedSeconds_ =
+          std::max(*report.withdrawnKeyServedSeconds_, record.arrival_.at_ - *aWithdrawnAt);
       }
     }
   }
@@ -218,8 +219,8 @@
   json["wrongful_refusals"] = { { "count", aReport.wrongfulRefusals_ },
                                 { "of", aReport.wrongfulOf_ } };
   json["critical_shed"] = { { "count", aReport.criticalShed_ }, { "of", aReport.criticalOf_ } };
-  if (aReport.withdrawnServedSeconds_) {
-    json["withdrawn_served_s"] = *aReport.withdrawnServedSeconds_;
+  if (aReport.withdrawnKeyServedSeconds_) {
+    json["withdrawn_served_s"] = *aReport.withdrawnKeyServedSeconds_;
   }
   json["generator_lag_ms"] = aReport.worstLagMs_;
   json["lost_id_requests"] = aReport.lostIds_;
@@ -264,8 +265,8 @@
   text << aPrefix << "wrongful refusals: " << aReport.wrongfulRefusals_ << " of "
        << aReport.wrongfulOf_ << "; critical shed: " << aReport.criticalShed_ << " of "
        << aReport.criticalOf_ << "\n";
-  if (aReport.withdrawnServedSeconds_) {
-    text << aPrefix << "withdrawn key last served " << *aReport.withdrawnServedSeconds_
+  if (aReport.withdrawnKeyServedSeconds_) {
+    text << aPrefix << "withdrawn key last served " << *aReport.withdrawnKeyServedSeconds_
          << " s after the withdrawal began\n";
   }
   text << aPrefix << "history: " << (aReport.history_.Holds() ? "holds" : "FAILS") << ", "
--- a/standins/lib/LoadReport.h
+++ b/standins/lib/LoadReport.h
@@ -40,8 +40,8 @@
   std::uint64_t wrongfulOf_ = 0;
   std::uint64_t criticalShed_ = 0; ///< Critical requests shed at their first host or target.
   std::uint64_t criticalOf_ = 0;
-  std::optional<double> withdrawnServedSeconds_; ///< Latest arrival served after its withdrawal.
-  double worstLagMs_ = 0;                        ///< Of the load generator itself.
+  std::optional<double> withdrawnKeyServedSeconds_; ///< Latest arrival served after its withdrawal.
+  double worstLagMs_ = 0;                           ///< Of the load generator itself.
   std::uint64_t lostIds_ = 0;
   HistoryResult history_;
 };
--- a/standins/lib/LoadScenario.cpp
+++ b/standins/lib/LoadScenario.cpp
@@ -34,7 +34,7 @@
     weights += account.weight_;
   }
   const double ordinary =
-    Capacity(aProfile) * kOrdinary * aProfile.accounts_[kCulprit].weight_ / weights;
+    CapacityPerSecond(aProfile) * kOrdinary * aProfile.accounts_[kCulprit].weight_ / weights;
   return kTimesItsRate * AccountRate(aProfile, kCulprit) / ordinary;
 }
 
@@ -167,7 +167,7 @@
 {
   LoadPlan plan;
   plan.phases_ = aScenario.phases_;
-  plan.baseRate_ = Capacity(aProfile);
+  plan.baseRate_ = CapacityPerSecond(aProfile);
   plan.callerRetries_ = aScenario.callerRetries_;
   plan.hardRetries_ = aScenario.hardRetries_;
   plan.budget_ = aProfile.maxRetries_;
--- a/tests/failure/UserFleet.h
+++ b/tests/failure/UserFleet.h
@@ -135,22 +135,22 @@
   }
 
   /// One request at a host; status 0 if the connection ended without an answer.
-  standins::HttpReply Ask(std::size_t aHost,
-                          const std::string& aPath,
-                          const std::string& aId,
-                          const std::string& aKey = "k1")
+  standins::FetchResponse Ask(std::size_t aHost,
+                              const std::string& aPath,
+                              const std::string& aId,
+                              const std::string& aKey = "k1")
   {
     auto reply = standins::FetchHttp(CallersOf(aHost), Query(aPath, aId, aKey));
-    return reply.has_value() ? reply.assume_value() : standins::HttpReply{};
+    return reply.has_value() ? reply.assume_value() : standins::FetchResponse{};
   }
 
   Address CallersOf(std::size_t aHost) const { return { "127.0.0.1", hosts_[aHost]->callers_ }; }
 
-  static standins::HttpQuery Query(const std::string& aPath,
-                                   const std::string& aId,
-                                   const std::string& aKey = "k1")
+  static standins::FetchRequest Query(const std::string& aPath,
+                                      const std::string& aId,
+                                      const std::string& aKey = "k1")
   {
-    standins::HttpQuery query;
+    standins::FetchRequest query;
     query.method_ = aPath.starts_with("/write/") ? "POST" : "GET";
     query.target_ = aPath;
     query.headers_ = { { "Host", "h.example" },
--- a/tests/soak/SoakTest.cpp
+++ b/tests/soak/SoakTest.cpp
@@ -74,7 +74,7 @@
         // The process may have come back on other ports.
         session.reset();
       }
-      const auto reply = result.has_value() ? result.assume_value() : standins::HttpReply{};
+      const auto reply = result.has_value() ? result.assume_value() : standins::FetchResponse{};
       const std::lock_guard lock(mutex_);
       seen_[id] = { reply.status_, reply.body_ };
     }
--- a/tests/standins/LinkTest.cpp
+++ b/tests/standins/LinkTest.cpp
@@ -58,9 +58,9 @@
     REQUIRE(reply.assume_value().status_ == 200);
   }
 
-  Result<HttpReply> Get(const std::string& aTarget, Duration aTimeout = seconds(5)) const
+  Result<FetchResponse> Get(const std::string& aTarget, Duration aTimeout = seconds(5)) const
   {
-    HttpQuery query{ "GET", aTarget, {}, "" };
+    FetchRequest query{ "GET", aTarget, {}, "" };
     query.timeout_ = aTimeout;
     return FetchHttp(address_, query);
   }
--- a/tests/standins/LoadReportTest.cpp
+++ b/tests/standins/LoadReportTest.cpp
@@ -71,7 +71,7 @@
   CHECK(before.ideal_ == Approx(static_cast<double>(before.offered_)));
   CHECK(before.goodput_ == Approx(1));
   const PhaseReport& trigger = Phase(report, "trigger");
-  CHECK(trigger.ideal_ == Approx(Capacity(run.profile_) * trigger.seconds_));
+  CHECK(trigger.ideal_ == Approx(CapacityPerSecond(run.profile_) * trigger.seconds_));
   // Everything was served although twice the capacity was offered: goodput shows the impossible.
   CHECK(trigger.goodput_ > 1.8);
 }
--- a/tests/standins/LoadRunnerTest.cpp
+++ b/tests/standins/LoadRunnerTest.cpp
@@ -182,8 +182,8 @@
 {
   for (const char* name : { "foundry", "landesamt" }) {
     const FleetProfile profile = FindProfile(name);
-    CHECK(Capacity(profile) > 100);
-    CHECK(Capacity(profile, 5) < Capacity(profile) / 3);
+    CHECK(CapacityPerSecond(profile) > 100);
+    CHECK(CapacityPerSecond(profile, 5) < CapacityPerSecond(profile) / 3);
     double parts = 0;
     for (const FleetClass& kind : profile.classes_) {
       parts += kind.part_;
--- a/tests/standins/TargetTest.cpp
+++ b/tests/standins/TargetTest.cpp
@@ -34,14 +34,14 @@
     thread_.join();
   }
 
-  HttpReply Fetch(HttpQuery aQuery) const
+  FetchResponse Fetch(FetchRequest aQuery) const
   {
     const auto reply = FetchHttp(address_, aQuery);
     REQUIRE(reply.has_value());
     return reply.assume_value();
   }
 
-  HttpReply Get(const std::string& aTarget) const { return Fetch({ "GET", aTarget, {}, "" }); }
+  FetchResponse Get(const std::string& aTarget) const { return Fetch({ "GET", aTarget, {}, "" }); }
 
   void Fault(const std::string& aJson) const
   {
@@ -132,7 +132,7 @@
   settings.slots_ = 1;
   settings.serviceTime_ = seconds(60);
   RunningTarget target(settings);
-  HttpQuery slow{ "GET", "/slow", {}, "" };
+  FetchRequest slow{ "GET", "/slow", {}, "" };
   slow.timeout_ = milliseconds(300);
   auto first = std::async(std::launch::async, [&] { return FetchHttp(target.address_, slow); });
   target.AwaitInUse(1);
@@ -234,7 +234,7 @@
   CHECK(target.Get("/a").status_ == 200);
 
   target.Fault(R"({"freeze":true})");
-  HttpQuery brief{ "GET", "/a", {}, "" };
+  FetchRequest brief{ "GET", "/a", {}, "" };
   brief.timeout_ = milliseconds(100);
   const auto frozen = FetchHttp(target.address_, brief);
   REQUIRE_FALSE(frozen.has_value());
