--- a/standins/lib/Fleet.cpp
+++ b/standins/lib/Fleet.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr Duration kPoll = milliseconds(10);
+constexpr Duration kPollInterval = milliseconds(10);
 
 std::string AddressText(const Address& aAddress)
 {
@@ -59,12 +59,12 @@
   }
 }
 
-std::string Fleet::Program(const std::string& aName) const
+std::string Fleet::ProgramPath(const std::string& aName) const
 {
   return (std::filesystem::path(settings_.binaries_) / aName).string();
 }
 
-std::string Fleet::File(const std::string& aName) const
+std::string Fleet::FilePath(const std::string& aName) const
 {
   return directory_ + "/" + aName;
 }
@@ -82,7 +82,7 @@
     if (!aProcess.Alive()) {
       return Fail(ErrorCode::kNotFound, aName, "its process has ended");
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return Fail(ErrorCode::kDeadlineExceeded, aName, "was not written");
 }
@@ -90,12 +90,12 @@
 Result<void> Fleet::StartPlatform()
 {
   BOOST_OUTCOME_TRY(process,
-                    FleetProcess::Start({ Program("standin_platform"),
-                                          "--port_file=" + File("platform.json"),
+                    FleetProcess::Start({ ProgramPath("standin_platform"),
+                                          "--port_file=" + FilePath("platform.json"),
                                           "--seed=" + std::to_string(settings_.seed_) },
-                                        File("platform.log")));
+                                        FilePath("platform.log")));
   platform_ = std::move(process);
-  BOOST_OUTCOME_TRY(text, AwaitFile(File("platform.json"), platform_));
+  BOOST_OUTCOME_TRY(text, AwaitFile(FilePath("platform.json"), platform_));
   const auto json = nlohmann::json::parse(text);
   platformAddress_ = { "127.0.0.1",
                        json.is_number() ? json.get<std::uint16_t>()
@@ -108,32 +108,32 @@
   const FleetProfile& profile = settings_.profile_;
   const FleetService& service = profile.services_[aHost.service_];
   std::vector<std::string> command{
-    Program("standin_target"),
-    "--port_file=" + File(aHost.name_ + "-target.json"),
+    ProgramPath("standin_target"),
+    "--port_file=" + FilePath(aHost.name_ + "-target.json"),
     "--name=" + aHost.name_,
     "--slots=" + std::to_string(service.slots_),
     "--queue=" + std::to_string(service.connections_ - service.slots_),
     "--connections=" + std::to_string(service.connections_),
-    "--service_ms=" + std::to_string(service.serviceMs_),
+    "--service_ms=" + std::to_string(service.serviceTimeMs_),
     "--distribution=lognormal",
     "--seed=" + std::to_string(settings_.seed_ * 1000 + hosts_.size())
   };
   if (aHost.service_ + 1 < profile.services_.size()) {
     command.push_back("--deeper=/" + profile.services_[aHost.service_ + 1].name_ + "/work");
   }
-  BOOST_OUTCOME_TRY(process, FleetProcess::Start(command, File(aHost.name_ + "-target.log")));
+  BOOST_OUTCOME_TRY(process, FleetProcess::Start(command, FilePath(aHost.name_ + "-target.log")));
   aHost.targetProcess_ = std::move(process);
-  BOOST_OUTCOME_TRY(text, AwaitFile(File(aHost.name_ + "-target.json"), aHost.targetProcess_));
+  BOOST_OUTCOME_TRY(text, AwaitFile(FilePath(aHost.name_ + "-target.json"), aHost.targetProcess_));
   aHost.target_ = { "127.0.0.1", nlohmann::json::parse(text).at("port").get<std::uint16_t>() };
   if (settings_.links_) {
     BOOST_OUTCOME_TRY(
       link,
-      FleetProcess::Start({ Program("standin_link"),
-                            "--port_file=" + File(aHost.name_ + "-link.json"),
+      FleetProcess::Start({ ProgramPath("standin_link"),
+                            "--port_file=" + FilePath(aHost.name_ + "-link.json"),
                             "--remote_port=" + std::to_string(aHost.target_.port_) },
-                          File(aHost.name_ + "-link.log")));
+                          FilePath(aHost.name_ + "-link.log")));
     aHost.link_ = std::move(link);
-    BOOST_OUTCOME_TRY(ports, AwaitFile(File(aHost.name_ + "-link.json"), aHost.link_));
+    BOOST_OUTCOME_TRY(ports, AwaitFile(FilePath(aHost.name_ + "-link.json"), aHost.link_));
     const auto json = nlohmann::json::parse(ports);
     aHost.linkControl_ = { "127.0.0.1", json.at("control").get<std::uint16_t>() };
   }
@@ -146,11 +146,11 @@
   const FleetService& service = profile.services_[aHost.service_];
   Address target = aHost.target_;
   if (settings_.links_) {
-    std::ifstream file(File(aHost.name_ + "-link.json"));
+    std::ifstream file(FilePath(aHost.name_ + "-link.json"));
     target.port_ = nlohmann::json::parse(file).at("port").get<std::uint16_t>();
   }
   {
-    std::ofstream file(File(aHost.name_ + ".toml"));
+    std::ofstream file(FilePath(aHost.name_ + ".toml"));
     file << "host = \"" << aHost.name_ << "\"\ndata_centre = \""
          << profile.sites_[aHost.site_].dataCentre_ << "\"\nregion = \""
          << profile.sites_[aHost.site_].region_ << "\"\nservice = \"" << service.name_
@@ -162,21 +162,21 @@
       separator = ", ";
     }
     file << "]\nplatform = [\"" << AddressText(platformAddress_) << "\"]\nport_file = \""
-         << File(aHost.name_ + ".json") << "\"\ntarget_connections = " << service.connections_
+         << FilePath(aHost.name_ + ".json") << "\"\ntarget_connections = " << service.connections_
          << "\nseed = " << settings_.seed_ + aHost.service_ * 100 + aHost.site_ + 1
          << "\nnaive = " << (settings_.naive_ ? "true" : "false") << "\n";
   }
   BOOST_OUTCOME_TRY(
     process,
-    FleetProcess::Start({ Program("quayd"), "--config=" + File(aHost.name_ + ".toml") },
-                        File(aHost.name_ + ".log")));
+    FleetProcess::Start({ ProgramPath("quayd"), "--config=" + FilePath(aHost.name_ + ".toml") },
+                        FilePath(aHost.name_ + ".log")));
   aHost.node_ = std::move(process);
   return Success();
 }
 
-Result<void> Fleet::FinishNode(FleetHost& aHost)
+Result<void> Fleet::ReadNodeAddresses(FleetHost& aHost)
 {
-  BOOST_OUTCOME_TRY(text, AwaitFile(File(aHost.name_ + ".json"), aHost.node_));
+  BOOST_OUTCOME_TRY(text, AwaitFile(FilePath(aHost.name_ + ".json"), aHost.node_));
   const auto json = nlohmann::json::parse(text);
   const auto address = [&json](const char* aName) -> Address {
     const auto& value = json.at(aName);
@@ -198,8 +198,8 @@
 Result<void> Fleet::Start()
 {
   for (const char* program : { "quayd", "quayctl", "standin_platform", "standin_target" }) {
-    if (::access(Program(program).c_str(), X_OK) != 0) {
-      return Fail(ErrorCode::kNotFound, Program(program), "not built");
+    if (::access(ProgramPath(program).c_str(), X_OK) != 0) {
+      return Fail(ErrorCode::kNotFound, ProgramPath(program), "not built");
     }
   }
   BOOST_OUTCOME_TRYV(StartPlatform());
@@ -219,7 +219,7 @@
   for (std::size_t i = 0; i < hosts_.size(); i += perSite) {
     BOOST_OUTCOME_TRYV(
       StartNode(hosts_[i], i == 0 ? std::vector<Address>{} : std::vector{ hosts_[0].peers_ }));
-    BOOST_OUTCOME_TRYV(FinishNode(hosts_[i]));
+    BOOST_OUTCOME_TRYV(ReadNodeAddresses(hosts_[i]));
   }
   for (std::size_t i = 0; i < hosts_.size(); ++i) {
     if (i % perSite != 0) {
@@ -228,7 +228,7 @@
   }
   for (std::size_t i = 0; i < hosts_.size(); ++i) {
     if (i % perSite != 0) {
-      BOOST_OUTCOME_TRYV(FinishNode(hosts_[i]));
+      BOOST_OUTCOME_TRYV(ReadNodeAddresses(hosts_[i]));
     }
   }
   const CommandResult applied = Apply(BaseConfiguration(profile));
@@ -243,28 +243,28 @@
 Result<void> Fleet::AwaitServing()
 {
   const FleetProfile& profile = settings_.profile_;
-  const FleetClass* kind = nullptr;
+  const FleetClass* requestClass = nullptr;
   for (const FleetClass& candidate : profile.classes_) {
-    if (kind == nullptr && candidate.repeatable_) {
-      kind = &candidate;
+    if (requestClass == nullptr && candidate.repeatable_) {
+      requestClass = &candidate;
     }
   }
   const TimePoint end = Clock::now() + settings_.timeout_;
   for (const FleetHost& host : hosts_) {
     std::string last;
-    for (int good = 0; good < 2;) {
+    for (int successes = 0; successes < 2;) {
       if (Clock::now() > end) {
         return Fail(ErrorCode::kDeadlineExceeded, host.name_ + " serves no whole request", last);
       }
-      const std::string target = "/" + profile.services_.front().name_ + "/" + kind->name_;
+      const std::string target = "/" + profile.services_.front().name_ + "/" + requestClass->name_;
       FetchRequest query{ "GET", target, { { "Quay-Key", profile.accounts_[0].key_ } }, "" };
       query.timeout_ = seconds(5);
       const auto reply = FetchHttp(host.callers_, query);
       const bool served = reply && reply.assume_value().status_ == 200;
-      good = served ? good + 1 : 0;
+      successes = served ? successes + 1 : 0;
       if (!served) {
         last = reply ? reply.assume_value().body_ : Describe(reply.assume_error());
-        std::this_thread::sleep_for(kPoll);
+        std::this_thread::sleep_for(kPollInterval);
       }
     }
   }
@@ -273,7 +273,7 @@
 
 std::size_t Fleet::Stop()
 {
-  std::size_t clean = 0;
+  std::size_t cleanExits = 0;
   for (FleetHost& host : hosts_) {
     host.node_.Signal(SIGCONT);
     host.targetProcess_.Signal(SIGCONT);
@@ -282,12 +282,12 @@
   const TimePoint end = Clock::now() + seconds(10);
   for (FleetHost& host : hosts_) {
     const auto status = host.node_.Wait(std::max<Duration>(end - Clock::now(), Duration::zero()));
-    clean += !host.killed_ && status == 0 ? 1 : 0;
+    cleanExits += !host.killed_ && status == 0 ? 1 : 0;
   }
   // Destructors of the processes kill what is left.
   hosts_.clear();
   platform_ = FleetProcess();
-  return clean;
+  return cleanExits;
 }
 
 void Fleet::KillHost(std::size_t aHost)
@@ -300,10 +300,10 @@
   host.targetProcess_.Wait(seconds(5));
 }
 
-void Fleet::FreezeHost(std::size_t aHost, bool aFreeze)
+void Fleet::SetHostPaused(std::size_t aHost, bool aPaused)
 {
-  hosts_[aHost].node_.Signal(aFreeze ? SIGSTOP : SIGCONT);
-  hosts_[aHost].targetProcess_.Signal(aFreeze ? SIGSTOP : SIGCONT);
+  hosts_[aHost].node_.Signal(aPaused ? SIGSTOP : SIGCONT);
+  hosts_[aHost].targetProcess_.Signal(aPaused ? SIGSTOP : SIGCONT);
 }
 
 Result<void> Fleet::SetTargetFaults(std::size_t aHost, const std::string& aJson)
@@ -334,11 +334,11 @@
   return Success();
 }
 
-CommandResult Fleet::Quayctl(std::vector<std::string> aArguments, Duration aTimeout)
+CommandResult Fleet::RunQuayctl(std::vector<std::string> aArguments, Duration aTimeout)
 {
-  aArguments.insert(aArguments.begin(), Program("quayctl"));
+  aArguments.insert(aArguments.begin(), ProgramPath("quayctl"));
   aArguments.push_back("--platform=" + AddressText(platformAddress_));
-  const std::string output = File("quayctl-" + std::to_string(++commands_) + ".log");
+  const std::string output = FilePath("quayctl-" + std::to_string(++commandCount_) + ".log");
   CommandResult result;
   const TimePoint before = Clock::now();
   auto process = FleetProcess::Start(aArguments, output);
@@ -357,7 +357,7 @@
 
 CommandResult Fleet::Apply(const std::string& aBase, bool aWait)
 {
-  const std::string folder = File("configuration");
+  const std::string folder = FilePath("configuration");
   std::filesystem::create_directories(folder);
   std::ofstream(folder + "/base.toml") << aBase;
   for (const FleetSite& site : settings_.profile_.sites_) {
@@ -368,12 +368,12 @@
   if (aWait) {
     arguments.push_back("--wait");
   }
-  return Quayctl(std::move(arguments));
+  return RunQuayctl(std::move(arguments));
 }
 
 CommandResult Fleet::WithdrawKey(const std::string& aKey)
 {
-  return Quayctl({ "keys", "withdraw", KeyDigest(aKey), "--operator=quayload", "--wait" });
+  return RunQuayctl({ "keys", "withdraw", KeyDigest(aKey), "--operator=quayload", "--wait" });
 }
 
 std::vector<TargetExecution> Fleet::Executions() const
--- a/standins/lib/Fleet.h
+++ b/standins/lib/Fleet.h
@@ -73,7 +73,7 @@
   /// Kills node and target of a host.
   void KillHost(std::size_t aHost);
   /// Pauses or resumes node and target of a host.
-  void FreezeHost(std::size_t aHost, bool aFreeze);
+  void SetHostPaused(std::size_t aHost, bool aPaused);
   /// Sets faults of one target, of all targets of a service, of the platform, or of all links.
   Result<void> SetTargetFaults(std::size_t aHost, const std::string& aJson);
   Result<void> SetServiceFaults(std::size_t aService, const std::string& aJson);
@@ -81,7 +81,7 @@
   Result<void> SetLinkFaults(const std::string& aJson);
 
   /// Runs quayctl with the platform's address added, and measures its time.
-  CommandResult Quayctl(std::vector<std::string> aArguments, Duration aTimeout = seconds(30));
+  CommandResult RunQuayctl(std::vector<std::string> aArguments, Duration aTimeout = seconds(30));
 
   /// Applies a base configuration with all overlays and, if asked, waits until it is in force.
   CommandResult Apply(const std::string& aBase, bool aWait = true);
@@ -102,18 +102,18 @@
   Result<void> StartPlatform();
   Result<void> StartTarget(FleetHost& aHost);
   Result<void> StartNode(FleetHost& aHost, const std::vector<Address>& aSeeds);
-  Result<void> FinishNode(FleetHost& aHost);
+  Result<void> ReadNodeAddresses(FleetHost& aHost);
   Result<void> AwaitServing();
   Result<std::string> AwaitFile(const std::string& aName, FleetProcess& aProcess) const;
-  std::string Program(const std::string& aName) const;
-  std::string File(const std::string& aName) const;
+  std::string ProgramPath(const std::string& aName) const;
+  std::string FilePath(const std::string& aName) const;
 
   FleetSettings settings_;
   std::string directory_;
   FleetProcess platform_;
   Address platformAddress_;
   std::vector<FleetHost> hosts_;
-  std::uint64_t commands_ = 0;
+  std::uint64_t commandCount_ = 0;
 };
 
 } // namespace peridotquay::standins
--- a/standins/lib/FleetHttp.cpp
+++ b/standins/lib/FleetHttp.cpp
@@ -42,7 +42,7 @@
 
   /// Runs one asynchronous operation to its end.
   template<typename Start>
-  error_code Await(Start aStart)
+  error_code RunOperation(Start aStart)
   {
     error_code result;
     context_.restart();
@@ -53,26 +53,26 @@
 
   error_code Exchange(const http::request<http::string_body>& aRequest,
                       http::response_parser<http::string_body>& aParser,
-                      ErrorCode& aStage)
+                      ErrorCode& aFailureCode)
   {
-    aStage = ErrorCode::kTargetUnreachable;
+    aFailureCode = ErrorCode::kTargetUnreachable;
     if (!open_) {
       buffer_.clear();
       const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(server_.ip_), server_.port_);
       const auto connected =
-        Await([&](auto aDone) { stream_.async_connect(endpoint, std::move(aDone)); });
+        RunOperation([&](auto aDone) { stream_.async_connect(endpoint, std::move(aDone)); });
       if (connected) {
         return connected;
       }
       open_ = true;
     }
     const auto written =
-      Await([&](auto aDone) { http::async_write(stream_, aRequest, std::move(aDone)); });
+      RunOperation([&](auto aDone) { http::async_write(stream_, aRequest, std::move(aDone)); });
     if (written) {
       return written;
     }
-    aStage = ErrorCode::kTruncatedAnswer;
-    return Await(
+    aFailureCode = ErrorCode::kTruncatedAnswer;
+    return RunOperation(
       [&](auto aDone) { http::async_read(stream_, buffer_, aParser, std::move(aDone)); });
   }
 
@@ -97,7 +97,7 @@
 
 HttpSession::~HttpSession() = default;
 
-Result<FetchResponse> HttpSession::Fetch(const FetchRequest& aQuery, bool aKeep)
+Result<FetchResponse> HttpSession::Fetch(const FetchRequest& aQuery, bool aKeepAlive)
 {
   http::request<http::string_body> request;
   request.method_string(aQuery.method_);
@@ -109,7 +109,7 @@
   }
   request.body() = aQuery.body_;
   request.prepare_payload();
-  request.keep_alive(aKeep);
+  request.keep_alive(aKeepAlive);
   http::response_parser<http::string_body> parser;
   parser.body_limit(std::uint64_t{ 1 } << 30U);
   state_->stream_.expires_after(aQuery.timeout_);
@@ -120,7 +120,7 @@
     const auto code = error == beast::error::timeout ? ErrorCode::kDeadlineExceeded : stage;
     return Fail(code, aQuery.target_, error.message());
   }
-  if (!parser.keep_alive() || !aKeep) {
+  if (!parser.keep_alive() || !aKeepAlive) {
     state_->Close();
   }
   FetchResponse reply;
--- a/standins/lib/FleetHttp.h
+++ b/standins/lib/FleetHttp.h
@@ -41,7 +41,7 @@
 
   /// Connects if there is no connection, sends a request and reads the whole answer. Errors as
   /// FetchHttp; after one the connection is closed.
-  Result<FetchResponse> Fetch(const FetchRequest& aQuery, bool aKeep = true);
+  Result<FetchResponse> Fetch(const FetchRequest& aQuery, bool aKeepAlive = true);
 
 private:
   struct State;
--- a/standins/lib/FleetProfile.cpp
+++ b/standins/lib/FleetProfile.cpp
@@ -18,7 +18,7 @@
   };
 }
 
-std::vector<FleetAccount> Accounts(const std::vector<std::string>& aNames)
+std::vector<FleetAccount> MakeAccounts(const std::vector<std::string>& aNames)
 {
   // A few large accounts and several small ones.
   constexpr double kWeights[] = { 8, 6, 4, 1, 1, 1, 1, 1 };
@@ -42,7 +42,7 @@
                         { "casting", 50, 400, 40 },
                         { "archive", 20, 200, 200 } };
   profile.accounts_ =
-    Accounts({ "bursa", "izmir", "ankara", "konya", "adana", "sivas", "van", "rize" });
+    MakeAccounts({ "bursa", "izmir", "ankara", "konya", "adana", "sivas", "van", "rize" });
   profile.classes_ = { { "bookings", Importance::kCritical, false, 0.15 },
                        { "quotes", Importance::kHigh, true, 0.25 },
                        { "stock", Importance::kNormal, true, 0.45 },
@@ -64,8 +64,8 @@
                         { "lots", 250, 1700, 40 },
                         { "results", 250, 1700, 40 },
                         { "laboratory", 40, 350, 300 } };
-  profile.accounts_ =
-    Accounts({ "bamberg", "coburg", "kulmbach", "hof", "kronach", "hassfurt", "ansbach", "roth" });
+  profile.accounts_ = MakeAccounts(
+    { "bamberg", "coburg", "kulmbach", "hof", "kronach", "hassfurt", "ansbach", "roth" });
   profile.classes_ = { { "permits", Importance::kCritical, false, 0.10 },
                        { "seizures", Importance::kCritical, false, 0.05 },
                        { "inspections", Importance::kHigh, true, 0.25 },
@@ -81,7 +81,7 @@
   profile.scaleDescription_ = "no service time; one data centre with two hosts";
   profile.sites_ = { { "north-1", "north" } };
   profile.services_ = { { "profiles", 50, 400, 0 }, { "alloy", 50, 400, 0 } };
-  profile.accounts_ = Accounts({ "bursa" });
+  profile.accounts_ = MakeAccounts({ "bursa" });
   profile.classes_ = { { "stock", Importance::kNormal, true, 1 } };
   return profile;
 }
@@ -102,22 +102,22 @@
   return {};
 }
 
-double CapacityPerSecond(const FleetProfile& aProfile, double aSlow)
+double CapacityPerSecond(const FleetProfile& aProfile, double aSlowFactor)
 {
   // Without service times a slot isn't what limits the fleet; the bound only keeps rates finite.
-  constexpr double kNoServiceTime = 5000;
-  double holdingMs = 0;
-  double least = kNoServiceTime;
+  constexpr double kMaxCapacityPerSecond = 5000;
+  double slotHoldMs = 0;
+  double capacity = kMaxCapacityPerSecond;
   for (std::size_t i = aProfile.services_.size(); i-- > 0;) {
     const FleetService& service = aProfile.services_[i];
     const bool last = i + 1 == aProfile.services_.size();
-    holdingMs += service.serviceMs_ * (last ? aSlow : 1);
+    slotHoldMs += service.serviceTimeMs_ * (last ? aSlowFactor : 1);
     const auto slots = static_cast<double>(service.slots_ * aProfile.sites_.size());
-    if (holdingMs > 0) {
-      least = std::min(least, slots * 1000 / holdingMs);
+    if (slotHoldMs > 0) {
+      capacity = std::min(capacity, slots * 1000 / slotHoldMs);
     }
   }
-  return least;
+  return capacity;
 }
 
 double AccountRate(const FleetProfile& aProfile, std::size_t aAccount)
@@ -129,8 +129,8 @@
   for (const FleetAccount& account : aProfile.accounts_) {
     weights += account.weight_;
   }
-  const double part = aProfile.accounts_[aAccount].weight_ / weights;
-  return std::ceil(CapacityPerSecond(aProfile) * aProfile.rateFactor_ * part);
+  const double fraction = aProfile.accounts_[aAccount].weight_ / weights;
+  return std::ceil(CapacityPerSecond(aProfile) * aProfile.rateFactor_ * fraction);
 }
 
 std::string BaseConfiguration(const FleetProfile& aProfile)
@@ -150,10 +150,11 @@
     text << "[keys." << KeyDigest(account.key_) << "]\naccount = \"" << account.name_ << "\"\n";
   }
   const std::string first = aProfile.services_.front().name_;
-  for (const FleetClass& kind : aProfile.classes_) {
-    text << "[routes." << kind.name_ << "]\nprefix = \"/" << first << "/" << kind.name_
-         << "\"\nservice = \"" << first << "\"\nimportance = \"" << ImportanceName(kind.importance_)
-         << "\"\nrepeatable = " << (kind.repeatable_ ? "true" : "false")
+  for (const FleetClass& requestClass : aProfile.classes_) {
+    text << "[routes." << requestClass.name_ << "]\nprefix = \"/" << first << "/"
+         << requestClass.name_ << "\"\nservice = \"" << first << "\"\nimportance = \""
+         << ImportanceName(requestClass.importance_)
+         << "\"\nrepeatable = " << (requestClass.repeatable_ ? "true" : "false")
          << "\nmax_retries = " << aProfile.maxRetries_ << "\ndeadline_ms = " << aProfile.deadlineMs_
          << "\n";
   }
--- a/standins/lib/FleetProfile.h
+++ b/standins/lib/FleetProfile.h
@@ -23,7 +23,7 @@
   std::string name_;         ///< Also its path prefix, after '/'.
   std::uint32_t slots_ = 50; ///< Of one endpoint.
   std::uint32_t connections_ = 400;
-  double serviceMs_ = 10; ///< Own work, without deeper calls.
+  double serviceTimeMs_ = 10; ///< Own work, without deeper calls.
 };
 
 struct FleetAccount
@@ -40,7 +40,7 @@
   std::string name_; ///< Path is /<first service>/<name>.
   Importance importance_ = Importance::kNormal;
   bool repeatable_ = true;
-  double part_ = 0; ///< Of all requests, 0 to 1.
+  double fraction_ = 0; ///< Of all requests, 0 to 1.
 };
 
 struct FleetProfile
@@ -63,9 +63,9 @@
 FleetProfile FindProfile(const std::string& aName);
 
 /// Whole requests a second that the fleet can serve: the least, over the services, of slots over
-/// the time that a request holds one (own work and all deeper work). With "aSlow", the last
+/// the time that a request holds one (own work and all deeper work). With "aSlowFactor", the last
 /// service's own work takes that many times longer.
-double CapacityPerSecond(const FleetProfile& aProfile, double aSlow = 1);
+double CapacityPerSecond(const FleetProfile& aProfile, double aSlowFactor = 1);
 
 /// Rate of an account in requests a second.
 double AccountRate(const FleetProfile& aProfile, std::size_t aAccount);
--- a/standins/lib/HistoryCheck.cpp
+++ b/standins/lib/HistoryCheck.cpp
@@ -17,7 +17,7 @@
   std::map<std::string, std::uint64_t> attempts_; ///< By origin and path.
 };
 
-void Note(HistoryResult& aResult, HistoryProperty aProperty, const std::string& aExample)
+void RecordViolation(HistoryResult& aResult, HistoryProperty aProperty, const std::string& aExample)
 {
   constexpr std::size_t kMaxExamples = 10;
   ++aResult.violations_[aProperty];
@@ -26,7 +26,7 @@
   }
 }
 
-std::uint64_t Retries(const TagSummary& aSummary)
+std::uint64_t CountRetries(const TagSummary& aSummary)
 {
   std::uint64_t retries = 0;
   for (const auto& [origin, attempts] : aSummary.attempts_) {
@@ -68,7 +68,7 @@
   HistoryResult result;
   result.calls_ = aCalls.size();
   result.executions_ = aExecutions.size();
-  for (int i = 0; i < kHistoryProperties; ++i) {
+  for (int i = 0; i < kHistoryPropertyCount; ++i) {
     result.violations_[static_cast<HistoryProperty>(i)] = 0;
   }
   std::unordered_map<std::string, TagSummary> tags;
@@ -82,14 +82,14 @@
     }
     if (!execution.requestId_.empty() && execution.Started()) {
       if (++startedById[execution.requestId_] == 2) {
-        Note(result, HistoryProperty::kRunsAtMostOnce, execution.requestId_);
+        RecordViolation(result, HistoryProperty::kRunsAtMostOnce, execution.requestId_);
       }
     }
     if (execution.keySeen_) {
-      Note(result, HistoryProperty::kNoKeySeen, execution.id_);
+      RecordViolation(result, HistoryProperty::kNoKeySeen, execution.id_);
     }
     if (execution.wrongDeeperAnswers_ > 0) {
-      Note(result, HistoryProperty::kOwnAnswer, execution.id_);
+      RecordViolation(result, HistoryProperty::kOwnAnswer, execution.id_);
     }
   }
   const TagSummary none;
@@ -97,20 +97,20 @@
     const auto found = tags.find(call.tag_);
     const TagSummary& summary = found == tags.end() ? none : found->second;
     if (call.outcome_ == "not-run" && summary.started_ > 0) {
-      Note(result, HistoryProperty::kNotRunIsTrue, call.tag_);
+      RecordViolation(result, HistoryProperty::kNotRunIsTrue, call.tag_);
     }
     if ((call.outcome_ == "unknown") != (call.status_ == 504)) {
-      Note(result, HistoryProperty::kUnknownIs504, call.tag_);
+      RecordViolation(result, HistoryProperty::kUnknownIs504, call.tag_);
     }
-    if (call.status_ == 200 && !call.rightBody_) {
-      Note(result, HistoryProperty::kOwnAnswer, call.tag_);
+    if (call.status_ == 200 && !call.correctBody_) {
+      RecordViolation(result, HistoryProperty::kOwnAnswer, call.tag_);
     }
-    const std::uint64_t retries = Retries(summary);
-    result.mostRetries_ = std::max(result.mostRetries_, retries);
-    if (retries > call.budget_) {
-      Note(result,
-           HistoryProperty::kWithinBudget,
-           call.tag_ + " made " + std::to_string(retries) + " retries");
+    const std::uint64_t retries = CountRetries(summary);
+    result.maxCallTreeRetries_ = std::max(result.maxCallTreeRetries_, retries);
+    if (retries > call.retryBudget_) {
+      RecordViolation(result,
+                      HistoryProperty::kWithinBudget,
+                      call.tag_ + " made " + std::to_string(retries) + " retries");
     }
   }
   return result;
--- a/standins/lib/HistoryCheck.h
+++ b/standins/lib/HistoryCheck.h
@@ -13,12 +13,12 @@
 /// One HTTP request of a caller. A caller's repeat is a request of its own with another tag.
 struct HistoryCall
 {
-  std::string tag_;          ///< Query parameter "tag"; unique.
-  std::string requestId_;    ///< Header Quay-Request-Id; empty if none was sent.
-  std::string outcome_;      ///< Header Quay-Outcome of the answer; empty without an answer.
-  unsigned status_ = 0;      ///< 0 without a whole answer.
-  bool rightBody_ = true;    ///< With status 200: the body is the one computed from the request.
-  std::uint32_t budget_ = 0; ///< Retries allowed in the whole chain.
+  std::string tag_;         ///< Query parameter "tag"; unique.
+  std::string requestId_;   ///< Header Quay-Request-Id; empty if none was sent.
+  std::string outcome_;     ///< Header Quay-Outcome of the answer; empty without an answer.
+  unsigned status_ = 0;     ///< 0 without a whole answer.
+  bool correctBody_ = true; ///< With status 200: the body is the one computed from the request.
+  std::uint32_t retryBudget_ = 0; ///< Retries allowed in the whole chain.
 };
 
 /// Promises that are checked. The names are those of the output.
@@ -36,7 +36,7 @@
 /// "within-budget".
 std::string_view HistoryPropertyName(HistoryProperty aProperty);
 
-inline constexpr int kHistoryProperties = 6;
+inline constexpr int kHistoryPropertyCount = 6;
 
 struct HistoryResult
 {
@@ -44,7 +44,7 @@
   std::vector<std::string> examples_;                   ///< At most 10, with tag or request id.
   std::uint64_t calls_ = 0;
   std::uint64_t executions_ = 0;
-  std::uint64_t mostRetries_ = 0; ///< Largest number of retries in one call tree.
+  std::uint64_t maxCallTreeRetries_ = 0; ///< Largest number of retries in one call tree.
   bool Holds() const;
 };
 
--- a/standins/lib/LoadExperiment.cpp
+++ b/standins/lib/LoadExperiment.cpp
@@ -17,13 +17,13 @@
 
 namespace {
 
-std::vector<LoadEntry> Entries(Fleet& aFleet)
+std::vector<DataCentreHosts> HostsByDataCentre(Fleet& aFleet)
 {
-  std::vector<LoadEntry> entries(aFleet.Settings().profile_.sites_.size());
+  std::vector<DataCentreHosts> dataCentres(aFleet.Settings().profile_.sites_.size());
   for (const FleetHost& host : aFleet.Hosts()) {
-    entries[host.site_].push_back(host.callers_);
+    dataCentres[host.site_].push_back(host.callers_);
   }
-  return entries;
+  return dataCentres;
 }
 
 // Applies a scenario's events at their times on a thread of its own, so that a slow command doesn't
@@ -45,7 +45,7 @@
       for (const ScenarioEvent& event : scenario_.events_) {
         std::this_thread::sleep_until(
           aStart + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(event.at_)));
-        lastBegun_ = ToSeconds(Clock::now() - aStart);
+        lastEventStartedAt_ = ToSeconds(Clock::now() - aStart);
         auto applied = event.apply_(fleet_);
         if (!applied) {
           failure_ = applied.assume_error();
@@ -64,7 +64,8 @@
 
   /// Valid after Join.
   std::optional<Error> failure_;
-  std::optional<double> lastBegun_; ///< When the last event was begun, in seconds of the run.
+  std::optional<double>
+    lastEventStartedAt_; ///< When the last event was begun, in seconds of the run.
 
 private:
   const Scenario& scenario_;
@@ -72,7 +73,7 @@
   std::thread thread_;
 };
 
-FleetSettings SettingsOf(const ExperimentSettings& aSettings)
+FleetSettings MakeFleetSettings(const ExperimentSettings& aSettings)
 {
   FleetSettings settings;
   settings.binaries_ = aSettings.binaries_;
@@ -83,14 +84,14 @@
 }
 
 // Configuration version in force at a host; 0 if it doesn't answer.
-std::uint64_t VersionAt(const Fleet& aFleet, std::size_t aHost)
+std::uint64_t ActiveVersion(const Fleet& aFleet, std::size_t aHost)
 {
   const auto json = nlohmann::json::parse(aFleet.Status(aHost), nullptr, false);
   return json.is_object() ? json.value("version", std::uint64_t{ 0 }) : 0;
 }
 
 // Processor time that a process has used, in seconds.
-double ProcessorSeconds(pid_t aProcess)
+double CpuSeconds(pid_t aProcess)
 {
   std::ifstream file("/proc/" + std::to_string(aProcess) + "/stat");
   std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
@@ -120,11 +121,11 @@
 Result<std::vector<double>> MeasureConfigChangeTimes(const ExperimentSettings& aSettings,
                                                      int aCount)
 {
-  constexpr Duration kLimit = seconds(10);
-  Fleet fleet(SettingsOf(aSettings));
+  constexpr Duration kTimeout = seconds(10);
+  Fleet fleet(MakeFleetSettings(aSettings));
   BOOST_OUTCOME_TRYV(fleet.Start());
   FleetProfile profile = aSettings.profile_;
-  std::uint64_t version = VersionAt(fleet, 0);
+  std::uint64_t version = ActiveVersion(fleet, 0);
   std::vector<double> times;
   for (int i = 0; i < aCount; ++i) {
     profile.accounts_[0].rate_ = 100 + i;
@@ -135,8 +136,8 @@
     }
     ++version;
     for (std::size_t host = 0; host < fleet.Hosts().size(); ++host) {
-      while (VersionAt(fleet, host) < version) {
-        if (Clock::now() - before > kLimit) {
+      while (ActiveVersion(fleet, host) < version) {
+        if (Clock::now() - before > kTimeout) {
           return Fail(ErrorCode::kDeadlineExceeded, fleet.Hosts()[host].name_, "within 10 s");
         }
         std::this_thread::sleep_for(milliseconds(2));
@@ -149,21 +150,21 @@
 
 Result<IdleNodeCost> MeasureIdleCost(const ExperimentSettings& aSettings, int aSeconds)
 {
-  Fleet fleet(SettingsOf(aSettings));
+  Fleet fleet(MakeFleetSettings(aSettings));
   BOOST_OUTCOME_TRYV(fleet.Start());
   std::vector<double> before;
-  const TimePoint begun = Clock::now();
+  const TimePoint startedAt = Clock::now();
   for (const FleetHost& host : fleet.Hosts()) {
-    before.push_back(ProcessorSeconds(host.node_.Id()));
+    before.push_back(CpuSeconds(host.node_.Id()));
   }
   std::this_thread::sleep_for(seconds(aSeconds));
-  const double elapsed = ToSeconds(Clock::now() - begun);
+  const double elapsed = ToSeconds(Clock::now() - startedAt);
   IdleNodeCost cost;
   for (std::size_t i = 0; i < before.size(); ++i) {
     const pid_t process = fleet.Hosts()[i].node_.Id();
-    const double part = (ProcessorSeconds(process) - before[i]) / elapsed;
-    cost.meanCpuFraction_ += part / static_cast<double>(before.size());
-    cost.maxCpuFraction_ = std::max(cost.maxCpuFraction_, part);
+    const double fraction = (CpuSeconds(process) - before[i]) / elapsed;
+    cost.meanCpuFraction_ += fraction / static_cast<double>(before.size());
+    cost.maxCpuFraction_ = std::max(cost.maxCpuFraction_, fraction);
     cost.maxResidentMegabytes_ = std::max(cost.maxResidentMegabytes_, ResidentMegabytes(process));
   }
   return cost;
@@ -175,29 +176,29 @@
   if (!scenario) {
     return Fail(ErrorCode::kNotFound, aSettings.scenario_, "see `quayload list`");
   }
-  FleetSettings settings = SettingsOf(aSettings);
+  FleetSettings settings = MakeFleetSettings(aSettings);
   settings.links_ = scenario->links_;
   Fleet fleet(settings);
   BOOST_OUTCOME_TRYV(fleet.Start());
   const LoadPlan plan = MakePlan(*scenario, aSettings.profile_, aSettings.seed_);
   EventThread events(*scenario, fleet);
   const LoadResult result =
-    RunLoad(plan, Entries(fleet), [&events](TimePoint aStart) { events.Start(aStart); });
+    RunLoad(plan, HostsByDataCentre(fleet), [&events](TimePoint aStart) { events.Start(aStart); });
   events.Join();
   if (events.failure_) {
     return BOOST_OUTCOME_V2_NAMESPACE::failure(*events.failure_);
   }
   return MakeReport(
-    *scenario, aSettings.profile_, plan, result, fleet.Executions(), events.lastBegun_);
+    *scenario, aSettings.profile_, plan, result, fleet.Executions(), events.lastEventStartedAt_);
 }
 
 Result<std::vector<LatencyComparison>> MeasureLatency(const std::string& aBinaries,
                                                       std::uint64_t aSeed,
-                                                      int aTurns,
+                                                      int aRepetitions,
                                                       bool aNaive)
 {
   // The first part of each block opens connections and isn't counted.
-  constexpr double kWarmSeconds = 0.5;
+  constexpr double kWarmUpSeconds = 0.5;
   constexpr double kBlockSeconds = 2.5;
   FleetSettings settings;
   settings.binaries_ = aBinaries;
@@ -215,14 +216,14 @@
     plan.classes_ = { { path, true, false, 1 } };
     plan.accounts_ = { { "bursa", settings.profile_.accounts_[0].key_, 1, 0 } };
     plan.baseRate_ = aRate;
-    plan.run_ = "b" + std::to_string(aBlock);
+    plan.tagPrefix_ = "b" + std::to_string(aBlock);
     plan.seed_ = aSeed + aBlock;
     return RunLoad(plan, { { aServer } }, [](TimePoint) {});
   };
   std::vector<LatencyComparison> turns;
   std::uint64_t block = 0;
   for (const double rate : { 253.0, 2530.0 }) {
-    for (int turn = 0; turn < aTurns; ++turn) {
+    for (int turn = 0; turn < aRepetitions; ++turn) {
       LatencyComparison result;
       result.rate_ = rate;
       for (const bool direct : { true, false }) {
@@ -231,8 +232,8 @@
         for (const LoadRecord& record : load.records_) {
           if (record.lastStatus_ != 200) {
             ++result.failed_;
-          } else if (record.arrival_.at_ >= kWarmSeconds) {
-            times.push_back(record.seconds_ * 1000);
+          } else if (record.arrival_.at_ >= kWarmUpSeconds) {
+            times.push_back(record.latencySeconds_ * 1000);
           }
         }
         (direct ? result.directP50Ms_ : result.proxiedP50Ms_) = Percentile(times, 0.5);
--- a/standins/lib/LoadExperiment.h
+++ b/standins/lib/LoadExperiment.h
@@ -35,7 +35,7 @@
 /// Measures by turns: direct, through, direct, ... at 253 and 2,530 calls a second.
 Result<std::vector<LatencyComparison>> MeasureLatency(const std::string& aBinaries,
                                                       std::uint64_t aSeed,
-                                                      int aTurns,
+                                                      int aRepetitions,
                                                       bool aNaive);
 
 /// Seconds from the start of `quayctl apply` until every host has the version in force, for each of
--- a/standins/lib/LoadPlan.h
+++ b/standins/lib/LoadPlan.h
@@ -14,7 +14,7 @@
 {
   std::string name_;
   double seconds_ = 1;
-  double factor_ = 1;                  ///< Of the base rate.
+  double loadFactor_ = 1;              ///< Of the base rate.
   std::vector<double> accountFactors_; ///< Further factor of each account; empty: all 1.
   bool overloaded_ = false; ///< Whether targets may be overloaded: refusals aren't wrongful then.
 };
@@ -24,15 +24,15 @@
   std::string path_;
   bool repeatable_ = true;
   bool critical_ = false;
-  double part_ = 0;
+  double fraction_ = 0;
 };
 
 struct LoadAccount
 {
   std::string name_;
   std::string key_;
-  double part_ = 0; ///< Of the base rate; the parts add up to 1.
-  double rate_ = 0; ///< Its configured rate, in requests a second.
+  double fraction_ = 0; ///< Of the base rate; the parts add up to 1.
+  double rate_ = 0;     ///< Its configured rate, in requests a second.
 };
 
 struct LoadPlan
@@ -40,12 +40,12 @@
   std::vector<LoadPhase> phases_;
   std::vector<LoadClass> classes_;
   std::vector<LoadAccount> accounts_;
-  double baseRate_ = 100;    ///< Requests a second at factor 1.
-  std::uint32_t budget_ = 3; ///< Sent as Quay-Retry-Budget.
+  double baseRate_ = 100;         ///< Requests a second at factor 1.
+  std::uint32_t retryBudget_ = 3; ///< Sent as Quay-Retry-Budget.
   std::uint32_t callerRetries_ = 0;
-  bool hardRetries_ = false;       ///< Retries at once, whatever the answer was.
+  bool immediateRetries_ = false;  ///< Retries at once, whatever the answer was.
   Duration deadline_ = seconds(3); ///< From the scheduled arrival; later answers aren't counted.
-  std::string run_ = "r";          ///< Prefix of tags.
+  std::string tagPrefix_ = "r";    ///< Prefix of tags.
   std::uint64_t seed_ = 1;
 };
 
--- a/standins/lib/LoadReport.cpp
+++ b/standins/lib/LoadReport.cpp
@@ -20,32 +20,32 @@
 }
 
 // Requests of each account in a phase, offered and served.
-struct Division
+struct AccountCounts
 {
   std::vector<double> offered_;
   std::vector<double> served_;
 };
 
-Division Divide(const LoadPlan& aPlan, const LoadResult& aResult, std::size_t aPhase)
+AccountCounts CountByAccount(const LoadPlan& aPlan, const LoadResult& aResult, std::size_t aPhase)
 {
-  Division division;
-  division.offered_.assign(aPlan.accounts_.size(), 0);
-  division.served_.assign(aPlan.accounts_.size(), 0);
+  AccountCounts counts;
+  counts.offered_.assign(aPlan.accounts_.size(), 0);
+  counts.served_.assign(aPlan.accounts_.size(), 0);
   for (const LoadRecord& record : aResult.records_) {
     if (record.arrival_.phase_ == aPhase) {
-      division.offered_[record.arrival_.account_] += 1;
-      division.served_[record.arrival_.account_] += record.served_ ? 1 : 0;
+      counts.offered_[record.arrival_.account_] += 1;
+      counts.served_[record.arrival_.account_] += record.served_ ? 1 : 0;
     }
   }
-  return division;
+  return counts;
 }
 
 // Fair shares of a phase; an account is entitled to no more than its rate.
-std::vector<double> PhaseShares(const Scenario& aScenario,
-                                const FleetProfile& aProfile,
-                                const LoadPlan& aPlan,
-                                const Division& aDivision,
-                                std::size_t aPhase)
+std::vector<double> FairPhaseShares(const Scenario& aScenario,
+                                    const FleetProfile& aProfile,
+                                    const LoadPlan& aPlan,
+                                    const AccountCounts& aCounts,
+                                    std::size_t aPhase)
 {
   const LoadPhase& phase = aScenario.phases_[aPhase];
   const bool slow = phase.name_ == "trigger";
@@ -55,9 +55,9 @@
   std::vector<double> weights;
   for (std::size_t i = 0; i < aPlan.accounts_.size(); ++i) {
     const bool withdrawn =
-      aScenario.withdrawn_ == i && (phase.name_ == "trigger" || phase.name_ == "after");
+      aScenario.withdrawnAccount_ == i && (phase.name_ == "trigger" || phase.name_ == "after");
     const double allowed = withdrawn ? 0 : aPlan.accounts_[i].rate_ * phase.seconds_;
-    demands.push_back(std::min(aDivision.offered_[i], allowed));
+    demands.push_back(std::min(aCounts.offered_[i], allowed));
     weights.push_back(aPlan.accounts_[i].rate_);
   }
   return FairShares(capacity, demands, weights);
@@ -78,24 +78,24 @@
     ++report.offered_;
     if (record.served_) {
       ++report.served_;
-      latencies.push_back(record.seconds_ * 1000);
+      latencies.push_back(record.latencySeconds_ * 1000);
     }
     if (aPlan.classes_[record.arrival_.class_].critical_) {
       critical += 1;
       criticalServed += record.served_ ? 1 : 0;
     }
-    if (!record.firstError_.empty()) {
-      ++report.errors_[record.firstError_];
+    if (!record.firstErrorType_.empty()) {
+      ++report.errors_[record.firstErrorType_];
     }
   }
   report.p50Ms_ = Percentile(latencies, 0.5);
   report.p99Ms_ = Percentile(latencies, 0.99);
-  report.criticalServed_ = critical > 0 ? criticalServed / critical : 1;
+  report.criticalServedFraction_ = critical > 0 ? criticalServed / critical : 1;
   return report;
 }
 
 // Number of served requests whose answer came during the phase.
-double CompletedIn(const LoadPlan& aPlan, const LoadResult& aResult, std::size_t aPhase)
+double CountCompletedIn(const LoadPlan& aPlan, const LoadResult& aResult, std::size_t aPhase)
 {
   double start = 0;
   for (std::size_t i = 0; i < aPhase; ++i) {
@@ -104,7 +104,7 @@
   const double end = start + aPlan.phases_[aPhase].seconds_;
   return static_cast<double>(std::count_if(
     aResult.records_.begin(), aResult.records_.end(), [start, end](const LoadRecord& aRecord) {
-      const double completed = aRecord.arrival_.at_ + aRecord.seconds_;
+      const double completed = aRecord.arrival_.at_ + aRecord.latencySeconds_;
       return aRecord.served_ && completed >= start && completed < end;
     }));
 }
@@ -120,13 +120,14 @@
     const bool afterOverload =
       record.arrival_.phase_ > 0 && aPlan.phases_[record.arrival_.phase_ - 1].overloaded_;
     if (phase.name_ != "warm-up" && !phase.overloaded_ && !afterOverload &&
-        aScenario.culprit_ != record.arrival_.account_) {
-      ++aReport.wrongfulOf_;
+        aScenario.misbehavingAccount_ != record.arrival_.account_) {
+      ++aReport.rightfulRequests_;
       aReport.wrongfulRefusals_ += Refused(record) ? 1 : 0;
     }
     if (aPlan.classes_[record.arrival_.class_].critical_) {
-      ++aReport.criticalOf_;
-      aReport.criticalShed_ += record.firstStatus_ == 503 && record.firstError_ == "shed" ? 1 : 0;
+      ++aReport.criticalRequests_;
+      aReport.criticalShed_ +=
+        record.firstStatus_ == 503 && record.firstErrorType_ == "shed" ? 1 : 0;
     }
   }
 }
@@ -141,58 +142,58 @@
                       std::optional<double> aWithdrawnAt)
 {
   LoadReport report;
-  std::size_t judged = 0;
+  std::size_t mainPhase = 0;
   for (std::size_t i = 0; i < aPlan.phases_.size(); ++i) {
     PhaseReport phase = ReportPhase(aPlan, aResult, i);
-    const Division division = Divide(aPlan, aResult, i);
-    for (const double share : PhaseShares(aScenario, aProfile, aPlan, division, i)) {
+    const AccountCounts counts = CountByAccount(aPlan, aResult, i);
+    for (const double share : FairPhaseShares(aScenario, aProfile, aPlan, counts, i)) {
       phase.ideal_ += share;
     }
-    const double served = aPlan.phases_[i].overloaded_ ? CompletedIn(aPlan, aResult, i)
+    const double served = aPlan.phases_[i].overloaded_ ? CountCompletedIn(aPlan, aResult, i)
                                                        : static_cast<double>(phase.served_);
     phase.goodput_ = phase.ideal_ > 0 ? served / phase.ideal_ : 1;
     report.phases_.push_back(std::move(phase));
     if (aPlan.phases_[i].name_ == "trigger") {
       report.hasTrigger_ = true;
-      judged = i;
+      mainPhase = i;
     } else if (aPlan.phases_[i].name_ == "before") {
-      judged = i;
+      mainPhase = i;
     }
   }
-  const Division division = Divide(aPlan, aResult, judged);
-  const auto shares = PhaseShares(aScenario, aProfile, aPlan, division, judged);
+  const AccountCounts counts = CountByAccount(aPlan, aResult, mainPhase);
+  const auto shares = FairPhaseShares(aScenario, aProfile, aPlan, counts, mainPhase);
   for (std::size_t i = 0; i < shares.size(); ++i) {
-    const double part = shares[i] > 0 ? division.served_[i] / shares[i] : 1;
-    if (part < report.worstShare_ || report.worstAccount_.empty()) {
-      report.worstShare_ = part;
+    const double fraction = shares[i] > 0 ? counts.served_[i] / shares[i] : 1;
+    if (fraction < report.worstAccountShare_ || report.worstAccount_.empty()) {
+      report.worstAccountShare_ = fraction;
       report.worstAccount_ = aPlan.accounts_[i].name_;
     }
   }
   CountRefusals(report, aScenario, aPlan, aResult);
   if (report.hasTrigger_) {
-    std::vector<ServedAt> requests;
+    std::vector<RequestSample> requests;
     for (const LoadRecord& record : aResult.records_) {
       // The misbehaving account's refusals are right and say nothing about recovery.
-      if (aScenario.culprit_ != record.arrival_.account_) {
+      if (aScenario.misbehavingAccount_ != record.arrival_.account_) {
         requests.push_back({ record.arrival_.at_, record.served_ });
       }
     }
     const double before =
-      ServedPart(requests, PhaseStart(aScenario, "before"), PhaseStart(aScenario, "trigger"));
+      ServedFraction(requests, PhaseStart(aScenario, "before"), PhaseStart(aScenario, "trigger"));
     report.recoverySeconds_ = RecoverySeconds(
       requests, PhaseStart(aScenario, "after"), PhaseStart(aScenario, ""), before, 0.98);
   }
-  if (aScenario.withdrawn_ && aWithdrawnAt) {
+  if (aScenario.withdrawnAccount_ && aWithdrawnAt) {
     report.withdrawnKeyServedSeconds_ = 0;
     for (const LoadRecord& record : aResult.records_) {
-      if (record.arrival_.account_ == *aScenario.withdrawn_ && record.served_) {
+      if (record.arrival_.account_ == *aScenario.withdrawnAccount_ && record.served_) {
         report.withdrawnKeyServedSeconds_ =
           std::max(*report.withdrawnKeyServedSeconds_, record.arrival_.at_ - *aWithdrawnAt);
       }
     }
   }
-  report.worstLagMs_ = aResult.worstLagSeconds_ * 1000;
-  report.lostIds_ = aResult.lostIds_;
+  report.maxStartLagMs_ = aResult.maxStartLagSeconds_ * 1000;
+  report.failedIdRequests_ = aResult.failedIdRequests_;
   report.history_ = CheckHistory(aResult.calls_, aExecutions);
   return report;
 }
@@ -209,24 +210,25 @@
                                { "goodput", phase.goodput_ },
                                { "p50_ms", phase.p50Ms_ },
                                { "p99_ms", phase.p99Ms_ },
-                               { "critical_served", phase.criticalServed_ },
+                               { "critical_served", phase.criticalServedFraction_ },
                                { "errors", phase.errors_ } });
   }
   json["recovery_s"] =
     aReport.recoverySeconds_ ? nlohmann::json(*aReport.recoverySeconds_) : nlohmann::json();
   json["worst_account"] = { { "account", aReport.worstAccount_ },
-                            { "share", aReport.worstShare_ } };
+                            { "share", aReport.worstAccountShare_ } };
   json["wrongful_refusals"] = { { "count", aReport.wrongfulRefusals_ },
-                                { "of", aReport.wrongfulOf_ } };
-  json["critical_shed"] = { { "count", aReport.criticalShed_ }, { "of", aReport.criticalOf_ } };
+                                { "of", aReport.rightfulRequests_ } };
+  json["critical_shed"] = { { "count", aReport.criticalShed_ },
+                            { "of", aReport.criticalRequests_ } };
   if (aReport.withdrawnKeyServedSeconds_) {
     json["withdrawn_served_s"] = *aReport.withdrawnKeyServedSeconds_;
   }
-  json["generator_lag_ms"] = aReport.worstLagMs_;
-  json["lost_id_requests"] = aReport.lostIds_;
+  json["generator_lag_ms"] = aReport.maxStartLagMs_;
+  json["lost_id_requests"] = aReport.failedIdRequests_;
   json["history"]["calls"] = aReport.history_.calls_;
   json["history"]["executions"] = aReport.history_.executions_;
-  json["history"]["most_retries"] = aReport.history_.mostRetries_;
+  json["history"]["most_retries"] = aReport.history_.maxCallTreeRetries_;
   json["history"]["holds"] = aReport.history_.Holds();
   json["history"]["examples"] = aReport.history_.examples_;
   for (const auto& [property, count] : aReport.history_.violations_) {
@@ -244,8 +246,9 @@
          << static_cast<double>(phase.offered_) / phase.seconds_ << "/s, served "
          << static_cast<double>(phase.served_) / phase.seconds_ << "/s, ideal "
          << phase.ideal_ / phase.seconds_ << "/s, goodput " << std::setprecision(3)
-         << phase.goodput_ << ", critical served " << phase.criticalServed_ << std::setprecision(0)
-         << ", p50 " << phase.p50Ms_ << " ms, p99 " << phase.p99Ms_ << " ms";
+         << phase.goodput_ << ", critical served " << phase.criticalServedFraction_
+         << std::setprecision(0) << ", p50 " << phase.p50Ms_ << " ms, p99 " << phase.p99Ms_
+         << " ms";
     for (const auto& [type, count] : phase.errors_) {
       text << ", " << type << " " << count;
     }
@@ -261,21 +264,21 @@
     }
   }
   text << aPrefix << "worst-served account: " << aReport.worstAccount_ << ", "
-       << aReport.worstShare_ << " of its fair share\n";
+       << aReport.worstAccountShare_ << " of its fair share\n";
   text << aPrefix << "wrongful refusals: " << aReport.wrongfulRefusals_ << " of "
-       << aReport.wrongfulOf_ << "; critical shed: " << aReport.criticalShed_ << " of "
-       << aReport.criticalOf_ << "\n";
+       << aReport.rightfulRequests_ << "; critical shed: " << aReport.criticalShed_ << " of "
+       << aReport.criticalRequests_ << "\n";
   if (aReport.withdrawnKeyServedSeconds_) {
     text << aPrefix << "withdrawn key last served " << *aReport.withdrawnKeyServedSeconds_
          << " s after the withdrawal began\n";
   }
   text << aPrefix << "history: " << (aReport.history_.Holds() ? "holds" : "FAILS") << ", "
        << aReport.history_.calls_ << " calls, " << aReport.history_.executions_
-       << " executions, most retries " << aReport.history_.mostRetries_ << "\n";
+       << " executions, most retries " << aReport.history_.maxCallTreeRetries_ << "\n";
   for (const std::string& example : aReport.history_.examples_) {
     text << aPrefix << "  " << example << "\n";
   }
-  text << aPrefix << "generator lag at most " << std::setprecision(1) << aReport.worstLagMs_
+  text << aPrefix << "generator lag at most " << std::setprecision(1) << aReport.maxStartLagMs_
        << " ms\n";
   return text.str();
 }
--- a/standins/lib/LoadReport.h
+++ b/standins/lib/LoadReport.h
@@ -24,7 +24,7 @@
   double goodput_ = 0;       ///< served_ / ideal_.
   double p50Ms_ = 0;         ///< Of served requests, from the scheduled arrival.
   double p99Ms_ = 0;
-  double criticalServed_ = 1;                   ///< Part of the critical requests that were served.
+  double criticalServedFraction_ = 1;           ///< Part of the critical requests that were served.
   std::map<std::string, std::uint64_t> errors_; ///< First answers other than 200, by error type.
 };
 
@@ -34,15 +34,16 @@
   std::optional<double> recoverySeconds_; ///< After "trigger" ends; empty if it did not recover.
   bool hasTrigger_ = false;
   std::string worstAccount_;
-  double worstShare_ = 1; ///< Served over max-min fair share of the worst-served client account.
+  double worstAccountShare_ =
+    1; ///< Served over max-min fair share of the worst-served client account.
   std::uint64_t wrongfulRefusals_ =
     0; ///< First answer refused, account within its rate, no overload.
-  std::uint64_t wrongfulOf_ = 0;
+  std::uint64_t rightfulRequests_ = 0;
   std::uint64_t criticalShed_ = 0; ///< Critical requests shed at their first host or target.
-  std::uint64_t criticalOf_ = 0;
+  std::uint64_t criticalRequests_ = 0;
   std::optional<double> withdrawnKeyServedSeconds_; ///< Latest arrival served after its withdrawal.
-  double worstLagMs_ = 0;                           ///< Of the load generator itself.
-  std::uint64_t lostIds_ = 0;
+  double maxStartLagMs_ = 0;                        ///< Of the load generator itself.
+  std::uint64_t failedIdRequests_ = 0;
   HistoryResult history_;
 };
 
--- a/standins/lib/LoadRunner.cpp
+++ b/standins/lib/LoadRunner.cpp
@@ -37,16 +37,16 @@
 namespace {
 
 // Request ids are fetched in small batches: a batch is lost with the host that issued it.
-constexpr std::uint32_t kIdBatch = 16;
+constexpr std::uint32_t kRequestIdBatchSize = 16;
 
 // Waiting time for an answer beyond the request's deadline, so that a late "unknown" is still read.
-constexpr Duration kGrace = milliseconds(300);
+constexpr Duration kAnswerGracePeriod = milliseconds(300);
 
 // Length of answers of a stand-in target when the path doesn't ask for another.
-constexpr std::size_t kAnswerBytes = 64;
+constexpr std::size_t kDefaultAnswerBytes = 64;
 
 // Backoff of a polite caller; doubles with each attempt.
-constexpr Duration kBackoff = milliseconds(50);
+constexpr Duration kInitialBackoff = milliseconds(50);
 
 using Socket = std::shared_ptr<tcp::socket>;
 using Message = http::request<http::string_body>;
@@ -61,7 +61,7 @@
 };
 
 // Splitmix64 over a request's own random number.
-std::uint64_t Next(std::uint64_t& aState)
+std::uint64_t NextRandom(std::uint64_t& aState)
 {
   aState += 0x9E3779B97F4A7C15ULL;
   std::uint64_t value = aState;
@@ -80,11 +80,11 @@
 class Runner
 {
 public:
-  Runner(const LoadPlan& aPlan, const std::vector<LoadEntry>& aEntries)
+  Runner(const LoadPlan& aPlan, const std::vector<DataCentreHosts>& aDataCentres)
     : plan_(aPlan)
-    , entries_(aEntries)
+    , dataCentres_(aDataCentres)
     , arrivals_(PlanArrivals(aPlan))
-    , ids_(aEntries.size())
+    , unusedIds_(aDataCentres.size())
   {
     result_.records_.resize(arrivals_.size());
   }
@@ -95,36 +95,37 @@
     start_ = Clock::now() + milliseconds(20);
     aStarted(start_);
     asio::co_spawn(
-      context_, [this] { return Dispatch(); }, asio::detached);
+      context_, [this] { return StartRequests(); }, asio::detached);
     context_.run();
     return std::move(result_);
   }
 
 private:
-  TimePoint At(double aSeconds) const
+  TimePoint TimeAt(double aSeconds) const
   {
     return start_ + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(aSeconds));
   }
 
-  asio::awaitable<void> Dispatch()
+  asio::awaitable<void> StartRequests()
   {
     asio::steady_timer timer(context_);
     error_code ignored;
     for (std::size_t i = 0; i < arrivals_.size(); ++i) {
-      const TimePoint due = At(arrivals_[i].at_);
+      const TimePoint due = TimeAt(arrivals_[i].at_);
       if (due > Clock::now()) {
         timer.expires_at(due);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
       }
-      result_.worstLagSeconds_ = std::max(result_.worstLagSeconds_, ToSeconds(Clock::now() - due));
+      result_.maxStartLagSeconds_ =
+        std::max(result_.maxStartLagSeconds_, ToSeconds(Clock::now() - due));
       asio::co_spawn(
-        context_, [this, i] { return Request(i); }, asio::detached);
+        context_, [this, i] { return RunRequest(i); }, asio::detached);
     }
   }
 
-  Socket TakeIdle(const Address& aServer)
+  Socket TakeIdleConnection(const Address& aServer)
   {
-    auto& idle = idle_[aServer];
+    auto& idle = idleConnections_[aServer];
     while (!idle.empty()) {
       Socket socket = std::move(idle.back());
       idle.pop_back();
@@ -140,13 +141,13 @@
   {
     Exchange exchange;
     error_code failure;
-    Socket socket = TakeIdle(aServer);
-    asio::steady_timer limit(context_, aEnd);
+    Socket socket = TakeIdleConnection(aServer);
+    asio::steady_timer timeoutTimer(context_, aEnd);
     const bool fresh = !socket;
     if (fresh) {
       socket = std::make_shared<tcp::socket>(context_);
     }
-    limit.async_wait([socket](error_code aFailure) {
+    timeoutTimer.async_wait([socket](error_code aFailure) {
       if (!aFailure) {
         error_code ignored;
         socket->close(ignored);
@@ -179,34 +180,36 @@
     exchange.outcome_ = std::string(answer["Quay-Outcome"]);
     exchange.retryAfterMs_ = std::string(answer["Quay-Retry-After-Ms"]);
     exchange.body_ = std::move(answer.body());
-    limit.cancel();
+    timeoutTimer.cancel();
     if (answer.keep_alive() && socket->is_open()) {
-      idle_[aServer].push_back(socket);
+      idleConnections_[aServer].push_back(socket);
     }
     co_return exchange;
   }
 
   // A request id issued by a host of the data centre; empty if none could be had.
-  asio::awaitable<std::string> TakeId(std::size_t aEntry, std::uint64_t aRandom, TimePoint aEnd)
+  asio::awaitable<std::string> AcquireRequestId(std::size_t aDataCentre,
+                                                std::uint64_t aRandom,
+                                                TimePoint aEnd)
   {
-    auto& pool = ids_[aEntry];
+    auto& pool = unusedIds_[aDataCentre];
     for (int attempt = 0; attempt < 4 && pool.empty(); ++attempt) {
-      const LoadEntry& hosts = entries_[aEntry];
-      const Address host = hosts[Next(aRandom) % hosts.size()];
-      const std::string target = "/quay/request-ids?count=" + std::to_string(kIdBatch);
+      const DataCentreHosts& hosts = dataCentres_[aDataCentre];
+      const Address host = hosts[NextRandom(aRandom) % hosts.size()];
+      const std::string target = "/quay/request-ids?count=" + std::to_string(kRequestIdBatchSize);
       auto message = std::make_shared<Message>(http::verb::post, target, 11);
       message->set(http::field::host, host.ip_);
       message->set("Quay-Key", plan_.accounts_[0].key_);
       message->prepare_payload();
-      auto sending = Send(host, message, aEnd);
-      const Exchange exchange = co_await std::move(sending);
+      auto pendingExchange = Send(host, message, aEnd);
+      const Exchange exchange = co_await std::move(pendingExchange);
       const auto json = nlohmann::json::parse(exchange.body_, nullptr, false);
       if (exchange.status_ == 200 && json.is_object() && json.contains("request_ids")) {
         for (const auto& id : json["request_ids"]) {
           pool.push_back(id.get<std::string>());
         }
       } else {
-        ++result_.lostIds_;
+        ++result_.failedIdRequests_;
       }
     }
     std::string id;
@@ -222,19 +225,19 @@
                                        const std::string& aId,
                                        TimePoint aEnd) const
   {
-    const LoadClass& kind = plan_.classes_[aArrival.class_];
-    const std::string target = WithQuery(kind.path_, "tag", aTag);
-    const auto verb = kind.repeatable_ ? http::verb::get : http::verb::post;
+    const LoadClass& requestClass = plan_.classes_[aArrival.class_];
+    const std::string target = WithQuery(requestClass.path_, "tag", aTag);
+    const auto verb = requestClass.repeatable_ ? http::verb::get : http::verb::post;
     auto message = std::make_shared<Message>(verb, target, 11);
     message->set(http::field::host, "fleet");
     message->set("Quay-Key", plan_.accounts_[aArrival.account_].key_);
-    message->set("Quay-Retry-Budget", std::to_string(plan_.budget_));
+    message->set("Quay-Retry-Budget", std::to_string(plan_.retryBudget_));
     const auto left = std::chrono::duration_cast<milliseconds>(aEnd - Clock::now()).count();
     message->set("Quay-Deadline-Ms", std::to_string(std::max<std::int64_t>(left, 1)));
     if (!aId.empty()) {
       message->set("Quay-Request-Id", aId);
     }
-    if (!kind.repeatable_) {
+    if (!requestClass.repeatable_) {
       // A repeat must have the same body, so it doesn't depend on the tag.
       message->body() = "order";
     }
@@ -243,50 +246,53 @@
   }
 
   // Whether the caller tries again after this answer.
-  bool TryAgain(const Exchange& aExchange, const LoadClass& aClass) const
+  bool ShouldRetry(const Exchange& aExchange, const LoadClass& aClass) const
   {
-    if (plan_.hardRetries_) {
+    if (plan_.immediateRetries_) {
       return true;
     }
     const bool refused = aExchange.status_ == 503 || aExchange.status_ == 429;
     return refused || (aClass.repeatable_ && (aExchange.status_ == 0 || aExchange.status_ >= 500));
   }
 
-  static Duration Pause(const Exchange& aExchange, std::uint32_t aAttempt, std::uint64_t aRandom)
+  static Duration RetryDelay(const Exchange& aExchange,
+                             std::uint32_t aAttempt,
+                             std::uint64_t aRandom)
   {
     const auto shift = std::min(aAttempt, 5U);
     const double jitter = 0.5 + static_cast<double>(aRandom % 1000) / 1000;
-    const auto backoff = std::chrono::duration_cast<Duration>(kBackoff * (1U << shift) * jitter);
+    const auto backoff =
+      std::chrono::duration_cast<Duration>(kInitialBackoff * (1U << shift) * jitter);
     const long long hint = std::atoll(aExchange.retryAfterMs_.c_str());
     return std::max<Duration>(backoff, milliseconds(std::clamp(hint, 0LL, 10'000LL)));
   }
 
-  asio::awaitable<void> Request(std::size_t aIndex)
+  asio::awaitable<void> RunRequest(std::size_t aIndex)
   {
     const Arrival& arrival = arrivals_[aIndex];
-    const LoadClass& kind = plan_.classes_[arrival.class_];
+    const LoadClass& requestClass = plan_.classes_[arrival.class_];
     LoadRecord& record = result_.records_[aIndex];
     record.arrival_ = arrival;
     std::uint64_t random = arrival.random_;
-    const std::size_t entry = Next(random) % entries_.size();
-    const LoadEntry& hosts = entries_[entry];
-    const TimePoint scheduled = At(arrival.at_);
+    const std::size_t dataCentre = NextRandom(random) % dataCentres_.size();
+    const DataCentreHosts& hosts = dataCentres_[dataCentre];
+    const TimePoint scheduled = TimeAt(arrival.at_);
     const TimePoint end = scheduled + plan_.deadline_;
     std::string id;
-    if (!kind.repeatable_) {
-      auto taking = TakeId(entry, Next(random), end);
-      id = co_await std::move(taking);
+    if (!requestClass.repeatable_) {
+      auto pendingId = AcquireRequestId(dataCentre, NextRandom(random), end);
+      id = co_await std::move(pendingId);
     }
     std::uint32_t connectFailures = 0;
     bool allNotRun = true;
     for (std::uint32_t attempt = 0; attempt <= plan_.callerRetries_;) {
       // A repeat under a request id must be the same request, so it keeps the tag.
-      const std::string tag =
-        plan_.run_ + "-" + std::to_string(aIndex) + "." + std::to_string(id.empty() ? attempt : 0);
+      const std::string tag = plan_.tagPrefix_ + "-" + std::to_string(aIndex) + "." +
+                              std::to_string(id.empty() ? attempt : 0);
       const auto message = MakeMessage(arrival, tag, id, end);
-      const Address host = hosts[Next(random) % hosts.size()];
-      auto sending = Send(host, message, end + kGrace);
-      const Exchange exchange = co_await std::move(sending);
+      const Address host = hosts[NextRandom(random) % hosts.size()];
+      auto pendingExchange = Send(host, message, end + kAnswerGracePeriod);
+      const Exchange exchange = co_await std::move(pendingExchange);
       if (!exchange.connected_ && Clock::now() < end && connectFailures < 4) {
         // No byte was sent: another host is tried as part of the same attempt.
         ++connectFailures;
@@ -294,27 +300,29 @@
       }
       ++record.attempts_;
       const std::string_view target(message->target());
-      const bool right =
+      const bool correctBody =
         exchange.status_ != 200 ||
-        exchange.body_ == TargetBody(target, message->body(), BodyLength(target, kAnswerBytes));
+        exchange.body_ ==
+          TargetBody(target, message->body(), BodyLength(target, kDefaultAnswerBytes));
       allNotRun = allNotRun && exchange.outcome_ == "not-run";
-      NoteCall(
-        { tag, id, exchange.outcome_, exchange.status_, right, plan_.budget_ }, attempt, allNotRun);
+      RecordCall({ tag, id, exchange.outcome_, exchange.status_, correctBody, plan_.retryBudget_ },
+                 attempt,
+                 allNotRun);
       record.lastStatus_ = exchange.status_;
-      record.seconds_ = ToSeconds(Clock::now() - scheduled);
+      record.latencySeconds_ = ToSeconds(Clock::now() - scheduled);
       if (attempt == 0) {
         record.firstStatus_ = exchange.status_;
-        record.firstError_ = ErrorType(exchange);
+        record.firstErrorType_ = ErrorType(exchange);
       }
       if (exchange.status_ == 200) {
-        record.served_ = right && Clock::now() <= end;
+        record.served_ = correctBody && Clock::now() <= end;
         break;
       }
-      if (attempt == plan_.callerRetries_ || !TryAgain(exchange, kind)) {
+      if (attempt == plan_.callerRetries_ || !ShouldRetry(exchange, requestClass)) {
         break;
       }
-      if (!plan_.hardRetries_) {
-        asio::steady_timer pause(context_, Pause(exchange, attempt, Next(random)));
+      if (!plan_.immediateRetries_) {
+        asio::steady_timer pause(context_, RetryDelay(exchange, attempt, NextRandom(random)));
         error_code ignored;
         co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
       }
@@ -327,12 +335,12 @@
 
   // Repeats under a request id share one tag and so one entry in the targets' logs. Only the last
   // attempt is held against that log, and a "not run" only if every attempt said so.
-  void NoteCall(HistoryCall aCall, std::uint32_t aAttempt, bool aAllNotRun)
+  void RecordCall(HistoryCall aCall, std::uint32_t aAttempt, bool aAllNotRun)
   {
     if (!aCall.requestId_.empty() && aAttempt > 0) {
       auto& earlier = lastCall_[aCall.requestId_];
       result_.calls_[earlier].tag_.clear();
-      aCall.budget_ *= aAttempt + 1;
+      aCall.retryBudget_ *= aAttempt + 1;
       if (aCall.outcome_ == "not-run" && !aAllNotRun) {
         aCall.tag_.clear();
       }
@@ -360,23 +368,23 @@
   }
 
   const LoadPlan& plan_;
-  const std::vector<LoadEntry>& entries_;
+  const std::vector<DataCentreHosts>& dataCentres_;
   std::vector<Arrival> arrivals_;
   asio::io_context context_{ 1 };
   TimePoint start_{};
-  std::map<Address, std::vector<Socket>> idle_;
-  std::vector<std::vector<std::string>> ids_;   ///< Issued and unused, by data centre.
-  std::map<std::string, std::size_t> lastCall_; ///< Index of the latest call of a request id.
+  std::map<Address, std::vector<Socket>> idleConnections_;
+  std::vector<std::vector<std::string>> unusedIds_; ///< Issued and unused, by data centre.
+  std::map<std::string, std::size_t> lastCall_;     ///< Index of the latest call of a request id.
   LoadResult result_;
 };
 
 } // namespace
 
 LoadResult RunLoad(const LoadPlan& aPlan,
-                   const std::vector<LoadEntry>& aEntries,
+                   const std::vector<DataCentreHosts>& aDataCentres,
                    const std::function<void(TimePoint)>& aStarted)
 {
-  Runner runner(aPlan, aEntries);
+  Runner runner(aPlan, aDataCentres);
   return runner.Run(aStarted);
 }
 
--- a/standins/lib/LoadRunner.h
+++ b/standins/lib/LoadRunner.h
@@ -18,11 +18,11 @@
 struct LoadRecord
 {
   Arrival arrival_;
-  bool served_ = false;      ///< Whole right answer within the deadline.
-  double seconds_ = 0;       ///< From the scheduled arrival to the last answer.
-  unsigned firstStatus_ = 0; ///< Of the first attempt; 0: no answer.
+  bool served_ = false;       ///< Whole right answer within the deadline.
+  double latencySeconds_ = 0; ///< From the scheduled arrival to the last answer.
+  unsigned firstStatus_ = 0;  ///< Of the first attempt; 0: no answer.
   unsigned lastStatus_ = 0;
-  std::string firstError_; ///< Error type in the body of the first answer, if it wasn't 200.
+  std::string firstErrorType_; ///< Error type in the body of the first answer, if it wasn't 200.
   std::uint32_t attempts_ = 0;
 };
 
@@ -30,17 +30,17 @@
 {
   std::vector<LoadRecord> records_; ///< In order of the scheduled arrivals.
   std::vector<HistoryCall> calls_;  ///< One for each attempt.
-  double worstLagSeconds_ = 0; ///< Largest delay between scheduled and real start of a request.
-  std::uint64_t lostIds_ = 0;  ///< Attempts to get request ids that failed.
+  double maxStartLagSeconds_ = 0; ///< Largest delay between scheduled and real start of a request.
+  std::uint64_t failedIdRequests_ = 0; ///< Attempts to get request ids that failed.
 };
 
 /// Hosts of one data centre that callers may use.
-using LoadEntry = std::vector<Address>;
+using DataCentreHosts = std::vector<Address>;
 
 /// Runs on the calling thread until every request has ended. Callers of an account spread over all
 /// data centres and hosts. aStarted is called with the time of second 0, before the first request.
 LoadResult RunLoad(const LoadPlan& aPlan,
-                   const std::vector<LoadEntry>& aEntries,
+                   const std::vector<DataCentreHosts>& aDataCentres,
                    const std::function<void(TimePoint)>& aStarted);
 
 } // namespace peridotquay::standins
--- a/standins/lib/LoadScenario.cpp
+++ b/standins/lib/LoadScenario.cpp
@@ -8,34 +8,36 @@
 // Times in the definitions below count from the end of the warm-up.
 
 // Load of an ordinary day, as part of the capacity.
-constexpr double kOrdinary = 0.7;
+constexpr double kOrdinaryLoadFactor = 0.7;
 
 // Account that misbehaves or loses its key: a small one, so that the others' shares hardly move.
-constexpr std::size_t kCulprit = 3;
+constexpr std::size_t kMisbehavingAccount = 3;
 
 std::vector<LoadPhase> ThreePhases(double aBefore, double aTrigger, double aAfter)
 {
-  return { { "before", aBefore, kOrdinary, {}, false },
-           { "trigger", aTrigger, kOrdinary, {}, false },
-           { "after", aAfter, kOrdinary, {}, false } };
+  return { { "before", aBefore, kOrdinaryLoadFactor, {}, false },
+           { "trigger", aTrigger, kOrdinaryLoadFactor, {}, false },
+           { "after", aAfter, kOrdinaryLoadFactor, {}, false } };
 }
 
-ScenarioEvent At(double aSeconds, std::string aName, std::function<Result<void>(Fleet&)> aApply)
+ScenarioEvent EventAt(double aSeconds,
+                      std::string aName,
+                      std::function<Result<void>(Fleet&)> aApply)
 {
   return { aSeconds, std::move(aName), std::move(aApply) };
 }
 
 // Factor that lets the culprit send several times its rate.
-double GreedyFactor(const FleetProfile& aProfile)
+double GreedyLoadFactor(const FleetProfile& aProfile)
 {
-  constexpr double kTimesItsRate = 5;
+  constexpr double kRateMultiple = 5;
   double weights = 0;
   for (const FleetAccount& account : aProfile.accounts_) {
     weights += account.weight_;
   }
-  const double ordinary =
-    CapacityPerSecond(aProfile) * kOrdinary * aProfile.accounts_[kCulprit].weight_ / weights;
-  return kTimesItsRate * AccountRate(aProfile, kCulprit) / ordinary;
+  const double ordinary = CapacityPerSecond(aProfile) * kOrdinaryLoadFactor *
+                          aProfile.accounts_[kMisbehavingAccount].weight_ / weights;
+  return kRateMultiple * AccountRate(aProfile, kMisbehavingAccount) / ordinary;
 }
 
 void AddLoadScenario(Scenario& aScenario, const FleetProfile& aProfile)
@@ -43,11 +45,11 @@
   auto& phases = aScenario.phases_;
   if (aScenario.name_ == "steady") {
     aScenario.description_ = "ordinary load, 0.7 of the capacity";
-    phases = { { "before", 10, kOrdinary, {}, false } };
+    phases = { { "before", 10, kOrdinaryLoadFactor, {}, false } };
   } else if (aScenario.name_ == "surge") {
     aScenario.description_ = "10 s at twice the capacity";
     phases = ThreePhases(4, 10, 6);
-    phases[1].factor_ = 2;
+    phases[1].loadFactor_ = 2;
     phases[1].overloaded_ = true;
   } else if (aScenario.name_ == "deep-slow") {
     aScenario.description_ = "the deepest service is 5 times slower for 6 s";
@@ -55,27 +57,27 @@
     phases[1].overloaded_ = true;
     aScenario.slowFactor_ = 5;
     const std::size_t deepest = aProfile.services_.size() - 1;
-    aScenario.events_ = { At(4,
-                             "slow",
-                             [deepest](Fleet& aFleet) {
-                               return aFleet.SetServiceFaults(deepest, R"({"slow_factor":5})");
-                             }),
-                          At(10, "normal", [deepest](Fleet& aFleet) {
+    aScenario.events_ = { EventAt(4,
+                                  "slow",
+                                  [deepest](Fleet& aFleet) {
+                                    return aFleet.SetServiceFaults(deepest, R"({"slow_factor":5})");
+                                  }),
+                          EventAt(10, "normal", [deepest](Fleet& aFleet) {
                             return aFleet.SetServiceFaults(deepest, R"({"slow_factor":1})");
                           }) };
   } else if (aScenario.name_ == "retry-storm") {
     aScenario.description_ = "5 s at 1.5 times the capacity; callers retry 5 times without a pause";
     phases = ThreePhases(4, 5, 8);
-    phases[1].factor_ = 1.5;
+    phases[1].loadFactor_ = 1.5;
     phases[1].overloaded_ = true;
     aScenario.callerRetries_ = 5;
-    aScenario.hardRetries_ = true;
+    aScenario.immediateRetries_ = true;
   } else if (aScenario.name_ == "greedy-account") {
     aScenario.description_ = "one client account sends 5 times its rate for 8 s";
     phases = ThreePhases(4, 8, 4);
     phases[1].accountFactors_.assign(aProfile.accounts_.size(), 1);
-    phases[1].accountFactors_[kCulprit] = GreedyFactor(aProfile);
-    aScenario.culprit_ = kCulprit;
+    phases[1].accountFactors_[kMisbehavingAccount] = GreedyLoadFactor(aProfile);
+    aScenario.misbehavingAccount_ = kMisbehavingAccount;
   }
 }
 
@@ -83,44 +85,46 @@
 {
   auto& phases = aScenario.phases_;
   // A host of the second service: its loss leaves the capacity of the chain as it is.
-  const std::size_t victim = 1;
+  const std::size_t affectedHost = 1;
   if (aScenario.name_ == "kill-host") {
     aScenario.description_ = "one host of the second service is killed";
     phases = ThreePhases(4, 5, 5);
-    aScenario.events_ = { At(4, "kill", [victim](Fleet& aFleet) {
-      aFleet.KillHost(victim);
+    aScenario.events_ = { EventAt(4, "kill", [affectedHost](Fleet& aFleet) {
+      aFleet.KillHost(affectedHost);
       return Success();
     }) };
   } else if (aScenario.name_ == "freeze-host") {
     aScenario.description_ = "one host of the second service is paused for 5 s";
     phases = ThreePhases(4, 5, 6);
-    aScenario.events_ = { At(4,
-                             "freeze",
-                             [victim](Fleet& aFleet) {
-                               aFleet.FreezeHost(victim, true);
-                               return Success();
-                             }),
-                          At(9, "thaw", [victim](Fleet& aFleet) {
-                            aFleet.FreezeHost(victim, false);
+    aScenario.events_ = { EventAt(4,
+                                  "freeze",
+                                  [affectedHost](Fleet& aFleet) {
+                                    aFleet.SetHostPaused(affectedHost, true);
+                                    return Success();
+                                  }),
+                          EventAt(9, "thaw", [affectedHost](Fleet& aFleet) {
+                            aFleet.SetHostPaused(affectedHost, false);
                             return Success();
                           }) };
   } else if (aScenario.name_ == "platform-outage") {
     aScenario.description_ =
       "the platform refuses everything for 14 s, longer than the freshness bound";
     phases = ThreePhases(3, 14, 4);
-    aScenario.events_ = {
-      At(3,
-         "outage",
-         [](Fleet& aFleet) { return aFleet.SetPlatformFaults(R"({"outage":"refuse"})"); }),
-      At(17, "back", [](Fleet& aFleet) { return aFleet.SetPlatformFaults(R"({"outage":"none"})"); })
-    };
+    aScenario.events_ = { EventAt(3,
+                                  "outage",
+                                  [](Fleet& aFleet) {
+                                    return aFleet.SetPlatformFaults(R"({"outage":"refuse"})");
+                                  }),
+                          EventAt(17, "back", [](Fleet& aFleet) {
+                            return aFleet.SetPlatformFaults(R"({"outage":"none"})");
+                          }) };
   } else if (aScenario.name_ == "key-withdrawn") {
     aScenario.description_ = "the key of one client account is withdrawn while it sends";
     phases = ThreePhases(3, 6, 1);
-    aScenario.culprit_ = kCulprit;
-    aScenario.withdrawn_ = kCulprit;
-    const std::string key = aProfile.accounts_[kCulprit].key_;
-    aScenario.events_ = { At(3, "withdraw", [key](Fleet& aFleet) -> Result<void> {
+    aScenario.misbehavingAccount_ = kMisbehavingAccount;
+    aScenario.withdrawnAccount_ = kMisbehavingAccount;
+    const std::string key = aProfile.accounts_[kMisbehavingAccount].key_;
+    aScenario.events_ = { EventAt(3, "withdraw", [key](Fleet& aFleet) -> Result<void> {
       const CommandResult done = aFleet.WithdrawKey(key);
       if (done.status_ != 0) {
         return Fail(ErrorCode::kPlatformUnavailable, "quayctl keys withdraw", done.output_);
@@ -131,7 +135,7 @@
     aScenario.description_ = "every open connection between a node and its target falls silent";
     phases = ThreePhases(4, 4, 6);
     aScenario.links_ = true;
-    aScenario.events_ = { At(4, "silence", [](Fleet& aFleet) {
+    aScenario.events_ = { EventAt(4, "silence", [](Fleet& aFleet) {
       return aFleet.SetLinkFaults(R"({"silence_existing":true})");
     }) };
   }
@@ -156,7 +160,8 @@
   }
   // A fleet that has just started still adapts its limits; that phase is reported by itself.
   constexpr double kWarmUp = 5;
-  scenario.phases_.insert(scenario.phases_.begin(), { "warm-up", kWarmUp, kOrdinary, {}, false });
+  scenario.phases_.insert(scenario.phases_.begin(),
+                          { "warm-up", kWarmUp, kOrdinaryLoadFactor, {}, false });
   for (ScenarioEvent& event : scenario.events_) {
     event.at_ += kWarmUp;
   }
@@ -169,15 +174,15 @@
   plan.phases_ = aScenario.phases_;
   plan.baseRate_ = CapacityPerSecond(aProfile);
   plan.callerRetries_ = aScenario.callerRetries_;
-  plan.hardRetries_ = aScenario.hardRetries_;
-  plan.budget_ = aProfile.maxRetries_;
+  plan.immediateRetries_ = aScenario.immediateRetries_;
+  plan.retryBudget_ = aProfile.maxRetries_;
   plan.deadline_ = milliseconds(aProfile.deadlineMs_);
   plan.seed_ = aSeed;
-  for (const FleetClass& kind : aProfile.classes_) {
-    plan.classes_.push_back({ "/" + aProfile.services_.front().name_ + "/" + kind.name_,
-                              kind.repeatable_,
-                              kind.importance_ == Importance::kCritical,
-                              kind.part_ });
+  for (const FleetClass& requestClass : aProfile.classes_) {
+    plan.classes_.push_back({ "/" + aProfile.services_.front().name_ + "/" + requestClass.name_,
+                              requestClass.repeatable_,
+                              requestClass.importance_ == Importance::kCritical,
+                              requestClass.fraction_ });
   }
   double weights = 0;
   for (const FleetAccount& account : aProfile.accounts_) {
--- a/standins/lib/LoadScenario.h
+++ b/standins/lib/LoadScenario.h
@@ -27,11 +27,13 @@
   std::vector<LoadPhase> phases_;
   std::vector<ScenarioEvent> events_;
   std::uint32_t callerRetries_ = 1;
-  bool hardRetries_ = false;
+  bool immediateRetries_ = false;
   bool links_ = false;
   double slowFactor_ = 1; ///< Of the deepest service in phase "trigger"; lowers the ideal there.
-  std::optional<std::size_t> culprit_;   ///< Account that misbehaves; never counted as wronged.
-  std::optional<std::size_t> withdrawn_; ///< Account whose key is withdrawn when "trigger" starts.
+  std::optional<std::size_t>
+    misbehavingAccount_; ///< Account that misbehaves; never counted as wronged.
+  std::optional<std::size_t>
+    withdrawnAccount_; ///< Account whose key is withdrawn when "trigger" starts.
 };
 
 /// Names of the load scenarios, in the order of `quayload list`.
--- a/standins/lib/LoadScore.cpp
+++ b/standins/lib/LoadScore.cpp
@@ -57,12 +57,12 @@
   return aValues[index];
 }
 
-double ServedPart(const std::vector<ServedAt>& aRequests, double aFrom, double aTo)
+double ServedFraction(const std::vector<RequestSample>& aRequests, double aFrom, double aTo)
 {
   std::size_t all = 0;
   std::size_t served = 0;
-  for (const ServedAt& request : aRequests) {
-    if (request.seconds_ >= aFrom && request.seconds_ < aTo) {
+  for (const RequestSample& request : aRequests) {
+    if (request.scheduledAt_ >= aFrom && request.scheduledAt_ < aTo) {
       ++all;
       served += request.served_ ? 1 : 0;
     }
@@ -70,11 +70,11 @@
   return all == 0 ? 1 : static_cast<double>(served) / static_cast<double>(all);
 }
 
-std::optional<double> RecoverySeconds(const std::vector<ServedAt>& aRequests,
+std::optional<double> RecoverySeconds(const std::vector<RequestSample>& aRequests,
                                       double aTriggerEnd,
                                       double aEnd,
-                                      double aLevelBefore,
-                                      double aPart)
+                                      double aFractionBefore,
+                                      double aMinFraction)
 {
   constexpr double kStep = 0.1;
   constexpr double kWindow = 1;
@@ -82,7 +82,7 @@
   std::optional<double> recovered;
   for (int step = 0; step <= steps; ++step) {
     const double from = aTriggerEnd + step * kStep;
-    if (ServedPart(aRequests, from, from + kWindow) < aPart * aLevelBefore) {
+    if (ServedFraction(aRequests, from, from + kWindow) < aMinFraction * aFractionBefore) {
       recovered.reset();
     } else if (!recovered) {
       recovered = step * kStep;
--- a/standins/lib/LoadScore.h
+++ b/standins/lib/LoadScore.h
@@ -17,21 +17,22 @@
 double Percentile(std::vector<double> aValues, double aFraction);
 
 /// One request as far as recovery is concerned.
-struct ServedAt
+struct RequestSample
 {
-  double seconds_ = 0; ///< Scheduled arrival after the start of the run.
+  double scheduledAt_ = 0; ///< Scheduled arrival after the start of the run.
   bool served_ = false;
 };
 
 /// Part of the requests that arrived in [aFrom, aTo) and were served; 1 if none arrived.
-double ServedPart(const std::vector<ServedAt>& aRequests, double aFrom, double aTo);
+double ServedFraction(const std::vector<RequestSample>& aRequests, double aFrom, double aTo);
 
 /// Seconds from aTriggerEnd to the first 100 ms step from which on the served part over the next
-/// second is at least aPart of aLevelBefore and stays so until aEnd. Empty if that doesn't happen.
-std::optional<double> RecoverySeconds(const std::vector<ServedAt>& aRequests,
+/// second is at least aMinFraction of aFractionBefore and stays so until aEnd. Empty if that
+/// doesn't happen.
+std::optional<double> RecoverySeconds(const std::vector<RequestSample>& aRequests,
                                       double aTriggerEnd,
                                       double aEnd,
-                                      double aLevelBefore,
-                                      double aPart);
+                                      double aFractionBefore,
+                                      double aMinFraction);
 
 } // namespace peridotquay::standins
--- a/tests/standins/HistoryTest.cpp
+++ b/tests/standins/HistoryTest.cpp
@@ -26,7 +26,7 @@
 }
 
 // A correct history: a chain of two with one retry, a refusal, an unknown outcome.
-History Correct()
+History CorrectHistory()
 {
   History history;
   history.calls_ = { { "1.0", "id-1", "ran", 200, true, 1 },
@@ -42,14 +42,14 @@
   return history;
 }
 
-void CheckFailsOnly(HistoryProperty aProperty, const std::function<void(History&)>& aPlant)
+void CheckFailsOnly(HistoryProperty aProperty, const std::function<void(History&)>& aInjectFault)
 {
-  History history = Correct();
-  aPlant(history);
+  History history = CorrectHistory();
+  aInjectFault(history);
   const HistoryResult result = CheckHistory(history.calls_, history.executions_);
   INFO(HistoryPropertyName(aProperty));
   CHECK_FALSE(result.Holds());
-  CHECK(result.violations_.size() == kHistoryProperties);
+  CHECK(result.violations_.size() == kHistoryPropertyCount);
   for (const auto& [property, count] : result.violations_) {
     CHECK(count == (property == aProperty ? 1 : 0));
   }
@@ -61,10 +61,10 @@
 // Guards against a checker that rejects a correct history.
 TEST_CASE("a correct history passes", "[history]")
 {
-  const History history = Correct();
+  const History history = CorrectHistory();
   const HistoryResult result = CheckHistory(history.calls_, history.executions_);
   CHECK(result.Holds());
-  CHECK(result.mostRetries_ == 1);
+  CHECK(result.maxCallTreeRetries_ == 1);
   CHECK(result.executions_ == 5);
 }
 
@@ -85,7 +85,7 @@
   CheckFailsOnly(HistoryProperty::kNoKeySeen,
                  [](History& aHistory) { aHistory.executions_[1].keySeen_ = true; });
   CheckFailsOnly(HistoryProperty::kOwnAnswer,
-                 [](History& aHistory) { aHistory.calls_[0].rightBody_ = false; });
+                 [](History& aHistory) { aHistory.calls_[0].correctBody_ = false; });
   CheckFailsOnly(HistoryProperty::kOwnAnswer,
                  [](History& aHistory) { aHistory.executions_[0].wrongDeeperAnswers_ = 1; });
   CheckFailsOnly(HistoryProperty::kWithinBudget, [](History& aHistory) {
@@ -101,8 +101,8 @@
 // Guards against counting the first attempts of a deeper level as retries.
 TEST_CASE("a retried level makes new first attempts below it", "[history]")
 {
-  History history = Correct();
-  history.calls_[0].budget_ = 1;
+  History history = CorrectHistory();
+  history.calls_[0].retryBudget_ = 1;
   history.executions_ = { Execution("a-1", "/top?tag=1.0"),
                           Execution("b-1", "/deep?tag=1.0&from=a-1"),
                           Execution("a-2", "/top?tag=1.0"),
--- a/tests/standins/LoadRunnerTest.cpp
+++ b/tests/standins/LoadRunnerTest.cpp
@@ -29,10 +29,10 @@
 }
 
 // Two targets in a chain, without nodes between them.
-class Chain
+class TargetChain
 {
 public:
-  Chain()
+  TargetChain()
     : context_(1)
   {
     TargetSettings deep;
@@ -50,7 +50,7 @@
     thread_ = std::thread([this] { context_.run(); });
   }
 
-  ~Chain()
+  ~TargetChain()
   {
     boost::asio::post(context_, [this] {
       top_->Stop();
@@ -105,7 +105,7 @@
 // Guards against a generator that loses requests or records answers of other requests.
 TEST_CASE("a load run over a chain is served whole and its history holds", "[load]")
 {
-  Chain chain;
+  TargetChain chain;
   const LoadPlan plan = SmallPlan();
   const LoadResult result = RunLoad(plan, { { chain.address_ } }, [](TimePoint) {});
   const std::size_t count = PlanArrivals(plan).size();
@@ -123,13 +123,13 @@
   CHECK(history.violations_[HistoryProperty::kNoKeySeen] == count);
   history.violations_[HistoryProperty::kNoKeySeen] = 0;
   CHECK(history.Holds());
-  CHECK(history.mostRetries_ == 0);
+  CHECK(history.maxCallTreeRetries_ == 0);
 }
 
 // Guards against coordinated omission: requests that were due during a stall must show it.
 TEST_CASE("latency counts from the scheduled arrival", "[load]")
 {
-  Chain chain;
+  TargetChain chain;
   std::thread freezer;
   const LoadResult result = RunLoad(SmallPlan(), { { chain.address_ } }, [&](TimePoint aStart) {
     freezer = std::thread([&chain, aStart] {
@@ -145,7 +145,7 @@
   freezer.join();
   std::size_t slow = 0;
   for (const LoadRecord& record : result.records_) {
-    slow += record.seconds_ > 0.2 ? 1 : 0;
+    slow += record.latencySeconds_ > 0.2 ? 1 : 0;
   }
   // 0.2 s of arrivals at 200/s wait for more than 0.2 s.
   CHECK(slow >= 25);
@@ -154,7 +154,7 @@
 // Guards against callers that retry when told not to, or that give up although they retry.
 TEST_CASE("callers retry as planned", "[load]")
 {
-  Chain chain;
+  TargetChain chain;
   LoadPlan plan = SmallPlan();
   plan.phases_ = { { "only", 0.2, 1, {}, false } };
   const auto refuse = [&chain] {
@@ -164,13 +164,13 @@
   refuse();
   for (const std::uint32_t retries : { 0U, 2U }) {
     plan.callerRetries_ = retries;
-    plan.hardRetries_ = retries > 0;
-    plan.run_ = "run" + std::to_string(retries);
+    plan.immediateRetries_ = retries > 0;
+    plan.tagPrefix_ = "run" + std::to_string(retries);
     const LoadResult result = RunLoad(plan, { { chain.address_ } }, [](TimePoint) {});
     for (const LoadRecord& record : result.records_) {
       CHECK_FALSE(record.served_);
       CHECK(record.attempts_ == retries + 1);
-      CHECK(record.firstError_ == "target-refused");
+      CHECK(record.firstErrorType_ == "target-refused");
     }
     auto history = CheckHistory(result.calls_, chain.Executions());
     CHECK(history.violations_[HistoryProperty::kNotRunIsTrue] == 0);
@@ -184,11 +184,11 @@
     const FleetProfile profile = FindProfile(name);
     CHECK(CapacityPerSecond(profile) > 100);
     CHECK(CapacityPerSecond(profile, 5) < CapacityPerSecond(profile) / 3);
-    double parts = 0;
-    for (const FleetClass& kind : profile.classes_) {
-      parts += kind.part_;
+    double fractions = 0;
+    for (const FleetClass& requestClass : profile.classes_) {
+      fractions += requestClass.fraction_;
     }
-    CHECK(parts == Approx(1));
+    CHECK(fractions == Approx(1));
     for (const std::string& scenarioName : ScenarioNames()) {
       const auto scenario = MakeScenario(scenarioName, profile);
       REQUIRE(scenario.has_value());
--- a/tests/standins/LoadScoreTest.cpp
+++ b/tests/standins/LoadScoreTest.cpp
@@ -56,18 +56,18 @@
 // Guards against a recovery time that ignores a relapse.
 TEST_CASE("recovery counts from the last time below the level", "[score]")
 {
-  std::vector<ServedAt> requests;
+  std::vector<RequestSample> requests;
   for (int i = 0; i < 1000; ++i) {
     const double at = i * 0.01;
     requests.push_back({ at, at < 2 || at >= 5 });
   }
-  CHECK(ServedPart(requests, 0, 2) == 1);
-  CHECK(ServedPart(requests, 20, 30) == 1);
+  CHECK(ServedFraction(requests, 0, 2) == 1);
+  CHECK(ServedFraction(requests, 20, 30) == 1);
   const auto recovery = RecoverySeconds(requests, 3, 10, 1, 0.98);
   REQUIRE(recovery.has_value());
   CHECK(*recovery == Approx(2.0).margin(0.05));
   for (auto& request : requests) {
-    request.served_ = request.served_ && request.seconds_ < 9;
+    request.served_ = request.served_ && request.scheduledAt_ < 9;
   }
   CHECK_FALSE(RecoverySeconds(requests, 3, 10, 1, 0.98).has_value());
 }
