--- a/standins/lib/Fleet.cpp
+++ b/standins/lib/Fleet.cpp
@@ -1,4 +1,4 @@
-// Starts and stops a deployment. All waits are for conditions, with a bound.
+// Starts and stops a deployment. Every wait is for a condition and has a timeout.
 #include "standins/lib/Fleet.h"
 
 #include "peridotquay/version/Config.h"
@@ -25,6 +25,8 @@
   return aAddress.ip_ + ":" + std::to_string(aAddress.port_);
 }
 
+// Sends a fault description to a stand-in. Errors: those of FetchHttp, kOutOfRange if it is
+// refused.
 Result<void> PostFaults(const Address& aServer,
                         const std::string& aTarget,
                         const std::string& aJson)
@@ -214,7 +216,8 @@
       hosts_.push_back(std::move(host));
     }
   }
-  // The first host of each data centre is the seed of the others there.
+  // The first host of each data centre is the seed of the others there, and the first of all is the
+  // seed of those first hosts.
   const std::size_t perSite = profile.services_.size();
   for (std::size_t i = 0; i < hosts_.size(); i += perSite) {
     BOOST_OUTCOME_TRYV(
@@ -284,7 +287,7 @@
     const auto status = host.node_.Wait(std::max<Duration>(end - Clock::now(), Duration::zero()));
     cleanExits += !host.killed_ && status == 0 ? 1 : 0;
   }
-  // Destructors of the processes kill what is left.
+  // The destructors of the processes kill those that still run.
   hosts_.clear();
   platform_ = FleetProcess();
   return cleanExits;
--- a/standins/lib/Fleet.h
+++ b/standins/lib/Fleet.h
@@ -16,40 +16,40 @@
 {
   std::string binaries_; ///< Folder with quayd, quayctl and the stand-ins.
   FleetProfile profile_;
-  bool naive_ = false;
+  bool naive_ = false; ///< Uses the naive baseline instead of the product.
   bool links_ = false; ///< Puts a link between each node and its target.
   std::uint64_t seed_ = 1;
-  Duration timeout_ = seconds(40); ///< For each condition that the start waits for.
+  Duration timeout_ = seconds(40); ///< For each condition that Start waits for.
 };
 
-/// One host: a node, its target and, if asked for, the link between them.
+/// One host: a node, its target and, with FleetSettings::links_, the link between them.
 struct FleetHost
 {
   std::string name_;
-  std::size_t site_ = 0;
-  std::size_t service_ = 0;
-  Address callers_;
-  Address outbound_;
-  Address peers_;
-  Address admin_;
-  Address target_;
-  Address linkControl_;
+  std::size_t site_ = 0;    ///< Index into FleetProfile::sites_.
+  std::size_t service_ = 0; ///< Index into FleetProfile::services_.
+  Address callers_;         ///< Node's listener for callers.
+  Address outbound_;        ///< Node's listener for calls of its own target.
+  Address peers_;           ///< Node's listener for other nodes.
+  Address admin_;           ///< Node's admin listener.
+  Address target_;          ///< Target's listener, without the link.
+  Address linkControl_;     ///< Link's listener for commands.
   FleetProcess node_;
   FleetProcess targetProcess_;
   FleetProcess link_;
   bool killed_ = false;
 };
 
-/// What a command of quayctl gave.
+/// Result of a quayctl command.
 struct CommandResult
 {
-  int status_ = -1; ///< Exit status; -1 if it did not end in time.
-  std::string output_;
+  int status_ = -1;    ///< Exit status; -1 if it couldn't be started or timed out.
+  std::string output_; ///< Standard output and standard error.
   double seconds_ = 0;
 };
 
-/// A running deployment. The destructor ends every process and removes its folder, unless the
-/// environment variable QUAYLOAD_KEEP is set.
+/// A running deployment. The destructor ends every process. It also removes the folder of the run
+/// unless the environment variable QUAYLOAD_KEEP is set.
 class Fleet
 {
 public:
@@ -58,44 +58,47 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  /// Starts everything, applies the base configuration and waits until a whole request succeeds
-  /// through every host. Errors: kNotFound for a missing program, kDeadlineExceeded for a condition
-  /// that did not come true; the subject says which.
+  /// Starts all processes, applies the base configuration and waits until requests through every
+  /// host succeed. Errors: kNotFound for a missing program or a process that has ended,
+  /// kDeadlineExceeded for a condition that isn't met in time (named in the subject),
+  /// kPlatformUnavailable if quayctl fails, and those of FetchHttp and FleetProcess::Start.
   Result<void> Start();
 
-  /// Ends everything: nodes first by SIGTERM, then by force. Returns the number of nodes that
-  /// exited with status 0 by themselves.
+  /// Ends all processes. Nodes get SIGTERM and are killed if they still run after 10 s. Returns the
+  /// number of nodes that exited with status 0, without those of KillHost.
   std::size_t Stop();
 
   const FleetSettings& Settings() const { return settings_; }
   std::vector<FleetHost>& Hosts() { return hosts_; }
 
-  /// Kills node and target of a host.
+  /// Kills the node and the target of a host.
   void KillHost(std::size_t aHost);
-  /// Pauses or resumes node and target of a host.
+  /// Pauses or resumes the processes of the node and the target of a host.
   void SetHostPaused(std::size_t aHost, bool aPaused);
-  /// Sets faults of one target, of all targets of a service, of the platform, or of all links.
+  /// Sets the faults of one target, of all targets of a service that weren't killed, of the
+  /// platform, or of all links.
   Result<void> SetTargetFaults(std::size_t aHost, const std::string& aJson);
   Result<void> SetServiceFaults(std::size_t aService, const std::string& aJson);
   Result<void> SetPlatformFaults(const std::string& aJson);
   Result<void> SetLinkFaults(const std::string& aJson);
 
-  /// Runs quayctl with the platform's address added, and measures its time.
+  /// Runs quayctl with the given arguments and the platform's address, and measures its run time.
   CommandResult RunQuayctl(std::vector<std::string> aArguments, Duration aTimeout = seconds(30));
 
-  /// Applies a base configuration with all overlays and, if asked, waits until it is in force.
+  /// Applies a base configuration with all overlays. With aWait, waits until it is in force.
   CommandResult Apply(const std::string& aBase, bool aWait = true);
 
-  /// Withdraws a caller's key by its digest.
+  /// Withdraws a caller's key by its digest and waits until the withdrawal is in force.
   CommandResult WithdrawKey(const std::string& aKey);
 
-  /// The logs of all targets that still run, merged.
+  /// Returns the merged execution logs of all targets that answer.
   std::vector<TargetExecution> Executions() const;
 
-  /// JSON of GET /status of a node; empty if it doesn't answer.
+  /// Returns the JSON of GET /status of a node, or an empty string if there is no answer with
+  /// status 200.
   std::string Status(std::size_t aHost) const;
 
-  /// Folder with the settings and logs of this run.
+  /// Returns the folder with the settings and logs of this run.
   const std::string& Directory() const { return directory_; }
 
 private:
--- a/standins/lib/FleetHttp.cpp
+++ b/standins/lib/FleetHttp.cpp
@@ -1,4 +1,5 @@
-// Blocking HTTP exchange on an io_context of its own, so that it can time out.
+// Blocking HTTP client. Each session runs asynchronous operations on its own io_context, because
+// only those can time out.
 #include "standins/lib/FleetHttp.h"
 
 #include <boost/asio/io_context.hpp>
@@ -40,7 +41,7 @@
   {
   }
 
-  /// Runs one asynchronous operation to its end.
+  /// Starts one asynchronous operation, waits for its end and returns its error.
   template<typename Start>
   error_code RunOperation(Start aStart)
   {
@@ -51,6 +52,7 @@
     return result;
   }
 
+  /// Makes one exchange. Sets aFailureCode to the error to report if it fails.
   error_code Exchange(const http::request<http::string_body>& aRequest,
                       http::response_parser<http::string_body>& aParser,
                       ErrorCode& aFailureCode)
--- a/standins/lib/FleetHttp.h
+++ b/standins/lib/FleetHttp.h
@@ -1,4 +1,4 @@
-// Blocking HTTP/1.1 exchanges, over a fresh or a kept connection, for tools and tests.
+// Blocking HTTP/1.1 client for tools and tests, with or without a persistent connection.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -13,6 +13,7 @@
 
 namespace peridotquay::standins {
 
+/// Answer of one exchange.
 struct FetchResponse
 {
   unsigned status_ = 0;
@@ -20,17 +21,17 @@
   std::string body_;
 };
 
-/// What is sent with one exchange.
+/// Request of one exchange.
 struct FetchRequest
 {
   std::string method_ = "GET";
-  std::string target_ = "/";
+  std::string target_ = "/"; ///< Path with query.
   std::vector<std::pair<std::string, std::string>> headers_;
   std::string body_;
   Duration timeout_ = seconds(2); ///< For the whole exchange.
 };
 
-/// A client that keeps its connection until one side closes it.
+/// A client with a persistent connection to one server.
 class HttpSession
 {
 public:
@@ -39,8 +40,9 @@
   HttpSession& operator=(const HttpSession&) = delete;
   ~HttpSession();
 
-  /// Connects if there is no connection, sends a request and reads the whole answer. Errors as
-  /// FetchHttp; after one the connection is closed.
+  /// Connects if there is no connection, sends a request and reads the complete answer. Closes the
+  /// connection after an error, if the server asks for it, or unless aKeepAlive. Errors: those of
+  /// FetchHttp.
   Result<FetchResponse> Fetch(const FetchRequest& aQuery, bool aKeepAlive = true);
 
 private:
@@ -48,7 +50,7 @@
   std::unique_ptr<State> state_;
 };
 
-/// Sends a request on a fresh connection and reads the whole answer. Errors: kTargetUnreachable,
+/// Sends a request on a new connection and reads the complete answer. Errors: kTargetUnreachable,
 /// kTruncatedAnswer, kDeadlineExceeded.
 Result<FetchResponse> FetchHttp(const Address& aServer, const FetchRequest& aQuery);
 
--- a/standins/lib/FleetProcess.cpp
+++ b/standins/lib/FleetProcess.cpp
@@ -1,4 +1,4 @@
-// Child processes by fork and exec.
+// Child processes with fork and exec.
 #include "standins/lib/FleetProcess.h"
 
 #include <sys/prctl.h>
@@ -48,7 +48,8 @@
     return Fail(ErrorCode::kLimitReached, aCommand.front(), "fork failed");
   }
   if (child == 0) {
-    // The kernel ends the child if the parent dies without cleaning up.
+    // The kernel kills the child if the parent dies first. A parent that has died before this call
+    // is detected below.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     const int output = ::open(aOutputFile.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
     if (::getppid() != parent || output < 0) {
--- a/standins/lib/FleetProcess.h
+++ b/standins/lib/FleetProcess.h
@@ -1,4 +1,4 @@
-// A child process that can't outlive its parent.
+// A child process that ends with its parent.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -12,7 +12,7 @@
 
 namespace peridotquay::standins {
 
-/// Owns a child process. The destructor kills it and waits for it.
+/// Owns a child process. The destructor kills it and waits for its end.
 class FleetProcess
 {
 public:
@@ -23,25 +23,26 @@
   FleetProcess& operator=(const FleetProcess&) = delete;
   ~FleetProcess();
 
-  /// Starts a program; its output and error go to the file. Errors: kLimitReached.
+  /// Starts a program and redirects its standard output and standard error to the file. A program
+  /// that can't be executed ends with exit status 127. Errors: kLimitReached.
   static Result<FleetProcess> Start(const std::vector<std::string>& aCommand,
                                     const std::string& aOutputFile);
 
-  /// Sends a signal; does nothing if the process has ended.
+  /// Sends a signal; does nothing if the end of the process was observed.
   void Signal(int aSignal);
 
-  /// Waits for the end. Returns the exit status (128 + signal if killed), or nothing after the
-  /// timeout.
+  /// Waits for the end. Returns the exit status (128 + signal number if a signal ended the
+  /// process), or nothing after the timeout.
   std::optional<int> Wait(Duration aTimeout);
 
-  /// Whether it runs or is stopped.
+  /// Whether the process hasn't ended. A stopped process is alive.
   bool Alive();
 
   pid_t Id() const { return id_; }
 
 private:
-  pid_t id_ = -1; ///< -1 if there is no process, or it was waited for.
-  std::optional<int> status_;
+  pid_t id_ = -1;             ///< -1 if there is no process or its end was observed.
+  std::optional<int> status_; ///< Exit status, once the end was observed.
 };
 
 } // namespace peridotquay::standins
--- a/standins/lib/FleetProfile.cpp
+++ b/standins/lib/FleetProfile.cpp
@@ -1,4 +1,5 @@
-// The deployments of the design page, with service times scaled to one machine.
+// The deployments of the design page with service times scaled to one machine, and their base
+// configurations.
 #include "standins/lib/FleetProfile.h"
 
 #include "peridotquay/version/Config.h"
@@ -54,7 +55,7 @@
 {
   FleetProfile profile;
   profile.name_ = "landesamt";
-  // The laboratory slowed by 5 takes 1.5 s.
+  // In scenario "deep-slow" a request to the laboratory takes 1.5 s.
   profile.deadlineMs_ = 3000;
   profile.scaleDescription_ =
     "service times chosen (3 x 40 ms, laboratory 300 ms) so that 16 hosts fit on one "
@@ -104,7 +105,7 @@
 
 double CapacityPerSecond(const FleetProfile& aProfile, double aSlowFactor)
 {
-  // Without service times a slot isn't what limits the fleet; the bound only keeps rates finite.
+  // Keeps rates finite for a profile without service times, whose slots don't limit it.
   constexpr double kMaxCapacityPerSecond = 5000;
   double slotHoldMs = 0;
   double capacity = kMaxCapacityPerSecond;
@@ -158,7 +159,7 @@
          << "\nmax_retries = " << aProfile.maxRetries_ << "\ndeadline_ms = " << aProfile.deadlineMs_
          << "\n";
   }
-  // Deeper routes allow the highest class; the call context lowers it to that of the request.
+  // Deeper routes have the highest importance. The call context lowers it to that of the request.
   for (std::size_t i = 1; i < aProfile.services_.size(); ++i) {
     const std::string& name = aProfile.services_[i].name_;
     text << "[routes.to-" << name << "]\nprefix = \"/" << name << "\"\nservice = \"" << name
--- a/standins/lib/FleetProfile.h
+++ b/standins/lib/FleetProfile.h
@@ -1,4 +1,4 @@
-// Deployments that experiments run on: places, services, client accounts and classes of requests.
+// Deployments for experiments: data centres, services, client accounts and classes of requests.
 #pragma once
 
 #include "peridotquay/request/Outcome.h"
@@ -9,68 +9,71 @@
 
 namespace peridotquay::standins {
 
+/// A data centre.
 struct FleetSite
 {
   std::string dataCentre_;
   std::string region_;
 };
 
-/// A service with one endpoint in each data centre. Each service calls the next one of the list.
-/// Its targets let as many requests wait for a slot as they have connections beyond the slots: this
-/// is what makes them slow under overload.
+/// A service with one host in each data centre. Each service calls the next one of the list. A
+/// target queues as many requests as it has connections beyond its slots, which makes it slow under
+/// overload.
 struct FleetService
 {
-  std::string name_;         ///< Also its path prefix, after '/'.
-  std::uint32_t slots_ = 50; ///< Of one endpoint.
-  std::uint32_t connections_ = 400;
-  double serviceTimeMs_ = 10; ///< Own work, without deeper calls.
+  std::string name_;                ///< Also its path prefix, after '/'.
+  std::uint32_t slots_ = 50;        ///< Requests that one target works on at a time.
+  std::uint32_t connections_ = 400; ///< Of one target.
+  double serviceTimeMs_ = 10;       ///< Mean, without deeper calls.
 };
 
+/// A client account.
 struct FleetAccount
 {
   std::string name_;
-  double weight_ = 1; ///< Part of the traffic and of the rates, relative to the others.
-  std::string key_;   ///< Caller's key.
-  double rate_ = 0;   ///< Configured rate in requests a second; 0 derives it from the weight.
+  double weight_ = 1; ///< Of its traffic and rate, relative to the other accounts.
+  std::string key_;   ///< Key that its callers send.
+  double rate_ = 0;   ///< Configured requests per second; 0 derives them from the weight.
 };
 
-/// A kind of request that callers send to the first service.
+/// A class of requests that callers send to the first service.
 struct FleetClass
 {
   std::string name_; ///< Path is /<first service>/<name>.
   Importance importance_ = Importance::kNormal;
-  bool repeatable_ = true;
-  double fraction_ = 0; ///< Of all requests, 0 to 1.
+  bool repeatable_ = true; ///< Whether a request may run more than once.
+  double fraction_ = 0;    ///< Of all requests.
 };
 
+/// A deployment and its traffic.
 struct FleetProfile
 {
   std::string name_;
-  std::string
-    scaleDescription_; ///< How service times were scaled to one machine; printed with every result.
+  /// How service times are scaled to one machine; printed with every result.
+  std::string scaleDescription_;
   std::vector<FleetSite> sites_;
   std::vector<FleetService> services_;
   std::vector<FleetAccount> accounts_;
   std::vector<FleetClass> classes_;
-  double rateFactor_ = 2.6;         ///< Sum of the accounts' rates over the capacity.
-  std::uint32_t deadlineMs_ = 2000; ///< Of every route, and how long callers wait.
-  std::uint32_t maxRetries_ = 3;
+  double rateFactor_ = 2.6; ///< Sum of the derived rates of all accounts, over the capacity.
+  std::uint32_t deadlineMs_ = 2000; ///< Of every route and of the callers.
+  std::uint32_t maxRetries_ = 3;    ///< Of every route, and the callers' retry budget.
   std::uint32_t keyFreshnessBoundMs_ = 10000;
 };
 
-/// "foundry", "landesamt", or "pair" (one data centre, two services, no service time; for latency).
-/// Empty name for any other text.
+/// Returns the profile "foundry", "landesamt" or "pair" (one data centre, two services, no service
+/// time, to measure latency). For any other name, returns a profile with an empty name.
 FleetProfile FindProfile(const std::string& aName);
 
-/// Whole requests a second that the fleet can serve: the least, over the services, of slots over
-/// the time that a request holds one (own work and all deeper work). With "aSlowFactor", the last
-/// service's own work takes that many times longer.
+/// Returns the requests per second that the whole fleet can serve. It is the minimum over the
+/// services of the slots divided by the time that a request holds one, which includes all deeper
+/// work. The last service's own work takes aSlowFactor times longer.
 double CapacityPerSecond(const FleetProfile& aProfile, double aSlowFactor = 1);
 
-/// Rate of an account in requests a second.
+/// Returns the rate of an account in requests per second.
 double AccountRate(const FleetProfile& aProfile, std::size_t aAccount);
 
-/// Base configuration in TOML.
+/// Returns the base configuration in TOML.
 std::string BaseConfiguration(const FleetProfile& aProfile);
 
 } // namespace peridotquay::standins
--- a/standins/lib/HistoryCheck.cpp
+++ b/standins/lib/HistoryCheck.cpp
@@ -1,4 +1,4 @@
-// History checks: one pass over the executions, one over the calls.
+// Checks a history in two passes: over the executions, then over the calls.
 #include "standins/lib/HistoryCheck.h"
 
 #include "standins/lib/TargetBody.h"
@@ -10,13 +10,15 @@
 
 namespace {
 
-// What the targets' logs say of one tag.
+// What the targets' logs contain about one tag.
 struct TagSummary
 {
-  std::uint64_t started_ = 0;
-  std::map<std::string, std::uint64_t> attempts_; ///< By origin and path.
+  std::uint64_t started_ = 0; ///< Executions that weren't refused.
+  std::map<std::string, std::uint64_t>
+    attempts_; ///< Executions by path, which includes the calling execution.
 };
 
+// Counts a violation and keeps it as an example while there are few.
 void RecordViolation(HistoryResult& aResult, HistoryProperty aProperty, const std::string& aExample)
 {
   constexpr std::size_t kMaxExamples = 10;
@@ -29,7 +31,7 @@
 std::uint64_t CountRetries(const TagSummary& aSummary)
 {
   std::uint64_t retries = 0;
-  for (const auto& [origin, attempts] : aSummary.attempts_) {
+  for (const auto& [path, attempts] : aSummary.attempts_) {
     retries += attempts - 1;
   }
   return retries;
--- a/standins/lib/LoadDemo.cpp
+++ b/standins/lib/LoadDemo.cpp
@@ -1,4 +1,4 @@
-// The demonstration of `make demo`.
+// The demonstration that `make demo` runs.
 #include "standins/lib/LoadDemo.h"
 
 #include "standins/lib/LoadReport.h"
@@ -13,18 +13,20 @@
 
 namespace {
 
-// Times of the demonstration in seconds of the load.
+// Times from the start of the load.
 constexpr double kRateChangeAtSeconds = 4;
 constexpr double kKillAtSeconds = 9;
 constexpr double kWithdrawAtSeconds = 14;
 constexpr double kDurationSeconds = 20;
 
-// Requests that were on their way to the killed host when it died may fail; others find their way.
+// Time after a host's death in which requests that were on their way to it may fail.
 constexpr double kKillRecoverySeconds = 5;
 
+// Indices of the account whose key is withdrawn and of the one whose rate is lowered.
 constexpr std::size_t kWithdrawnAccount = 3;
 constexpr std::size_t kLoweredAccount = 4;
 
+// One check of the printed table.
 struct TableRow
 {
   std::string label_;
@@ -40,12 +42,13 @@
   return text.str();
 }
 
+// Prints a line and flushes it.
 void PrintProgress(const std::string& aText)
 {
   std::cout << aText << std::endl;
 }
 
-// What the thread that changes the fleet found out.
+// Results of the commands that changed the fleet, and when they ended, in seconds of the run.
 struct FleetChanges
 {
   CommandResult applied_;
@@ -54,6 +57,7 @@
   double withdrawnAt_ = 0;
 };
 
+// Changes the configuration, kills a host and withdraws a key at the planned times.
 FleetChanges ApplyChanges(Fleet& aFleet, TimePoint aStart)
 {
   FleetChanges changes;
@@ -80,6 +84,7 @@
   return changes;
 }
 
+// Latest arrival of an account's served requests, in seconds of the run; 0 if none was served.
 double LastServedAt(const LoadResult& aResult, std::size_t aAccount)
 {
   double last = 0;
@@ -91,7 +96,8 @@
   return last;
 }
 
-// Latest arrival that failed at first, of accounts that neither change nor withdrawal concerns.
+// Latest arrival after aFrom whose first attempt failed, among accounts that keep their rate and
+// key; aFrom if there is none.
 double LastFailureAt(const LoadResult& aResult, double aFrom)
 {
   double last = aFrom;
@@ -105,7 +111,8 @@
   return last;
 }
 
-// Part of the requests that were served, over accounts that neither change nor withdrawal concerns.
+// Served fraction of the requests that arrived in [aFrom, aTo), over accounts that keep their rate
+// and key.
 double UnaffectedServedFraction(const LoadResult& aResult, double aFrom, double aTo)
 {
   double all = 0;
@@ -121,6 +128,7 @@
   return all > 0 ? served / all : 0;
 }
 
+// Number of an account's requests from aFrom on whose first attempt failed with the error type.
 std::uint64_t CountErrors(const LoadResult& aResult,
                           std::size_t aAccount,
                           const std::string& aType,
@@ -147,6 +155,7 @@
   };
 }
 
+// Checks the results of the run.
 std::vector<TableRow> EvaluateRun(const LoadResult& aResult,
                                   const FleetChanges& aChanges,
                                   const HistoryResult& aHistory,
@@ -180,7 +189,8 @@
                    std::to_string(aChanges.withdrawn_.status_),
                    "0",
                    aChanges.withdrawn_.status_ == 0 });
-  // The killed host can't confirm, so its freshness bound has to pass first.
+  // The killed host can't confirm the withdrawal, so quayctl waits until its freshness bound has
+  // passed.
   rows.push_back(AtMost("withdrawal reported in force, a host unreachable, s",
                         aChanges.withdrawn_.seconds_,
                         aProfile.keyFreshnessBoundMs_ / 1000.0 + 5));
@@ -203,6 +213,7 @@
   return rows;
 }
 
+// Prints the requests of each account by result.
 void PrintTraffic(const LoadResult& aResult, const FleetProfile& aProfile)
 {
   std::cout << "\n"
--- a/standins/lib/LoadDemo.h
+++ b/standins/lib/LoadDemo.h
@@ -1,4 +1,4 @@
-// The demonstration of `make demo`.
+// The demonstration that `make demo` runs.
 #pragma once
 
 #include <cstdint>
@@ -6,9 +6,9 @@
 
 namespace peridotquay::standins {
 
-/// Starts a small fleet, sends traffic, changes the configuration, kills a host and withdraws a key
-/// while it runs, and prints a table of what was served, refused and why. Returns 0 only if every
-/// figure of the table holds.
+/// Starts a small fleet and sends traffic. Meanwhile changes the configuration, kills a host and
+/// withdraws a key. Prints the served and refused requests with reasons, and a table of checks.
+/// Returns 0 only if every check passes.
 int RunDemo(const std::string& aBinaries, std::uint64_t aSeed);
 
 } // namespace peridotquay::standins
--- a/standins/lib/LoadExperiment.cpp
+++ b/standins/lib/LoadExperiment.cpp
@@ -1,4 +1,4 @@
-// Runs scenarios on fleets of their own.
+// Runs scenarios and measurements on fleets that are started for them.
 #include "standins/lib/LoadExperiment.h"
 
 #include "standins/lib/LoadScore.h"
@@ -17,6 +17,7 @@
 
 namespace {
 
+// Addresses for callers of all hosts, by data centre.
 std::vector<DataCentreHosts> HostsByDataCentre(Fleet& aFleet)
 {
   std::vector<DataCentreHosts> dataCentres(aFleet.Settings().profile_.sites_.size());
@@ -26,8 +27,8 @@
   return dataCentres;
 }
 
-// Applies a scenario's events at their times on a thread of its own, so that a slow command doesn't
-// delay the load.
+// Applies the events of a scenario at their times. Has its own thread, so that a slow command
+// doesn't delay the load.
 class EventThread
 {
 public:
@@ -62,10 +63,9 @@
     }
   }
 
-  /// Valid after Join.
-  std::optional<Error> failure_;
-  std::optional<double>
-    lastEventStartedAt_; ///< When the last event was begun, in seconds of the run.
+  // Valid after Join.
+  std::optional<Error> failure_;             ///< Error of the event that ended the sequence.
+  std::optional<double> lastEventStartedAt_; ///< In seconds of the run.
 
 private:
   const Scenario& scenario_;
@@ -83,19 +83,20 @@
   return settings;
 }
 
-// Configuration version in force at a host; 0 if it doesn't answer.
+// Configuration version in force on a host; 0 if the host doesn't answer.
 std::uint64_t ActiveVersion(const Fleet& aFleet, std::size_t aHost)
 {
   const auto json = nlohmann::json::parse(aFleet.Status(aHost), nullptr, false);
   return json.is_object() ? json.value("version", std::uint64_t{ 0 }) : 0;
 }
 
-// Processor time that a process has used, in seconds.
+// CPU time that a process has used, in seconds.
 double CpuSeconds(pid_t aProcess)
 {
   std::ifstream file("/proc/" + std::to_string(aProcess) + "/stat");
   std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  // The name in parentheses may contain spaces; the fields after it are counted from the state.
+  // The process name in parentheses may contain spaces, so fields are counted from after it. The 11
+  // fields from the state to the major faults of children precede the user and system time.
   std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string skipped;
   for (int i = 0; i < 11; ++i) {
@@ -107,6 +108,7 @@
   return (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
+// Resident memory of a process, in units of 10^6 bytes.
 double ResidentMegabytes(pid_t aProcess)
 {
   std::ifstream file("/proc/" + std::to_string(aProcess) + "/statm");
@@ -197,7 +199,7 @@
                                                       int aRepetitions,
                                                       bool aNaive)
 {
-  // The first part of each block opens connections and isn't counted.
+  // Each block is a load run. Its warm-up opens connections and doesn't count.
   constexpr double kWarmUpSeconds = 0.5;
   constexpr double kBlockSeconds = 2.5;
   FleetSettings settings;
--- a/standins/lib/LoadPlan.cpp
+++ b/standins/lib/LoadPlan.cpp
@@ -1,4 +1,4 @@
-// Poisson arrivals from a seed.
+// Generates Poisson arrivals from the plan's seed.
 #include "standins/lib/LoadPlan.h"
 
 #include <random>
--- a/standins/lib/LoadReport.cpp
+++ b/standins/lib/LoadReport.cpp
@@ -1,4 +1,4 @@
-// Figures of one load run.
+// Computes and formats the results of one load run.
 #include "standins/lib/LoadReport.h"
 
 #include "standins/lib/LoadScore.h"
@@ -13,13 +13,14 @@
 
 namespace {
 
+// Whether the status of the first attempt means that the request was refused.
 bool Refused(const LoadRecord& aRecord)
 {
   return aRecord.firstStatus_ == 401 || aRecord.firstStatus_ == 403 ||
          aRecord.firstStatus_ == 429 || aRecord.firstStatus_ == 503;
 }
 
-// Requests of each account in a phase, offered and served.
+// Offered and served requests of a phase, by account.
 struct AccountCounts
 {
   std::vector<double> offered_;
@@ -40,7 +41,8 @@
   return counts;
 }
 
-// Fair shares of a phase; an account is entitled to no more than its rate.
+// Max-min fair number of requests of each account in a phase. An account's demand is what it
+// offered, limited to its rate, or nothing after its key was withdrawn.
 std::vector<double> FairPhaseShares(const Scenario& aScenario,
                                     const FleetProfile& aProfile,
                                     const LoadPlan& aPlan,
@@ -94,7 +96,7 @@
   return report;
 }
 
-// Number of served requests whose answer came during the phase.
+// Number of served requests whose answer came during the phase, whenever they were scheduled.
 double CountCompletedIn(const LoadPlan& aPlan, const LoadResult& aResult, std::size_t aPhase)
 {
   double start = 0;
@@ -116,12 +118,12 @@
 {
   for (const LoadRecord& record : aResult.records_) {
     const LoadPhase& phase = aPlan.phases_[record.arrival_.phase_];
-    // After an overload the targets may still be busy with its rest.
+    // The targets may still be busy with requests of an overloaded phase before this one.
     const bool afterOverload =
       record.arrival_.phase_ > 0 && aPlan.phases_[record.arrival_.phase_ - 1].overloaded_;
     if (phase.name_ != "warm-up" && !phase.overloaded_ && !afterOverload &&
         aScenario.misbehavingAccount_ != record.arrival_.account_) {
-      ++aReport.rightfulRequests_;
+      ++aReport.admissibleRequests_;
       aReport.wrongfulRefusals_ += Refused(record) ? 1 : 0;
     }
     if (aPlan.classes_[record.arrival_.class_].critical_) {
@@ -173,7 +175,7 @@
   if (report.hasTrigger_) {
     std::vector<RequestSample> requests;
     for (const LoadRecord& record : aResult.records_) {
-      // The misbehaving account's refusals are right and say nothing about recovery.
+      // Refusals of the misbehaving account are correct and say nothing about recovery.
       if (aScenario.misbehavingAccount_ != record.arrival_.account_) {
         requests.push_back({ record.arrival_.at_, record.served_ });
       }
@@ -218,7 +220,7 @@
   json["worst_account"] = { { "account", aReport.worstAccount_ },
                             { "share", aReport.worstAccountShare_ } };
   json["wrongful_refusals"] = { { "count", aReport.wrongfulRefusals_ },
-                                { "of", aReport.rightfulRequests_ } };
+                                { "of", aReport.admissibleRequests_ } };
   json["critical_shed"] = { { "count", aReport.criticalShed_ },
                             { "of", aReport.criticalRequests_ } };
   if (aReport.withdrawnKeyServedSeconds_) {
@@ -266,7 +268,7 @@
   text << aPrefix << "worst-served account: " << aReport.worstAccount_ << ", "
        << aReport.worstAccountShare_ << " of its fair share\n";
   text << aPrefix << "wrongful refusals: " << aReport.wrongfulRefusals_ << " of "
-       << aReport.rightfulRequests_ << "; critical shed: " << aReport.criticalShed_ << " of "
+       << aReport.admissibleRequests_ << "; critical shed: " << aReport.criticalShed_ << " of "
        << aReport.criticalRequests_ << "\n";
   if (aReport.withdrawnKeyServedSeconds_) {
     text << aPrefix << "withdrawn key last served " << *aReport.withdrawnKeyServedSeconds_
--- a/standins/lib/LoadReport.h
+++ b/standins/lib/LoadReport.h
@@ -1,4 +1,4 @@
-// Figures of one load run.
+// Results of one load run, as numbers, JSON and text.
 #pragma once
 
 #include "standins/lib/HistoryCheck.h"
@@ -12,43 +12,45 @@
 
 namespace peridotquay::standins {
 
-/// Figures of one phase. Except for goodput_, requests belong to the phase in which they were
-/// scheduled.
+/// Results of one phase. A request belongs to the phase in which it was scheduled.
 struct PhaseReport
 {
   std::string name_;
   double seconds_ = 0;
-  std::uint64_t offered_ = 0;
-  std::uint64_t served_ = 0; ///< Whole right answers within the deadline.
-  double ideal_ = 0;         ///< Most that could have been served, by rates and capacity.
-  double goodput_ = 0;       ///< served_ / ideal_.
-  double p50Ms_ = 0;         ///< Of served requests, from the scheduled arrival.
+  std::uint64_t offered_ = 0; ///< Scheduled requests.
+  std::uint64_t served_ = 0;  ///< Requests with a complete and correct answer within the deadline.
+  double ideal_ = 0;          ///< Maximum that rates and capacity allow to serve.
+  double goodput_ =
+    0; ///< Served over ideal; in an overloaded phase, counts answers that came during the phase.
+  double p50Ms_ = 0; ///< Latency of served requests, from the scheduled arrival.
   double p99Ms_ = 0;
-  double criticalServedFraction_ = 1;           ///< Part of the critical requests that were served.
-  std::map<std::string, std::uint64_t> errors_; ///< First answers other than 200, by error type.
+  double criticalServedFraction_ = 1;           ///< Of the critical requests; 1 if there were none.
+  std::map<std::string, std::uint64_t> errors_; ///< Failed first attempts, by error type.
 };
 
+/// Results of a run.
 struct LoadReport
 {
   std::vector<PhaseReport> phases_;
-  std::optional<double> recoverySeconds_; ///< After "trigger" ends; empty if it did not recover.
+  /// From the end of phase "trigger"; empty without that phase or if the fleet didn't recover.
+  std::optional<double> recoverySeconds_;
   bool hasTrigger_ = false;
-  std::string worstAccount_;
-  double worstAccountShare_ =
-    1; ///< Served over max-min fair share of the worst-served client account.
-  std::uint64_t wrongfulRefusals_ =
-    0; ///< First answer refused, account within its rate, no overload.
-  std::uint64_t rightfulRequests_ = 0;
-  std::uint64_t criticalShed_ = 0; ///< Critical requests shed at their first host or target.
+  std::string worstAccount_;           ///< Client account with the least served of its fair share.
+  double worstAccountShare_ = 1;       ///< Its served requests over its max-min fair share.
+  std::uint64_t wrongfulRefusals_ = 0; ///< Admissible requests whose first attempt was refused.
+  /// Requests outside of overload, from accounts other than the scenario's misbehaving one.
+  std::uint64_t admissibleRequests_ = 0;
+  std::uint64_t criticalShed_ = 0; ///< Critical requests whose first attempt was shed.
   std::uint64_t criticalRequests_ = 0;
-  std::optional<double> withdrawnKeyServedSeconds_; ///< Latest arrival served after its withdrawal.
-  double maxStartLagMs_ = 0;                        ///< Of the load generator itself.
-  std::uint64_t failedIdRequests_ = 0;
+  /// From the start of the withdrawal to the last arrival that was served with the withdrawn key.
+  std::optional<double> withdrawnKeyServedSeconds_;
+  double maxStartLagMs_ = 0; ///< Largest delay with which the load generator started a request.
+  std::uint64_t failedIdRequests_ = 0; ///< Failed fetches of request ids.
   HistoryResult history_;
 };
 
-/// Computes the figures. aWithdrawnAt: when the command that withdraws the key was started, in
-/// seconds of the run.
+/// Computes the results. aWithdrawnAt is the time at which the command that withdraws the key was
+/// started, in seconds of the run.
 LoadReport MakeReport(const Scenario& aScenario,
                       const FleetProfile& aProfile,
                       const LoadPlan& aPlan,
@@ -56,10 +58,10 @@
                       const std::vector<TargetExecution>& aExecutions,
                       std::optional<double> aWithdrawnAt);
 
-/// The report as a JSON object.
+/// Returns the report as a JSON object.
 std::string ReportJson(const LoadReport& aReport);
 
-/// The report as lines for people, each with the prefix.
+/// Returns the report as readable lines that start with the prefix.
 std::string ReportText(const LoadReport& aReport, const std::string& aPrefix);
 
 } // namespace peridotquay::standins
--- a/standins/lib/LoadRunner.cpp
+++ b/standins/lib/LoadRunner.cpp
@@ -1,4 +1,4 @@
-// Open-loop load on Asio coroutines: one coroutine for each request, idle connections are reused.
+// Open-loop load generator with one Asio coroutine for each request. Idle connections are reused.
 #include "standins/lib/LoadRunner.h"
 
 #include "standins/lib/TargetBody.h"
@@ -36,31 +36,32 @@
 
 namespace {
 
-// Request ids are fetched in small batches: a batch is lost with the host that issued it.
+// Request ids per fetch. Small, because a batch is useless once the host that issued it has died.
 constexpr std::uint32_t kRequestIdBatchSize = 16;
 
-// Waiting time for an answer beyond the request's deadline, so that a late "unknown" is still read.
+// Time after the request's deadline in which a late answer "unknown" is still read.
 constexpr Duration kAnswerGracePeriod = milliseconds(300);
 
-// Length of answers of a stand-in target when the path doesn't ask for another.
+// Body length in bytes that a stand-in target answers with unless the path asks for another.
 constexpr std::size_t kDefaultAnswerBytes = 64;
 
-// Backoff of a polite caller; doubles with each attempt.
+// Delay before the first retry; doubles with each attempt. Not used with immediate retries.
 constexpr Duration kInitialBackoff = milliseconds(50);
 
 using Socket = std::shared_ptr<tcp::socket>;
 using Message = http::request<http::string_body>;
 
+// Result of one HTTP exchange.
 struct Exchange
 {
-  bool connected_ = false; ///< A connection could be had, so bytes may have left.
-  unsigned status_ = 0;
+  bool connected_ = false; ///< There was a connection, so bytes may have been sent.
+  unsigned status_ = 0;    ///< 0 without a complete answer.
   std::string outcome_;
   std::string retryAfterMs_;
   std::string body_;
 };
 
-// Splitmix64 over a request's own random number.
+// Splitmix64 generator.
 std::uint64_t NextRandom(std::uint64_t& aState)
 {
   aState += 0x9E3779B97F4A7C15ULL;
@@ -70,6 +71,7 @@
   return value ^ (value >> 31U);
 }
 
+// Whether an idle connection was closed, has failed or holds unexpected bytes.
 bool PeerClosed(tcp::socket& aSocket)
 {
   char byte = 0;
@@ -77,6 +79,7 @@
   return got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
+// State of one run.
 class Runner
 {
 public:
@@ -91,7 +94,7 @@
 
   LoadResult Run(const std::function<void(TimePoint)>& aStarted)
   {
-    // A short lead lets the first arrivals start on time.
+    // The first arrivals start on time only if the clock of the run starts a little later.
     start_ = Clock::now() + milliseconds(20);
     aStarted(start_);
     asio::co_spawn(
@@ -106,6 +109,7 @@
     return start_ + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(aSeconds));
   }
 
+  // Starts every request at its scheduled time.
   asio::awaitable<void> StartRequests()
   {
     asio::steady_timer timer(context_);
@@ -123,6 +127,7 @@
     }
   }
 
+  // Returns an open idle connection, or nullptr if there is none.
   Socket TakeIdleConnection(const Address& aServer)
   {
     auto& idle = idleConnections_[aServer];
@@ -136,7 +141,7 @@
     return nullptr;
   }
 
-  // One HTTP exchange. Nothing is sent twice.
+  // Makes one HTTP exchange that ends by aEnd. Never sends the request a second time.
   asio::awaitable<Exchange> Send(Address aServer, std::shared_ptr<Message> aMessage, TimePoint aEnd)
   {
     Exchange exchange;
@@ -187,7 +192,8 @@
     co_return exchange;
   }
 
-  // A request id issued by a host of the data centre; empty if none could be had.
+  // Returns a request id that a host of the data centre issued, or an empty string if all fetches
+  // failed.
   asio::awaitable<std::string> AcquireRequestId(std::size_t aDataCentre,
                                                 std::uint64_t aRandom,
                                                 TimePoint aEnd)
@@ -238,14 +244,14 @@
       message->set("Quay-Request-Id", aId);
     }
     if (!requestClass.repeatable_) {
-      // A repeat must have the same body, so it doesn't depend on the tag.
+      // A retry must have the same body, so the body doesn't depend on the tag.
       message->body() = "order";
     }
     message->prepare_payload();
     return message;
   }
 
-  // Whether the caller tries again after this answer.
+  // Whether the caller retries after this answer.
   bool ShouldRetry(const Exchange& aExchange, const LoadClass& aClass) const
   {
     if (plan_.immediateRetries_) {
@@ -255,6 +261,7 @@
     return refused || (aClass.repeatable_ && (aExchange.status_ == 0 || aExchange.status_ >= 500));
   }
 
+  // Exponential backoff with jitter, or the time that the answer asks for if that is longer.
   static Duration RetryDelay(const Exchange& aExchange,
                              std::uint32_t aAttempt,
                              std::uint64_t aRandom)
@@ -267,6 +274,7 @@
     return std::max<Duration>(backoff, milliseconds(std::clamp(hint, 0LL, 10'000LL)));
   }
 
+  // Runs one scheduled request with all of its attempts.
   asio::awaitable<void> RunRequest(std::size_t aIndex)
   {
     const Arrival& arrival = arrivals_[aIndex];
@@ -286,7 +294,7 @@
     std::uint32_t connectFailures = 0;
     bool allNotRun = true;
     for (std::uint32_t attempt = 0; attempt <= plan_.callerRetries_;) {
-      // A repeat under a request id must be the same request, so it keeps the tag.
+      // A retry with a request id must be the same request, so it keeps the tag.
       const std::string tag = plan_.tagPrefix_ + "-" + std::to_string(aIndex) + "." +
                               std::to_string(id.empty() ? attempt : 0);
       const auto message = MakeMessage(arrival, tag, id, end);
@@ -294,7 +302,7 @@
       auto pendingExchange = Send(host, message, end + kAnswerGracePeriod);
       const Exchange exchange = co_await std::move(pendingExchange);
       if (!exchange.connected_ && Clock::now() < end && connectFailures < 4) {
-        // No byte was sent: another host is tried as part of the same attempt.
+        // No byte was sent, so another host is tried as part of the same attempt.
         ++connectFailures;
         continue;
       }
@@ -333,8 +341,10 @@
     }
   }
 
-  // Repeats under a request id share one tag and so one entry in the targets' logs. Only the last
-  // attempt is held against that log, and a "not run" only if every attempt said so.
+  // Records an attempt for the history check. Attempts with one request id share a tag, so the
+  // targets' logs can't tell them apart. Only the last attempt keeps the tag, which compares it
+  // with those logs, and it has the retry budget of all attempts. It loses the tag if it was
+  // answered "not-run" and an earlier attempt wasn't, because the earlier one may have run.
   void RecordCall(HistoryCall aCall, std::uint32_t aAttempt, bool aAllNotRun)
   {
     if (!aCall.requestId_.empty() && aAttempt > 0) {
@@ -351,6 +361,7 @@
     result_.calls_.push_back(std::move(aCall));
   }
 
+  // Error type in the body of an answer, or a name for the lack of one; empty with status 200.
   static std::string ErrorType(const Exchange& aExchange)
   {
     if (aExchange.status_ == 200) {
@@ -372,9 +383,9 @@
   std::vector<Arrival> arrivals_;
   asio::io_context context_{ 1 };
   TimePoint start_{};
-  std::map<Address, std::vector<Socket>> idleConnections_;
-  std::vector<std::vector<std::string>> unusedIds_; ///< Issued and unused, by data centre.
-  std::map<std::string, std::size_t> lastCall_;     ///< Index of the latest call of a request id.
+  std::map<Address, std::vector<Socket>> idleConnections_; ///< By host.
+  std::vector<std::vector<std::string>> unusedIds_;        ///< Request ids, by data centre.
+  std::map<std::string, std::size_t> lastCall_;            ///< Index in calls_, by request id.
   LoadResult result_;
 };
 
--- a/standins/lib/LoadRunner.h
+++ b/standins/lib/LoadRunner.h
@@ -1,4 +1,4 @@
-// Sends a plan's requests to the hosts of a fleet and records what came back.
+// Sends the requests of a plan to the hosts of a fleet and records the answers.
 #pragma once
 
 #include "peridotquay/version/Ids.h"
@@ -14,31 +14,34 @@
 
 namespace peridotquay::standins {
 
-/// What became of one scheduled request, over all of the caller's attempts.
+/// Result of one scheduled request over all of the caller's attempts.
 struct LoadRecord
 {
   Arrival arrival_;
-  bool served_ = false;       ///< Whole right answer within the deadline.
-  double latencySeconds_ = 0; ///< From the scheduled arrival to the last answer.
-  unsigned firstStatus_ = 0;  ///< Of the first attempt; 0: no answer.
-  unsigned lastStatus_ = 0;
-  std::string firstErrorType_; ///< Error type in the body of the first answer, if it wasn't 200.
+  bool served_ = false;        ///< Complete and correct answer within the deadline.
+  double latencySeconds_ = 0;  ///< From the scheduled arrival to the end of the last attempt.
+  unsigned firstStatus_ = 0;   ///< Status of the first attempt; 0 without an answer.
+  unsigned lastStatus_ = 0;    ///< Status of the last attempt; 0 without an answer.
+  std::string firstErrorType_; ///< Error type of the first attempt; empty with status 200.
   std::uint32_t attempts_ = 0;
 };
 
+/// Everything that a run recorded.
 struct LoadResult
 {
   std::vector<LoadRecord> records_; ///< In order of the scheduled arrivals.
-  std::vector<HistoryCall> calls_;  ///< One for each attempt.
-  double maxStartLagSeconds_ = 0; ///< Largest delay between scheduled and real start of a request.
-  std::uint64_t failedIdRequests_ = 0; ///< Attempts to get request ids that failed.
+  std::vector<HistoryCall> calls_;  ///< One entry for each attempt.
+  double maxStartLagSeconds_ =
+    0; ///< Largest delay from the scheduled to the real start of a request.
+  std::uint64_t failedIdRequests_ = 0; ///< Failed fetches of request ids.
 };
 
-/// Hosts of one data centre that callers may use.
+/// Addresses for callers of all hosts of one data centre.
 using DataCentreHosts = std::vector<Address>;
 
-/// Runs on the calling thread until every request has ended. Callers of an account spread over all
-/// data centres and hosts. aStarted is called with the time of second 0, before the first request.
+/// Runs the load on the calling thread and returns when every request has ended. The requests of
+/// each account are spread over all data centres and hosts. aStarted is called before the first
+/// request, with the point in time from which the plan's seconds count.
 LoadResult RunLoad(const LoadPlan& aPlan,
                    const std::vector<DataCentreHosts>& aDataCentres,
                    const std::function<void(TimePoint)>& aStarted);
--- a/standins/lib/LoadScenario.cpp
+++ b/standins/lib/LoadScenario.cpp
@@ -1,18 +1,20 @@
-// The named experiments.
+// Definitions of the scenarios.
 #include "standins/lib/LoadScenario.h"
 
 namespace peridotquay::standins {
 
 namespace {
 
-// Times in the definitions below count from the end of the warm-up.
+// Event times in the definitions below count from the end of the warm-up.
 
-// Load of an ordinary day, as part of the capacity.
+// Ordinary load as a fraction of the capacity.
 constexpr double kOrdinaryLoadFactor = 0.7;
 
-// Account that misbehaves or loses its key: a small one, so that the others' shares hardly move.
+// Index of the account that exceeds its rate or loses its key. It is a small one, so that the
+// shares of the others hardly change.
 constexpr std::size_t kMisbehavingAccount = 3;
 
+// Phases with the given lengths in seconds and ordinary load.
 std::vector<LoadPhase> ThreePhases(double aBefore, double aTrigger, double aAfter)
 {
   return { { "before", aBefore, kOrdinaryLoadFactor, {}, false },
@@ -27,7 +29,7 @@
   return { aSeconds, std::move(aName), std::move(aApply) };
 }
 
-// Factor that lets the culprit send several times its rate.
+// Load factor with which the misbehaving account sends several times its rate.
 double GreedyLoadFactor(const FleetProfile& aProfile)
 {
   constexpr double kRateMultiple = 5;
@@ -40,6 +42,7 @@
   return kRateMultiple * AccountRate(aProfile, kMisbehavingAccount) / ordinary;
 }
 
+// Fills in a scenario whose disturbance is load or a slow service; does nothing for other names.
 void AddLoadScenario(Scenario& aScenario, const FleetProfile& aProfile)
 {
   auto& phases = aScenario.phases_;
@@ -81,10 +84,12 @@
   }
 }
 
+// Fills in a scenario whose disturbance is a fault or an operator's action; does nothing for other
+// names.
 void AddFaultScenario(Scenario& aScenario, const FleetProfile& aProfile)
 {
   auto& phases = aScenario.phases_;
-  // A host of the second service: its loss leaves the capacity of the chain as it is.
+  // A host of the second service. The chain keeps its capacity without that host.
   const std::size_t affectedHost = 1;
   if (aScenario.name_ == "kill-host") {
     aScenario.description_ = "one host of the second service is killed";
@@ -158,7 +163,8 @@
   if (scenario.phases_.empty()) {
     return std::nullopt;
   }
-  // A fleet that has just started still adapts its limits; that phase is reported by itself.
+  // A fleet that has just started still adapts its concurrency limits, so the warm-up, in seconds,
+  // is a phase of its own.
   constexpr double kWarmUp = 5;
   scenario.phases_.insert(scenario.phases_.begin(),
                           { "warm-up", kWarmUp, kOrdinaryLoadFactor, {}, false });
--- a/standins/lib/LoadScenario.h
+++ b/standins/lib/LoadScenario.h
@@ -1,4 +1,4 @@
-// Named experiments: load phases and the faults that happen during them.
+// Named scenarios: load phases and the events, such as faults, that happen during them.
 #pragma once
 
 #include "standins/lib/Fleet.h"
@@ -11,7 +11,7 @@
 
 namespace peridotquay::standins {
 
-/// Something that is done to the fleet at a time of the run.
+/// An action on the fleet at a given time of the run.
 struct ScenarioEvent
 {
   double at_ = 0; ///< Seconds after the start of the load.
@@ -19,33 +19,35 @@
   std::function<Result<void>(Fleet&)> apply_;
 };
 
+/// A scenario for one profile.
 struct Scenario
 {
   std::string name_;
   std::string description_;
-  /// "warm-up", "before" and, if something happens, "trigger" and "after".
+  /// "warm-up" and "before", followed by "trigger" and "after" if there is a disturbance.
   std::vector<LoadPhase> phases_;
-  std::vector<ScenarioEvent> events_;
-  std::uint32_t callerRetries_ = 1;
-  bool immediateRetries_ = false;
-  bool links_ = false;
-  double slowFactor_ = 1; ///< Of the deepest service in phase "trigger"; lowers the ideal there.
-  std::optional<std::size_t>
-    misbehavingAccount_; ///< Account that misbehaves; never counted as wronged.
-  std::optional<std::size_t>
-    withdrawnAccount_; ///< Account whose key is withdrawn when "trigger" starts.
+  std::vector<ScenarioEvent> events_; ///< In order of time.
+  std::uint32_t callerRetries_ = 1;   ///< Maximum retries of one request by its caller.
+  bool immediateRetries_ = false;     ///< Callers retry without delay, whatever the answer was.
+  bool links_ = false;                ///< Puts a link between each node and its target.
+  /// How much longer the deepest service takes in phase "trigger"; lowers the ideal of that phase.
+  double slowFactor_ = 1;
+  /// Account whose refusals are never wrongful: it exceeds its rate or uses a withdrawn key.
+  std::optional<std::size_t> misbehavingAccount_;
+  /// Account whose key is withdrawn when "trigger" starts.
+  std::optional<std::size_t> withdrawnAccount_;
 };
 
-/// Names of the load scenarios, in the order of `quayload list`.
+/// Returns the names of the scenarios, in the order of `quayload list`.
 std::vector<std::string> ScenarioNames();
 
-/// The scenario for a profile; empty for an unknown name.
+/// Returns the scenario for a profile; empty for an unknown name.
 std::optional<Scenario> MakeScenario(const std::string& aName, const FleetProfile& aProfile);
 
-/// What the callers of a scenario send.
+/// Returns the plan of what callers send in a scenario.
 LoadPlan MakePlan(const Scenario& aScenario, const FleetProfile& aProfile, std::uint64_t aSeed);
 
-/// Start of a phase in seconds; the end of the run for an unknown name.
+/// Returns the start of a phase in seconds of the run, or the end of the run for an unknown name.
 double PhaseStart(const Scenario& aScenario, const std::string& aPhase);
 
 } // namespace peridotquay::standins
--- a/standins/lib/LoadScore.cpp
+++ b/standins/lib/LoadScore.cpp
@@ -1,4 +1,4 @@
-// Measures of a load run.
+// Fair shares, percentiles and recovery time of a load run.
 #include "standins/lib/LoadScore.h"
 
 #include <algorithm>
@@ -12,8 +12,9 @@
 {
   std::vector<double> shares(aDemands.size(), 0);
   std::vector<bool> satisfied(aDemands.size(), false);
-  double left = aCapacity;
-  // Each round satisfies at least one entry in full, or divides what is left by weight and ends.
+  double remaining = aCapacity;
+  // Each round satisfies at least one entry in full, or divides the remaining capacity by weight
+  // and is the last.
   for (std::size_t round = 0; round <= aDemands.size(); ++round) {
     double weights = 0;
     for (std::size_t i = 0; i < aDemands.size(); ++i) {
@@ -22,17 +23,17 @@
     if (weights <= 0) {
       break;
     }
-    const double perWeight = left / weights;
-    bool any = false;
+    const double perWeight = remaining / weights;
+    bool anySatisfied = false;
     for (std::size_t i = 0; i < aDemands.size(); ++i) {
       if (!satisfied[i] && aDemands[i] <= perWeight * aWeights[i]) {
         shares[i] = aDemands[i];
-        left -= aDemands[i];
+        remaining -= aDemands[i];
         satisfied[i] = true;
-        any = true;
+        anySatisfied = true;
       }
     }
-    if (!any) {
+    if (!anySatisfied) {
       for (std::size_t i = 0; i < aDemands.size(); ++i) {
         if (!satisfied[i]) {
           shares[i] = perWeight * aWeights[i];
@@ -76,16 +77,17 @@
                                       double aFractionBefore,
                                       double aMinFraction)
 {
-  constexpr double kStep = 0.1;
-  constexpr double kWindow = 1;
-  const auto steps = static_cast<int>(std::floor((aEnd - kWindow - aTriggerEnd) / kStep));
+  constexpr double kStepSeconds = 0.1;
+  constexpr double kWindowSeconds = 1;
+  const auto steps =
+    static_cast<int>(std::floor((aEnd - kWindowSeconds - aTriggerEnd) / kStepSeconds));
   std::optional<double> recovered;
   for (int step = 0; step <= steps; ++step) {
-    const double from = aTriggerEnd + step * kStep;
-    if (ServedFraction(aRequests, from, from + kWindow) < aMinFraction * aFractionBefore) {
+    const double from = aTriggerEnd + step * kStepSeconds;
+    if (ServedFraction(aRequests, from, from + kWindowSeconds) < aMinFraction * aFractionBefore) {
       recovered.reset();
     } else if (!recovered) {
-      recovered = step * kStep;
+      recovered = step * kStepSeconds;
     }
   }
   return recovered;
--- a/standins/lib/LoadScore.h
+++ b/standins/lib/LoadScore.h
@@ -1,4 +1,4 @@
-// Measures of a load run: fair shares, percentiles, recovery.
+// Calculations over the requests of a load run: fair shares, percentiles and recovery time.
 #pragma once
 
 #include <cstddef>
@@ -7,28 +7,30 @@
 
 namespace peridotquay::standins {
 
-/// Weighted max-min fair division of a capacity: no entry gets more than its demand, and what one
-/// leaves is divided among the others by weight.
+/// Divides a capacity by weighted max-min fairness: no share exceeds its demand, and capacity that
+/// one entry doesn't need is divided among the others by weight.
 std::vector<double> FairShares(double aCapacity,
                                const std::vector<double>& aDemands,
                                const std::vector<double>& aWeights);
 
-/// The value that aFraction (0 to 1) of the values don't exceed, by nearest rank; 0 for no values.
+/// Returns the smallest value that at least aFraction (0 to 1) of the values don't exceed (nearest
+/// rank), or 0 if there are no values.
 double Percentile(std::vector<double> aValues, double aFraction);
 
-/// One request as far as recovery is concerned.
+/// A request for the calculation of the recovery time.
 struct RequestSample
 {
-  double scheduledAt_ = 0; ///< Scheduled arrival after the start of the run.
+  double scheduledAt_ = 0; ///< Scheduled arrival in seconds of the run.
   bool served_ = false;
 };
 
-/// Part of the requests that arrived in [aFrom, aTo) and were served; 1 if none arrived.
+/// Returns the served fraction of the requests that arrived in [aFrom, aTo), or 1 if none arrived.
 double ServedFraction(const std::vector<RequestSample>& aRequests, double aFrom, double aTo);
 
-/// Seconds from aTriggerEnd to the first 100 ms step from which on the served part over the next
-/// second is at least aMinFraction of aFractionBefore and stays so until aEnd. Empty if that
-/// doesn't happen.
+/// Returns the seconds from aTriggerEnd until the served fraction has recovered. The fraction is
+/// taken over one-second windows that start every 100 ms. It has recovered at the start of the
+/// first window from which on every window until aEnd reaches at least aMinFraction of
+/// aFractionBefore. Empty if it doesn't recover.
 std::optional<double> RecoverySeconds(const std::vector<RequestSample>& aRequests,
                                       double aTriggerEnd,
                                       double aEnd,
--- a/tests/standins/LoadReportTest.cpp
+++ b/tests/standins/LoadReportTest.cpp
@@ -111,7 +111,7 @@
   }
   const LoadReport report = run.Report();
   CHECK(report.wrongfulRefusals_ == 5);
-  CHECK(report.rightfulRequests_ > 1000);
+  CHECK(report.admissibleRequests_ > 1000);
 }
 
 // Guards against a starved account or a shed critical request that the figures don't show.
