--- a/standins/lib/Fleet.cpp
+++ b/standins/lib/Fleet.cpp
@@ -26,7 +26,7 @@
 }
 
 // Sends a fault description to a stand-in. Errors: those of FetchHttp, kOutOfRange if it is
-// refused.
+// rejected.
 Result<void> PostFaults(const Address& aServer,
                         const std::string& aTarget,
                         const std::string& aJson)
@@ -82,11 +82,11 @@
       return text.str();
     }
     if (!aProcess.Alive()) {
-      return Fail(ErrorCode::kNotFound, aName, "its process has ended");
+      return Fail(ErrorCode::kNotFound, aName, "its process ended before writing it");
     }
     std::this_thread::sleep_for(kPollInterval);
   }
-  return Fail(ErrorCode::kDeadlineExceeded, aName, "was not written");
+  return Fail(ErrorCode::kDeadlineExceeded, aName, "not written in time");
 }
 
 Result<void> Fleet::StartPlatform()
@@ -201,7 +201,7 @@
 {
   for (const char* program : { "quayd", "quayctl", "standin_platform", "standin_target" }) {
     if (::access(ProgramPath(program).c_str(), X_OK) != 0) {
-      return Fail(ErrorCode::kNotFound, ProgramPath(program), "not built");
+      return Fail(ErrorCode::kNotFound, ProgramPath(program), "missing or not executable");
     }
   }
   BOOST_OUTCOME_TRYV(StartPlatform());
@@ -254,10 +254,11 @@
   }
   const TimePoint end = Clock::now() + settings_.timeout_;
   for (const FleetHost& host : hosts_) {
-    std::string last;
+    std::string lastFailure;
     for (int successes = 0; successes < 2;) {
       if (Clock::now() > end) {
-        return Fail(ErrorCode::kDeadlineExceeded, host.name_ + " serves no whole request", last);
+        return Fail(
+          ErrorCode::kDeadlineExceeded, host.name_ + " does not serve requests", lastFailure);
       }
       const std::string target = "/" + profile.services_.front().name_ + "/" + requestClass->name_;
       FetchRequest query{ "GET", target, { { "Quay-Key", profile.accounts_[0].key_ } }, "" };
@@ -266,7 +267,7 @@
       const bool served = reply && reply.assume_value().status_ == 200;
       successes = served ? successes + 1 : 0;
       if (!served) {
-        last = reply ? reply.assume_value().body_ : Describe(reply.assume_error());
+        lastFailure = reply ? reply.assume_value().body_ : Describe(reply.assume_error());
         std::this_thread::sleep_for(kPollInterval);
       }
     }
--- a/standins/lib/Fleet.h
+++ b/standins/lib/Fleet.h
@@ -61,7 +61,7 @@
   /// Starts all processes, applies the base configuration and waits until requests through every
   /// host succeed. Errors: kNotFound for a missing program or a process that has ended,
   /// kDeadlineExceeded for a condition that isn't met in time (named in the subject),
-  /// kPlatformUnavailable if quayctl fails, and those of FetchHttp and FleetProcess::Start.
+  /// kPlatformUnavailable if quayctl fails, and those of SetTargetFaults and FleetProcess::Start.
   Result<void> Start();
 
   /// Ends all processes. Nodes get SIGTERM and are killed if they still run after 10 s. Returns the
@@ -76,7 +76,7 @@
   /// Pauses or resumes the processes of the node and the target of a host.
   void SetHostPaused(std::size_t aHost, bool aPaused);
   /// Sets the faults of one target, of all targets of a service that weren't killed, of the
-  /// platform, or of all links.
+  /// platform, or of all links. Errors: those of FetchHttp, kOutOfRange if the faults are rejected.
   Result<void> SetTargetFaults(std::size_t aHost, const std::string& aJson);
   Result<void> SetServiceFaults(std::size_t aService, const std::string& aJson);
   Result<void> SetPlatformFaults(const std::string& aJson);
--- a/standins/lib/LoadDemo.cpp
+++ b/standins/lib/LoadDemo.cpp
@@ -115,17 +115,17 @@
 // and key.
 double UnaffectedServedFraction(const LoadResult& aResult, double aFrom, double aTo)
 {
-  double all = 0;
+  double total = 0;
   double served = 0;
   for (const LoadRecord& record : aResult.records_) {
     const bool affected =
       record.arrival_.account_ == kWithdrawnAccount || record.arrival_.account_ == kLoweredAccount;
     if (!affected && record.arrival_.at_ >= aFrom && record.arrival_.at_ < aTo) {
-      all += 1;
+      total += 1;
       served += record.served_ ? 1 : 0;
     }
   }
-  return all > 0 ? served / all : 0;
+  return total > 0 ? served / total : 0;
 }
 
 // Number of an account's requests from aFrom on whose first attempt failed with the error type.
--- a/standins/lib/LoadExperiment.cpp
+++ b/standins/lib/LoadExperiment.cpp
@@ -112,10 +112,10 @@
 double ResidentMegabytes(pid_t aProcess)
 {
   std::ifstream file("/proc/" + std::to_string(aProcess) + "/statm");
-  double all = 0;
-  double resident = 0;
-  file >> all >> resident;
-  return resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
+  double totalPages = 0;
+  double residentPages = 0;
+  file >> totalPages >> residentPages;
+  return residentPages * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
 }
 
 } // namespace
@@ -140,7 +140,9 @@
     for (std::size_t host = 0; host < fleet.Hosts().size(); ++host) {
       while (ActiveVersion(fleet, host) < version) {
         if (Clock::now() - before > kTimeout) {
-          return Fail(ErrorCode::kDeadlineExceeded, fleet.Hosts()[host].name_, "within 10 s");
+          return Fail(ErrorCode::kDeadlineExceeded,
+                      fleet.Hosts()[host].name_,
+                      "configuration change not in force within 10 s");
         }
         std::this_thread::sleep_for(milliseconds(2));
       }
--- a/standins/lib/LoadRunner.cpp
+++ b/standins/lib/LoadRunner.cpp
@@ -75,8 +75,8 @@
 bool PeerClosed(tcp::socket& aSocket)
 {
   char byte = 0;
-  const ssize_t got = ::recv(aSocket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
+  const ssize_t received = ::recv(aSocket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
 // State of one run.
@@ -148,8 +148,8 @@
     error_code failure;
     Socket socket = TakeIdleConnection(aServer);
     asio::steady_timer timeoutTimer(context_, aEnd);
-    const bool fresh = !socket;
-    if (fresh) {
+    const bool newConnection = !socket;
+    if (newConnection) {
       socket = std::make_shared<tcp::socket>(context_);
     }
     timeoutTimer.async_wait([socket](error_code aFailure) {
@@ -158,7 +158,7 @@
         socket->close(ignored);
       }
     });
-    if (fresh) {
+    if (newConnection) {
       const tcp::endpoint endpoint(asio::ip::make_address(aServer.ip_), aServer.port_);
       co_await socket->async_connect(endpoint, asio::redirect_error(asio::use_awaitable, failure));
       if (failure) {
@@ -238,8 +238,8 @@
     message->set(http::field::host, "fleet");
     message->set("Quay-Key", plan_.accounts_[aArrival.account_].key_);
     message->set("Quay-Retry-Budget", std::to_string(plan_.retryBudget_));
-    const auto left = std::chrono::duration_cast<milliseconds>(aEnd - Clock::now()).count();
-    message->set("Quay-Deadline-Ms", std::to_string(std::max<std::int64_t>(left, 1)));
+    const auto remainingMs = std::chrono::duration_cast<milliseconds>(aEnd - Clock::now()).count();
+    message->set("Quay-Deadline-Ms", std::to_string(std::max<std::int64_t>(remainingMs, 1)));
     if (!aId.empty()) {
       message->set("Quay-Request-Id", aId);
     }
--- a/tests/standins/FleetTest.cpp
+++ b/tests/standins/FleetTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the parts that start fleets.
+// Tests of the fleet profiles and of the child processes of a fleet.
 #include "peridotquay/version/ConfigCompiler.h"
 #include "peridotquay/version/ConfigParser.h"
 
@@ -12,8 +12,10 @@
 using namespace peridotquay;
 using namespace peridotquay::standins;
 
-// Guards against a generated base file that quayctl would reject.
-TEST_CASE("the base configurations of all profiles are accepted", "[fleet]")
+// Guards against a generated base configuration that can't be parsed or compiled, or that lacks the
+// routes and keys that callers use.
+TEST_CASE("the base configurations of all profiles compile and have their routes and keys",
+          "[fleet]")
 {
   for (const char* name : { "foundry", "landesamt", "pair" }) {
     const FleetProfile profile = FindProfile(name);
@@ -33,8 +35,8 @@
   }
 }
 
-// Guards against processes that are left behind, and against a lost exit status.
-TEST_CASE("child processes end with their owner", "[fleet]")
+// Guards against a child process that outlives its owner, and against a lost exit status.
+TEST_CASE("a child process ends with its owner and reports its exit status", "[fleet]")
 {
   pid_t id = 0;
   {
--- a/tests/standins/HistoryTest.cpp
+++ b/tests/standins/HistoryTest.cpp
@@ -1,4 +1,4 @@
-// The history checker must fail on a planted fault of each kind, and only for that property.
+// Tests of the history check: a violation of each property is found, and only for that property.
 #include "standins/lib/HistoryCheck.h"
 
 #include <catch2/catch.hpp>
@@ -9,6 +9,7 @@
 
 namespace {
 
+// Input of a check.
 struct History
 {
   std::vector<HistoryCall> calls_;
@@ -25,7 +26,8 @@
   return execution;
 }
 
-// A correct history: a chain of two with one retry, a refusal, an unknown outcome.
+// A history without violations: a call through two targets with one retry, a refused call, a call
+// with an unknown outcome and one without an answer.
 History CorrectHistory()
 {
   History history;
@@ -42,6 +44,7 @@
   return history;
 }
 
+// Checks that the injected fault is found as one violation of the property and of no other.
 void CheckFailsOnly(HistoryProperty aProperty, const std::function<void(History&)>& aInjectFault)
 {
   History history = CorrectHistory();
@@ -58,7 +61,7 @@
 
 } // namespace
 
-// Guards against a checker that rejects a correct history.
+// Guards against a check that reports violations in a correct history.
 TEST_CASE("a correct history passes", "[history]")
 {
   const History history = CorrectHistory();
@@ -68,10 +71,11 @@
   CHECK(result.executions_ == 5);
 }
 
-// Guards against a checker that is blind to a property.
-TEST_CASE("each planted fault is found", "[history]")
+// Guards against a check that doesn't detect violations of a property, or counts them under
+// another.
+TEST_CASE("each violation is found under its own property", "[history]")
 {
-  // The second execution has no tag, so that only the request id repeats.
+  // The added execution has no tag, so it repeats the request id but isn't a retry.
   CheckFailsOnly(HistoryProperty::kRunsAtMostOnce, [](History& aHistory) {
     aHistory.executions_.push_back(Execution("d-1", "/top", "id-1"));
   });
@@ -91,15 +95,15 @@
   CheckFailsOnly(HistoryProperty::kWithinBudget, [](History& aHistory) {
     aHistory.executions_.push_back(Execution("d-1", "/deep?tag=1.0&from=a-1"));
   });
-  // A refused attempt is an attempt.
+  // A refused attempt counts as an attempt too.
   CheckFailsOnly(HistoryProperty::kWithinBudget, [](History& aHistory) {
     aHistory.executions_.push_back(Execution("d-1", "/deep?tag=1.0&from=a-1"));
     aHistory.executions_.back().end_ = ExecutionEnd::kRefused;
   });
 }
 
-// Guards against counting the first attempts of a deeper level as retries.
-TEST_CASE("a retried level makes new first attempts below it", "[history]")
+// Guards against counting first attempts below a retried call as retries.
+TEST_CASE("a retried call makes new first attempts at the next target", "[history]")
 {
   History history = CorrectHistory();
   history.calls_[0].retryBudget_ = 1;
--- a/tests/standins/LoadReportTest.cpp
+++ b/tests/standins/LoadReportTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the figures of a load run, from records written by hand.
+// Tests of the results of a load run, computed from synthetic records.
 #include "standins/lib/LoadReport.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A run whose requests arrive evenly at the planned mean rates and are all served after 0.3 s.
+// A run whose planned requests are all served after 0.3 s unless a test changes their records.
 struct PlannedRun
 {
   FleetProfile profile_ = FindProfile("foundry");
@@ -62,8 +62,8 @@
 
 } // namespace
 
-// Guards against an ideal that is higher than what was offered, or above the capacity.
-TEST_CASE("goodput compares with the least of offer, rates and capacity", "[report]")
+// Guards against an ideal that exceeds the offered load or the capacity.
+TEST_CASE("goodput is relative to the minimum of offered load, rates and capacity", "[report]")
 {
   const PlannedRun run("surge");
   const LoadReport report = run.Report();
@@ -72,12 +72,13 @@
   CHECK(before.goodput_ == Approx(1));
   const PhaseReport& trigger = Phase(report, "trigger");
   CHECK(trigger.ideal_ == Approx(CapacityPerSecond(run.profile_) * trigger.seconds_));
-  // Everything was served although twice the capacity was offered: goodput shows the impossible.
+  // The records say that all of twice the capacity was served, so goodput is far above 1.
   CHECK(trigger.goodput_ > 1.8);
 }
 
-// Guards against a surge that is credited with what the next phase's capacity served.
-TEST_CASE("late completions don't count for an overloaded phase", "[report]")
+// Guards against counting requests for an overloaded phase that the capacity of the next phase
+// served.
+TEST_CASE("answers after the end of an overloaded phase don't count for it", "[report]")
 {
   PlannedRun run("surge");
   const double end = PhaseStart(run.scenario_, "after");
@@ -86,12 +87,13 @@
       record.latencySeconds_ = end + 0.1 - record.arrival_.at_;
     }
   }
-  // The only completions in the phase are those of requests from just before it.
+  // The only answers in the phase are to requests that arrived just before it.
   CHECK(Phase(run.Report(), "trigger").goodput_ < 0.05);
 }
 
-// Guards against refusals that are counted for the wrong account, phase or status.
-TEST_CASE("only refusals without cause are wrongful", "[report]")
+// Guards against counting refusals of the misbehaving account, of the warm-up, or failures that
+// aren't refusals.
+TEST_CASE("only refusals of admissible requests are wrongful", "[report]")
 {
   PlannedRun run("greedy-account");
   REQUIRE(run.scenario_.misbehavingAccount_.has_value());
@@ -105,7 +107,7 @@
       run.Refuse(record, 503, "shed");
       ++wrongfulRefusals;
     } else if (record.arrival_.account_ == 0 && run.IsIn(record, "after")) {
-      // A failure, not a refusal.
+      // Status 504 is a failure, not a refusal.
       run.Refuse(record, 504, "outcome-unknown");
     }
   }
@@ -114,8 +116,8 @@
   CHECK(report.admissibleRequests_ > 1000);
 }
 
-// Guards against a starved account or a shed critical request that the figures don't show.
-TEST_CASE("a starved account and shed critical requests show", "[report]")
+// Guards against a report that misses a starved account or shed critical requests.
+TEST_CASE("a starved account and shed critical requests are reported", "[report]")
 {
   PlannedRun run("surge");
   std::uint64_t critical = 0;
@@ -133,8 +135,8 @@
   CHECK(report.criticalShed_ == critical);
 }
 
-// Guards against a recovery that is reported although the fleet stays down.
-TEST_CASE("a fleet that stays down has no recovery time", "[report]")
+// Guards against reporting a recovery although requests fail until the end of the run.
+TEST_CASE("a fleet that doesn't recover has no recovery time", "[report]")
 {
   PlannedRun run("deep-slow");
   CHECK(run.Report().recoverySeconds_ == 0);
--- a/tests/standins/LoadRunnerTest.cpp
+++ b/tests/standins/LoadRunnerTest.cpp
@@ -1,4 +1,5 @@
-// Tests of load plans and of the load generator against stand-in targets in process.
+// Tests of load plans and scenarios, and of the load generator with stand-in targets in this
+// process.
 #include "standins/lib/LoadRunner.h"
 
 #include "standins/lib/FleetHttp.h"
@@ -28,7 +29,7 @@
   return plan;
 }
 
-// Two targets in a chain, without nodes between them.
+// Two stand-in targets, of which the first calls the second without a node between them.
 class TargetChain
 {
 public:
@@ -60,7 +61,7 @@
     thread_.join();
   }
 
-  // Only after the load has ended.
+  // Execution logs of both targets. Call only after the load has ended.
   std::vector<TargetExecution> Executions() const
   {
     auto all = top_->Executions();
@@ -80,8 +81,8 @@
 
 } // namespace
 
-// Guards against runs that can't be repeated, and against wrong rates.
-TEST_CASE("arrivals depend on the seed alone and have the planned rates", "[load]")
+// Guards against runs that can't be repeated with their seed, and against wrong rates.
+TEST_CASE("arrivals are reproducible from the seed and have the planned rates", "[load]")
 {
   LoadPlan plan = SmallPlan();
   plan.phases_ = { { "a", 50, 1, {}, false }, { "b", 50, 2, { 1, 3 }, true } };
@@ -102,8 +103,8 @@
   CHECK(counts[1][1] == Approx(15000).epsilon(0.06));
 }
 
-// Guards against a generator that loses requests or records answers of other requests.
-TEST_CASE("a load run over a chain is served whole and its history holds", "[load]")
+// Guards against a load generator that loses requests or confuses their answers.
+TEST_CASE("every request of a load run is served and its history has no violations", "[load]")
 {
   TargetChain chain;
   const LoadPlan plan = SmallPlan();
@@ -119,14 +120,16 @@
   const auto executions = chain.Executions();
   CHECK(executions.size() == 2 * count);
   auto history = CheckHistory(result.calls_, executions);
-  // Without a node before them, the targets see the callers' keys: the check must say so.
+  // Without a node that removes it, the first target receives the caller's key, which is a
+  // violation.
   CHECK(history.violations_[HistoryProperty::kNoKeySeen] == count);
   history.violations_[HistoryProperty::kNoKeySeen] = 0;
   CHECK(history.Holds());
   CHECK(history.maxCallTreeRetries_ == 0);
 }
 
-// Guards against coordinated omission: requests that were due during a stall must show it.
+// Guards against coordinated omission: latency must include the time that requests wait during a
+// stall.
 TEST_CASE("latency counts from the scheduled arrival", "[load]")
 {
   TargetChain chain;
@@ -147,12 +150,13 @@
   for (const LoadRecord& record : result.records_) {
     slow += record.latencySeconds_ > 0.2 ? 1 : 0;
   }
-  // 0.2 s of arrivals at 200/s wait for more than 0.2 s.
+  // Of a 0.4 s stall, arrivals of the first 0.2 s at 200 per second wait more than 0.2 s.
   CHECK(slow >= 25);
 }
 
-// Guards against callers that retry when told not to, or that give up although they retry.
-TEST_CASE("callers retry as planned", "[load]")
+// Guards against callers that retry without being configured to, or make fewer retries than
+// configured.
+TEST_CASE("callers make the configured number of retries", "[load]")
 {
   TargetChain chain;
   LoadPlan plan = SmallPlan();
@@ -177,8 +181,9 @@
   }
 }
 
-// Guards against a scenario without phases, or with events outside its run.
-TEST_CASE("every scenario is complete for both profiles", "[load]")
+// Guards against a scenario that lacks phases or accounts, or has events outside of the disturbance
+// and the time after it.
+TEST_CASE("every scenario is complete for both large profiles", "[load]")
 {
   for (const char* name : { "foundry", "landesamt" }) {
     const FleetProfile profile = FindProfile(name);
--- a/tests/standins/LoadScoreTest.cpp
+++ b/tests/standins/LoadScoreTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the measures of load runs.
+// Tests of fair shares, percentiles and recovery time.
 #include "standins/lib/LoadScore.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 
 using namespace peridotquay::standins;
 
-// Guards against a fair share that credits an account with more than it asked for.
+// Guards against a share above the demand, and against a division that ignores weights.
 TEST_CASE("fair shares satisfy small demands and divide the rest by weight", "[score]")
 {
   const auto shares = FairShares(100, { 10, 100, 100 }, { 1, 1, 2 });
@@ -19,8 +19,8 @@
   CHECK(FairShares(100, {}, {}).empty());
 }
 
-// Guards against shares that exceed a demand or the capacity, or that leave capacity unused.
-TEST_CASE("fair shares use the capacity and exceed nothing", "[score]")
+// Guards against shares that exceed a demand or the capacity, or that leave usable capacity unused.
+TEST_CASE("fair shares use the whole capacity and exceed no demand", "[score]")
 {
   CHECK(rc::check([] {
     const auto count = *rc::gen::inRange<std::size_t>(1, 9);
@@ -42,7 +42,7 @@
   }));
 }
 
-// Guards against an off-by-one in the rank, which shifts every reported p99.
+// Guards against an off-by-one error in the rank, which would shift every reported percentile.
 TEST_CASE("percentiles use the nearest rank", "[score]")
 {
   std::vector<double> values(100);
@@ -53,8 +53,8 @@
   CHECK(Percentile({}, 0.5) == 0);
 }
 
-// Guards against a recovery time that ignores a relapse.
-TEST_CASE("recovery counts from the last time below the level", "[score]")
+// Guards against a recovery time that ignores later failures.
+TEST_CASE("recovery time lasts until the served fraction stays at its level", "[score]")
 {
   std::vector<RequestSample> requests;
   for (int i = 0; i < 1000; ++i) {
