--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -1,4 +1,4 @@
-// Push tree, sync, freshness by evidence, watermark and contact rows.
+// Push tree, sync, freshness by proofs and outage evidence, watermark and contact rows.
 #include "peridotquay/version/Dissemination.h"
 
 #include "peridotquay/version/ConfigCompiler.h"
@@ -13,15 +13,15 @@
 
 namespace {
 
-// Most rows of one read of changes; with the largest changes that is 4 MiB.
-constexpr std::uint32_t kChangeRows = 64;
+// Rows in one read of changes or contacts; with the largest changes that is 4 MiB.
+constexpr std::uint32_t kMaxChangeRows = 64;
 
-// Most addresses in a contact row: enough that some of them live after a rack failed.
-constexpr std::size_t kContacts = 4;
+// Addresses in a contact row: enough that some are still alive after a rack failed.
+constexpr std::size_t kMaxContactAddresses = 4;
 
-// A node that knows no other member waits this long before it replaces a contact row, so that it
-// first tries the contacts in it.
-constexpr Duration kAloneBeforeContacts = seconds(3);
+// A node that knows no other member waits this long before it replaces its contact row, so that it
+// first tries the addresses in the row.
+constexpr Duration kContactReplacementDelay = seconds(3);
 
 constexpr std::string_view kContactPrefix = "contacts/";
 
@@ -53,21 +53,21 @@
   return aState.ranking_ != nullptr && OwnPosition(aState) == 0;
 }
 
-void ReportFreshness(Dissemination& aState,
-                     std::optional<TimePoint> aBefore,
-                     DisseminationEffects& aEffects)
+void PublishFreshness(Dissemination& aState,
+                      std::optional<TimePoint> aBefore,
+                      DisseminationEffects& aEffects)
 {
   const auto after = FreshUntil(aState);
   assert(!aBefore || (after && *after >= *aBefore));
   if (after != aBefore) {
-    aEffects.freshness_ = after;
+    aEffects.freshUntil_ = after;
   }
 }
 
-// Takes a proof. One of a version that isn't in force here yet counts once that version is.
-void AddProof(Dissemination& aState, FreshnessProof aProof, DisseminationEffects& aEffects)
+// Applies a proof. If its version isn't in force here yet, it is kept until that version is.
+void ApplyProof(Dissemination& aState, FreshnessProof aProof, DisseminationEffects& aEffects)
 {
-  aState.head_ = std::max(aState.head_, aProof.version_);
+  aState.latestVersion_ = std::max(aState.latestVersion_, aProof.version_);
   if (aState.inForce_ < aProof.version_) {
     if (!aState.pendingProof_ || aState.pendingProof_->time_ < aProof.time_) {
       aState.pendingProof_ = aProof;
@@ -75,34 +75,34 @@
     return;
   }
   const auto before = FreshUntil(aState);
-  if (!aState.proof_ || *aState.proof_ < aProof.time_) {
-    aState.proof_ = aProof.time_;
+  if (!aState.provenUntil_ || *aState.provenUntil_ < aProof.time_) {
+    aState.provenUntil_ = aProof.time_;
   }
-  ReportFreshness(aState, before, aEffects);
+  PublishFreshness(aState, before, aEffects);
 }
 
-void UsePendingProof(Dissemination& aState, DisseminationEffects& aEffects)
+void ApplyPendingProof(Dissemination& aState, DisseminationEffects& aEffects)
 {
   if (aState.pendingProof_ && aState.pendingProof_->version_ <= aState.inForce_) {
     const auto proof = *aState.pendingProof_;
     aState.pendingProof_.reset();
-    AddProof(aState, proof, aEffects);
+    ApplyProof(aState, proof, aEffects);
   }
 }
 
-void KeepRecent(Dissemination& aState, const Change& aChange)
+void RecordRecentChange(Dissemination& aState, const Change& aChange)
 {
   aState.recent_.push_back(aChange);
   aState.recentBytes_ += ChangeBytes(aChange);
-  while (aState.recent_.size() > aState.settings_.recentVersions_ ||
-         (aState.recent_.size() > 1 && aState.recentBytes_ > aState.settings_.recentBytes_)) {
+  while (aState.recent_.size() > aState.settings_.maxRecentVersions_ ||
+         (aState.recent_.size() > 1 && aState.recentBytes_ > aState.settings_.maxRecentBytes_)) {
     aState.recentBytes_ -= ChangeBytes(aState.recent_.front());
     aState.recent_.pop_front();
   }
 }
 
-// Compiles what was applied and puts it in force. A version that can't be compiled is skipped: the
-// one in force stays until a later version compiles.
+// Compiles the applied version and puts it in force. If it can't be compiled, the version in force
+// stays until a later one compiles.
 void PutInForce(Dissemination& aState, DisseminationEffects& aEffects)
 {
   const auto version = aState.version_;
@@ -114,41 +114,41 @@
   const auto& config = compiled.assume_value();
   assert(version > aState.inForce_);
   aState.inForce_ = version;
-  aState.bound_ = config->policy_.keyFreshnessBound_;
+  aState.freshnessBound_ = config->policy_.keyFreshnessBound_;
   aState.sites_.clear();
   for (const auto& [id, site] : config->sites_) {
     aState.sites_.insert(id);
   }
   aEffects.config_ = config;
   aEffects.events_.push_back({ EventKind::kVersionInForce, std::to_string(version) });
-  UsePendingProof(aState, aEffects);
+  ApplyPendingProof(aState, aEffects);
 }
 
-// Applies the changes that follow the present version; false if there is a gap before one of them.
+// Applies the changes that follow version_ without a gap. Returns false at the first gap.
 bool ApplyChanges(Dissemination& aState,
                   const std::vector<Change>& aChanges,
                   DisseminationEffects& aEffects)
 {
   const auto before = aState.version_;
-  bool connected = true;
+  bool contiguous = true;
   for (const auto& change : aChanges) {
-    aState.head_ = std::max(aState.head_, change.version_);
+    aState.latestVersion_ = std::max(aState.latestVersion_, change.version_);
     if (change.version_ <= aState.version_) {
       continue;
     }
     if (change.version_ != aState.version_ + 1) {
-      connected = false;
+      contiguous = false;
       break;
     }
     const auto applied = ApplyChange(aState.entities_, change);
     if (applied.has_error()) {
-      // The change stays part of the stream as an empty one; every node treats it alike.
+      // An invalid change counts as a version without edits, alike at every node.
       aEffects.events_.push_back({ EventKind::kVersionRejected, Describe(applied.assume_error()) });
     } else {
       MarkEntitiesChanged(aState.compiled_, change.edits_);
     }
     aState.version_ = change.version_;
-    KeepRecent(aState, change);
+    RecordRecentChange(aState, change);
     if (IsRoot(aState) && aState.version_ % kSnapshotInterval == 0 &&
         (aState.sites_.empty() || *aState.sites_.begin() == aState.dataCentre_)) {
       aState.snapshotDue_ = aState.version_;
@@ -158,7 +158,7 @@
   if (aState.version_ > before) {
     PutInForce(aState, aEffects);
   }
-  return connected;
+  return contiguous;
 }
 
 void ApplySnapshot(Dissemination& aState,
@@ -166,7 +166,7 @@
                    Entities aEntities,
                    DisseminationEffects& aEffects)
 {
-  aState.head_ = std::max(aState.head_, aVersion);
+  aState.latestVersion_ = std::max(aState.latestVersion_, aVersion);
   if (aVersion <= aState.version_) {
     return;
   }
@@ -191,17 +191,17 @@
   ApplySnapshot(aState, aChange.version_, std::move(entities), aEffects);
 }
 
-// Sends changes to the children of this node in the push tree of the last of them.
+// Sends changes to the children of this node in the push tree of the last version among them.
 void PushToChildren(Dissemination& aState,
                     const std::vector<Change>& aChanges,
                     DisseminationEffects& aEffects)
 {
   if (aChanges.empty() || aState.ranking_ == nullptr ||
-      aChanges.back().version_ <= aState.pushed_) {
+      aChanges.back().version_ <= aState.pushedVersion_) {
     return;
   }
-  aState.pushed_ = aChanges.back().version_;
-  const auto order = PushOrder(*aState.ranking_, aState.pushed_, aState.settings_.arity_);
+  aState.pushedVersion_ = aChanges.back().version_;
+  const auto order = PushOrder(*aState.ranking_, aState.pushedVersion_, aState.settings_.arity_);
   const auto self = std::find_if(order.begin(), order.end(), [&](const auto& aMember) {
     return aMember.host_ == aState.ranking_->self_;
   });
@@ -215,8 +215,8 @@
   }
 }
 
-// Changes after a version that fit into one message; the last one alone if none else fits.
-std::vector<Change> RecentAfter(const Dissemination& aState, Version aVersion)
+// Recent changes after a version that fit into one message, at least one if there is any.
+std::vector<Change> RecentChangesAfter(const Dissemination& aState, Version aVersion)
 {
   std::vector<Change> changes;
   std::size_t bytes = 0;
@@ -225,7 +225,7 @@
       continue;
     }
     bytes += ChangeBytes(change);
-    if (!changes.empty() && bytes > aState.settings_.replyBytes_) {
+    if (!changes.empty() && bytes > aState.settings_.maxReplyBytes_) {
       break;
     }
     changes.push_back(change);
@@ -233,15 +233,17 @@
   return changes;
 }
 
-// Starts the push of what the root has and hasn't pushed, or hands it to the root.
+// Pushes the changes that weren't pushed yet, at the root. Another node that read them from the
+// platform sends them to the root.
 void StartPush(Dissemination& aState, bool aFromPlatform, DisseminationEffects& aEffects)
 {
-  if (aState.ranking_ == nullptr || aState.version_ <= aState.pushed_ || aState.recent_.empty()) {
+  if (aState.ranking_ == nullptr || aState.version_ <= aState.pushedVersion_ ||
+      aState.recent_.empty()) {
     return;
   }
-  auto changes = RecentAfter(aState, aState.pushed_);
+  auto changes = RecentChangesAfter(aState, aState.pushedVersion_);
   if (changes.empty() || changes.back().version_ != aState.version_) {
-    // Too much for one message: the last change tells the children to sync for the rest.
+    // Too much for one message: the last change shows the children a gap, and they sync.
     changes = { aState.recent_.back() };
   }
   if (IsRoot(aState)) {
@@ -252,16 +254,16 @@
   }
 }
 
-// Ceiling, so that rounding can only make the proof look older.
+// Rounds up, so that a proof never seems more recent than it is.
 std::uint64_t AgeMs(const std::optional<TimePoint>& aTime, TimePoint aNow)
 {
   if (!aTime) {
-    return kNoProof;
+    return kUnknownAgeMs;
   }
   return static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *aTime).count());
 }
 
-// A whole configuration as one change, or none if it doesn't fit into a frame.
+// The whole configuration as one change; empty if that doesn't fit into a frame.
 std::vector<Change> SnapshotChange(const Dissemination& aState)
 {
   Change change;
@@ -270,7 +272,7 @@
   for (const auto& [name, json] : aState.entities_) {
     change.edits_.push_back({ name, json });
   }
-  if (ChangeBytes(change) > aState.settings_.snapshotBytes_) {
+  if (ChangeBytes(change) > aState.settings_.maxSnapshotBytes_) {
     return {};
   }
   return { std::move(change) };
@@ -287,17 +289,19 @@
   return &members[1 - position];
 }
 
-// Since when this data centre surely doesn't reach the platform: both delegates' last polls failed.
-// A delegate that is silent might reach it, so it must have said that it doesn't.
+// Evidence that this data centre doesn't reach the platform: the last polls of both delegates
+// failed. A delegate that sent nothing may still reach the platform, so its own report is required.
 std::optional<OutageEvidence> OwnOutage(const Dissemination& aState, TimePoint aNow)
 {
-  if (!IsDelegate(aState) || !aState.pollFailed_ || aState.pendingProof_ || aState.inForce_ == 0) {
+  if (!IsDelegate(aState) || !aState.failedPollStartedAt_ || aState.pendingProof_ ||
+      aState.inForce_ == 0) {
     return std::nullopt;
   }
-  OutageEvidence evidence{ aState.inForce_, *aState.pollFailed_ };
+  OutageEvidence evidence{ aState.inForce_, *aState.failedPollStartedAt_ };
   if (OtherDelegate(aState) != nullptr) {
-    const auto& other = aState.otherDelegate_;
-    if (!other || aNow - other->time_ >= aState.bound_ || other->version_ > aState.inForce_) {
+    const auto& other = aState.otherDelegateOutage_;
+    if (!other || aNow - other->time_ >= aState.freshnessBound_ ||
+        other->version_ > aState.inForce_) {
       return std::nullopt;
     }
     evidence.time_ = std::min(evidence.time_, other->time_);
@@ -314,28 +318,28 @@
 {
   const bool own = aSender.dataCentre_ == aState.dataCentre_;
   if (own && aRequest.subtreeNodes_ > 0) {
-    aState.reports_[aSender.host_] = {
-      aRequest.subtreeLeast_, aRequest.subtreeNodes_, aRequest.lagging_, aNow
+    aState.subtreeReports_[aSender.host_] = {
+      aRequest.minSubtreeVersion_, aRequest.subtreeNodes_, aRequest.lagging_, aNow
     };
   }
   SyncReply reply;
   reply.nonce_ = aRequest.nonce_;
   reply.version_ = aState.inForce_;
-  // Another data centre gets only what the platform proved. Passing extensions on would hide from
-  // it that the platform isn't reached here.
-  reply.ageMs_ = AgeMs(own ? FreshUntil(aState) : aState.proof_, aNow);
+  // Extensions aren't reported to other data centres, because they would hide that this one doesn't
+  // reach the platform.
+  reply.ageMs_ = AgeMs(own ? FreshUntil(aState) : aState.provenUntil_, aNow);
   if (!own) {
     if (const auto outage = OwnOutage(aState, aNow)) {
       reply.outageAgeMs_ = AgeMs(outage->time_, aNow);
     }
-  } else if (aState.pollFailed_ && !aState.pendingProof_) {
-    reply.outageAgeMs_ = AgeMs(aState.pollFailed_, aNow);
+  } else if (aState.failedPollStartedAt_ && !aState.pendingProof_) {
+    reply.outageAgeMs_ = AgeMs(aState.failedPollStartedAt_, aNow);
   }
   if (aRequest.version_ < aState.version_) {
     const bool covered =
       !aState.recent_.empty() && aState.recent_.front().version_ <= aRequest.version_ + 1;
     if (covered) {
-      reply.changes_ = RecentAfter(aState, aRequest.version_);
+      reply.changes_ = RecentChangesAfter(aState, aRequest.version_);
     } else {
       reply.changes_ = SnapshotChange(aState);
       reply.snapshot_ = true;
@@ -344,7 +348,7 @@
   aEffects.messages_.push_back({ aFrom, std::move(reply), false });
 }
 
-// Data centres whose evidence is needed for an extension: all but this one.
+// Data centres whose outage evidence an extension requires: all but this one.
 std::set<DataCentreId> OtherCentres(const Dissemination& aState)
 {
   auto centres = aState.sites_;
@@ -357,8 +361,9 @@
   return centres;
 }
 
-// Extends freshness if this and every other data centre showed lately that they don't reach the
-// platform. Without another data centre there is no such evidence and no extension.
+// Extends freshness to the oldest outage evidence if this and every other data centre recently
+// failed to reach the platform. Without another data centre there is no such evidence and no
+// extension.
 void ExtendFreshness(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
   const auto others = OtherCentres(aState);
@@ -368,26 +373,27 @@
   }
   TimePoint oldest = outage->time_;
   for (const auto& id : others) {
-    const auto found = aState.evidence_.find(id);
-    if (found == aState.evidence_.end() || aNow - found->second.time_ >= aState.bound_ ||
+    const auto found = aState.centreOutages_.find(id);
+    if (found == aState.centreOutages_.end() ||
+        aNow - found->second.time_ >= aState.freshnessBound_ ||
         found->second.version_ > aState.inForce_) {
       return;
     }
     oldest = std::min(oldest, found->second.time_);
   }
   const auto before = FreshUntil(aState);
-  if (!aState.extension_ || *aState.extension_ < oldest) {
-    aState.extension_ = oldest;
+  if (!aState.extendedUntil_ || *aState.extendedUntil_ < oldest) {
+    aState.extendedUntil_ = oldest;
   }
-  ReportFreshness(aState, before, aEffects);
+  PublishFreshness(aState, before, aEffects);
 }
 
-// The time that an age in a reply stands for: counted from before the question was sent, so that
-// transit and pauses can only make it earlier.
+// Converts an age in a reply to a time of the local clock. The age is counted back from when the
+// request was sent, so that transit and pauses can only make the time earlier.
 std::optional<TimePoint> ProvenTime(TimePoint aSent, std::uint64_t aAgeMs)
 {
   const auto since = std::chrono::duration_cast<milliseconds>(aSent.time_since_epoch());
-  if (aAgeMs == kNoProof || aAgeMs > static_cast<std::uint64_t>(since.count())) {
+  if (aAgeMs == kUnknownAgeMs || aAgeMs > static_cast<std::uint64_t>(since.count())) {
     return std::nullopt;
   }
   return aSent - milliseconds(aAgeMs);
@@ -406,35 +412,35 @@
   aState.sentSyncs_.erase(found);
   const bool own = sent.dataCentre_ == aState.dataCentre_;
   if (own) {
-    aState.parentHeard_ = aNow;
+    aState.lastParentReplyAt_ = aNow;
   }
   if (aReply.snapshot_ && !aReply.changes_.empty()) {
     ApplySnapshotChange(aState, aReply.changes_.front(), aEffects);
   } else if (aReply.snapshot_) {
-    aState.fetch_ = true;
-    aState.nextPoll_ = aNow;
+    aState.fetchNeeded_ = true;
+    aState.nextPollAt_ = aNow;
   } else {
     ApplyChanges(aState, aReply.changes_, aEffects);
-    // More is to come: the rest didn't fit into the reply.
+    // The reply didn't hold all changes: request the rest now.
     if (!aReply.changes_.empty() && aState.version_ < aReply.version_) {
-      aState.nextSync_ = aNow;
+      aState.nextSyncAt_ = aNow;
     }
   }
-  if (const auto time = ProvenTime(sent.sent_, aReply.ageMs_)) {
-    AddProof(aState, { aReply.version_, *time }, aEffects);
+  if (const auto time = ProvenTime(sent.sentAt_, aReply.ageMs_)) {
+    ApplyProof(aState, { aReply.version_, *time }, aEffects);
   }
-  const auto outage = ProvenTime(sent.sent_, aReply.outageAgeMs_);
+  const auto outage = ProvenTime(sent.sentAt_, aReply.outageAgeMs_);
   const auto* other = OtherDelegate(aState);
   if (other != nullptr && other->host_ == sent.host_) {
-    aState.otherDelegate_.reset();
+    aState.otherDelegateOutage_.reset();
     if (outage) {
-      aState.otherDelegate_ = OutageEvidence{ aReply.version_, *outage };
+      aState.otherDelegateOutage_ = OutageEvidence{ aReply.version_, *outage };
     }
   }
   if (!own) {
-    aState.evidence_.erase(sent.dataCentre_);
+    aState.centreOutages_.erase(sent.dataCentre_);
     if (outage) {
-      aState.evidence_[sent.dataCentre_] = { aReply.version_, *outage };
+      aState.centreOutages_[sent.dataCentre_] = { aReply.version_, *outage };
     }
   }
   ExtendFreshness(aState, aNow, aEffects);
@@ -446,10 +452,10 @@
                 TimePoint aNow,
                 DisseminationEffects& aEffects)
 {
-  const bool connected = ApplyChanges(aState, aPush.changes_, aEffects);
+  const bool contiguous = ApplyChanges(aState, aPush.changes_, aEffects);
   PushToChildren(aState, aPush.changes_, aEffects);
-  if (!connected) {
-    aState.nextSync_ = aNow;
+  if (!contiguous) {
+    aState.nextSyncAt_ = aNow;
   }
 }
 
@@ -464,11 +470,12 @@
   aState.sentSyncs_[nonce] = { aDataCentre, aTo.host_, aNow };
   aEffects.messages_.push_back(
     { aTo.address_,
-      SyncRequest{ nonce, aState.version_, aReport.least_, aReport.nodes_, aReport.lagging_ },
+      SyncRequest{ nonce, aState.version_, aReport.minVersion_, aReport.nodes_, aReport.lagging_ },
       false });
 }
 
-// Parent in the unrotated tree. The root syncs with the second delegate.
+// The member to sync with: the parent in the tree without rotation, the second delegate for the
+// root and for nodes whose parent is silent.
 const RankedMember* FindParent(const Dissemination& aState, TimePoint aNow)
 {
   const auto& members = aState.ranking_->members_;
@@ -480,24 +487,25 @@
     return &members[1];
   }
   const auto parent = (position - 1) / aState.settings_.arity_;
-  const bool silent = aNow - aState.parentHeard_ > aState.settings_.replyTimeout_;
+  const bool silent = aNow - aState.lastParentReplyAt_ > aState.settings_.replyTimeout_;
   if (silent && position > 1 && parent != 1) {
     return &members[1];
   }
   return &members[parent];
 }
 
-// Sync with other data centres at delegates that have no proof of their own.
-void SyncAcross(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
+// Syncs with other data centres if this node is a delegate without a recent proof.
+void SyncWithOtherCentres(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
-  const bool proven =
-    aState.proof_ && aNow - *aState.proof_ < aState.settings_.staleAge_ && !aState.pendingProof_;
+  const bool proven = aState.provenUntil_ &&
+                      aNow - *aState.provenUntil_ < aState.settings_.maxProofAge_ &&
+                      !aState.pendingProof_;
   if (proven || !IsDelegate(aState)) {
     return;
   }
   for (const auto& [id, delegates] : aState.ranking_->delegates_) {
     if (!delegates.empty()) {
-      const auto& peer = delegates[(aState.syncs_ + OwnPosition(aState)) % delegates.size()];
+      const auto& peer = delegates[(aState.syncCount_ + OwnPosition(aState)) % delegates.size()];
       SendSync(aState, peer, id, {}, aNow, aEffects);
     }
   }
@@ -505,27 +513,27 @@
 
 void Sync(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
-  if (aNow < aState.nextSync_ || aState.ranking_ == nullptr) {
+  if (aNow < aState.nextSyncAt_ || aState.ranking_ == nullptr) {
     return;
   }
-  aState.nextSync_ = aNow + aState.settings_.syncInterval_;
-  ++aState.syncs_;
+  aState.nextSyncAt_ = aNow + aState.settings_.syncInterval_;
+  ++aState.syncCount_;
   std::erase_if(aState.sentSyncs_, [&](const auto& aSent) {
-    return aNow - aSent.second.sent_ > aState.settings_.replyTimeout_;
+    return aNow - aSent.second.sentAt_ > aState.settings_.replyTimeout_;
   });
   if (const auto* parent = FindParent(aState, aNow)) {
     if (parent->host_ != aState.parent_) {
       aState.parent_ = parent->host_;
-      aState.parentHeard_ = aNow;
+      aState.lastParentReplyAt_ = aNow;
     }
-    // The root reports to no one; its sync with the second delegate must not be counted there.
+    // The root sends no report, because the second delegate would count it as a child.
     const auto report = IsRoot(aState) ? SubtreeReport{} : AggregateReports(aState, aNow);
     SendSync(aState, *parent, aState.dataCentre_, report, aNow, aEffects);
   }
-  SyncAcross(aState, aNow, aEffects);
+  SyncWithOtherCentres(aState, aNow, aEffects);
 }
 
-std::string OperationId(Dissemination& aState)
+std::string NewOperationId(Dissemination& aState)
 {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string id;
@@ -549,49 +557,52 @@
   aEffects.call_ = std::move(aCall);
 }
 
-// An unconditional write: the row is a report of its only regular writer, nothing relies on it.
-TransactCall WriteRow(Dissemination& aState, std::string aKey, std::string aValue)
+// A write without conditions: each row has one regular writer, and no decision depends on its old
+// content.
+TransactCall MakeRowWrite(Dissemination& aState, std::string aKey, std::string aValue)
 {
   TransactCall call;
-  call.transaction_.operationId_ = OperationId(aState);
+  call.transaction_.operationId_ = NewOperationId(aState);
   call.transaction_.writes_.push_back({ std::move(aKey), std::move(aValue) });
   return call;
 }
 
 void StartFetch(Dissemination& aState, DisseminationEffects& aEffects)
 {
-  const auto floor = aState.head_ - aState.head_ % kSnapshotInterval;
-  const bool far = aState.head_ - aState.version_ > kSnapshotInterval && floor > aState.version_;
-  if (far && !aState.snapshotTried_) {
+  const auto snapshotVersion = aState.latestVersion_ - aState.latestVersion_ % kSnapshotInterval;
+  const bool useSnapshot = aState.latestVersion_ - aState.version_ > kSnapshotInterval &&
+                           snapshotVersion > aState.version_;
+  if (useSnapshot && !aState.snapshotTried_) {
     aState.snapshotTried_ = true;
-    StartCall(aState, VersionCallKind::kSnapshot, GetObjectCall{ SnapshotName(floor) }, aEffects);
+    StartCall(
+      aState, VersionCallKind::kSnapshot, GetObjectCall{ SnapshotName(snapshotVersion) }, aEffects);
   } else {
-    ReadRangeCall call{ "config/change/", ChangeRowKey(aState.version_), kChangeRows };
+    ReadRangeCall call{ "config/change/", ChangeRowKey(aState.version_), kMaxChangeRows };
     StartCall(aState, VersionCallKind::kChanges, std::move(call), aEffects);
   }
 }
 
 void Poll(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
-  const bool due = aNow >= aState.nextPoll_ && (IsDelegate(aState) || aState.fetch_);
+  const bool due = aNow >= aState.nextPollAt_ && (IsDelegate(aState) || aState.fetchNeeded_);
   if (!due || aState.call_) {
     return;
   }
-  aState.nextPoll_ = aNow + aState.settings_.pollInterval_;
+  aState.nextPollAt_ = aNow + aState.settings_.pollInterval_;
   StartCall(aState, VersionCallKind::kHead, ReadRowCall{ std::string(kHeadRowKey) }, aEffects);
 }
 
-// The watermark with what it covers; empty while a living member hasn't reported.
+// Builds the watermark; empty while the report of an alive or suspected member is missing.
 std::optional<Watermark> MakeWatermark(Dissemination& aState, TimePoint aNow)
 {
   const auto report = AggregateReports(aState, aNow);
   if (report.nodes_ < aState.ranking_->members_.size()) {
     return std::nullopt;
   }
-  aState.watermark_ = report.least_;
+  aState.watermark_ = report.minVersion_;
   Watermark watermark;
   watermark.dataCentre_ = aState.dataCentre_;
-  watermark.version_ = report.least_;
+  watermark.version_ = report.minVersion_;
   watermark.nodes_ = report.nodes_;
   for (const auto& host : report.lagging_) {
     watermark.lagging_.push_back(host.value_);
@@ -607,11 +618,11 @@
                     std::uint64_t aWallMs,
                     DisseminationEffects& aEffects)
 {
-  if (aNow < aState.nextWatermark_ || aState.call_ || !aState.platformReachable_ ||
+  if (aNow < aState.nextWatermarkAt_ || aState.call_ || !aState.platformReachable_ ||
       !IsRoot(aState)) {
     return;
   }
-  aState.nextWatermark_ = aNow + aState.settings_.watermarkInterval_;
+  aState.nextWatermarkAt_ = aNow + aState.settings_.watermarkInterval_;
   auto watermark = MakeWatermark(aState, aNow);
   if (!watermark) {
     return;
@@ -622,7 +633,8 @@
   }
   aState.writtenWatermark_ = std::move(content);
   watermark->writtenMs_ = aWallMs;
-  auto call = WriteRow(aState, WatermarkRowKey(aState.dataCentre_), EncodeWatermark(*watermark));
+  auto call =
+    MakeRowWrite(aState, WatermarkRowKey(aState.dataCentre_), EncodeWatermark(*watermark));
   StartCall(aState, VersionCallKind::kWatermark, std::move(call), aEffects);
 }
 
@@ -630,7 +642,7 @@
 {
   Json addresses = Json::array();
   for (const auto& member : aState.ranking_->members_) {
-    if (addresses.size() < kContacts) {
+    if (addresses.size() < kMaxContactAddresses) {
       addresses.push_back(member.address_.ip_ + ":" + std::to_string(member.address_.port_));
     }
   }
@@ -683,28 +695,28 @@
     return;
   }
   const bool alone = aState.ranking_->members_.size() < 2;
-  if (aNow >= aState.nextContactRead_) {
-    aState.nextContactRead_ =
-      aNow + (alone ? aState.settings_.aloneInterval_ : aState.settings_.contactInterval_);
+  if (aNow >= aState.nextContactReadAt_) {
+    aState.nextContactReadAt_ =
+      aNow + (alone ? aState.settings_.contactIntervalAlone_ : aState.settings_.contactInterval_);
     StartCall(aState,
               VersionCallKind::kReadContacts,
-              ReadRangeCall{ std::string(kContactPrefix), {}, kChangeRows },
+              ReadRangeCall{ std::string(kContactPrefix), {}, kMaxChangeRows },
               aEffects);
     return;
   }
-  const bool mayWrite = !alone || aNow - aState.aloneSince_ >= kAloneBeforeContacts;
-  if (!IsRoot(aState) || !mayWrite || aNow < aState.nextContactWrite_) {
+  const bool mayWrite = !alone || aNow - aState.aloneSince_ >= kContactReplacementDelay;
+  if (!IsRoot(aState) || !mayWrite || aNow < aState.nextContactWriteAt_) {
     return;
   }
   auto content = EncodeContacts(aState, 0);
   if (content == aState.writtenContacts_) {
     return;
   }
-  aState.nextContactWrite_ = aNow + aState.settings_.contactInterval_;
+  aState.nextContactWriteAt_ = aNow + aState.settings_.contactInterval_;
   aState.writtenContacts_ = std::move(content);
-  auto call = WriteRow(aState,
-                       std::string(kContactPrefix) + aState.dataCentre_.value_,
-                       EncodeContacts(aState, aWallMs));
+  auto call = MakeRowWrite(aState,
+                           std::string(kContactPrefix) + aState.dataCentre_.value_,
+                           EncodeContacts(aState, aWallMs));
   StartCall(aState, VersionCallKind::kWriteContacts, std::move(call), aEffects);
 }
 
@@ -717,20 +729,20 @@
   StartCall(aState, VersionCallKind::kPutSnapshot, std::move(call), aEffects);
 }
 
-void CheckFreshness(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
+void LogFreshnessChange(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
   const auto until = FreshUntil(aState);
-  const bool fresh = until && aNow - *until < aState.bound_;
-  if (fresh != aState.fresh_) {
-    aState.fresh_ = fresh;
+  const bool fresh = until && aNow - *until < aState.freshnessBound_;
+  if (fresh != aState.loggedFresh_) {
+    aState.loggedFresh_ = fresh;
     aEffects.events_.push_back(
       { fresh ? EventKind::kFreshnessRegained : EventKind::kFreshnessLost, {} });
   }
 }
 
-void NotePlatform(Dissemination& aState,
-                  const PlatformAnswer& aAnswer,
-                  DisseminationEffects& aEffects)
+void RecordPlatformState(Dissemination& aState,
+                         const PlatformAnswer& aAnswer,
+                         DisseminationEffects& aEffects)
 {
   const bool reachable =
     !aAnswer.error_ || (aAnswer.error_->code_ != ErrorCode::kPlatformUnavailable &&
@@ -747,11 +759,11 @@
                 const PlatformAnswer& aAnswer,
                 DisseminationEffects& aEffects)
 {
-  aState.pollFailed_.reset();
+  aState.failedPollStartedAt_.reset();
   if (aAnswer.error_) {
     const auto code = aAnswer.error_->code_;
     if (code == ErrorCode::kPlatformUnavailable || code == ErrorCode::kPlatformUnknown) {
-      aState.pollFailed_ = aAnswer.startedAt_;
+      aState.failedPollStartedAt_ = aAnswer.startedAt_;
     }
     return;
   }
@@ -764,11 +776,11 @@
     }
     head = decoded.assume_value();
   }
-  AddProof(aState, { head, aAnswer.startedAt_ }, aEffects);
+  ApplyProof(aState, { head, aAnswer.startedAt_ }, aEffects);
   if (aState.version_ < head) {
     StartFetch(aState, aEffects);
   } else {
-    aState.fetch_ = false;
+    aState.fetchNeeded_ = false;
     aState.snapshotTried_ = false;
   }
 }
@@ -792,8 +804,8 @@
   const auto before = aState.version_;
   ApplyChanges(aState, changes, aEffects);
   StartPush(aState, true, aEffects);
-  if (aState.version_ >= aState.head_) {
-    aState.fetch_ = false;
+  if (aState.version_ >= aState.latestVersion_) {
+    aState.fetchNeeded_ = false;
     aState.snapshotTried_ = false;
   } else if (aState.version_ > before) {
     StartFetch(aState, aEffects);
@@ -820,7 +832,7 @@
                     aEffects);
     }
   }
-  if (aState.version_ < aState.head_) {
+  if (aState.version_ < aState.latestVersion_) {
     StartFetch(aState, aEffects);
   }
 }
@@ -840,12 +852,12 @@
     return Duration(static_cast<Duration::rep>(NextRandom(state.random_) %
                                                static_cast<std::uint64_t>(aInterval.count())));
   };
-  // Random, so that a late reply to an earlier process of this host matches no request of this one.
+  // Random, so that a late reply to an earlier process on this host matches no request of this one.
   state.nextNonce_ = NextRandom(state.random_);
-  // Spread over the interval, which also staggers the polls of the two delegates.
-  state.nextPoll_ = aNow + jitter(aSettings.pollInterval_);
-  state.nextSync_ = aNow + jitter(aSettings.syncInterval_) / 2;
-  state.parentHeard_ = aNow;
+  // Random first times stagger the nodes, also the polls of the two delegates.
+  state.nextPollAt_ = aNow + jitter(aSettings.pollInterval_);
+  state.nextSyncAt_ = aNow + jitter(aSettings.syncInterval_) / 2;
+  state.lastParentReplyAt_ = aNow;
   state.aloneSince_ = aNow;
   return state;
 }
@@ -857,8 +869,8 @@
   const bool wasAlone = aState.ranking_ == nullptr || aState.ranking_->members_.size() < 2;
   aState.ranking_ = std::move(aRanking);
   if (wasAlone && aState.ranking_->members_.size() > 1) {
-    // The first members became known: learn the configuration now.
-    aState.nextSync_ = aNow;
+    // The first other members are known now: request the configuration from them.
+    aState.nextSyncAt_ = aNow;
   }
   if (!wasAlone && aState.ranking_->members_.size() < 2) {
     aState.aloneSince_ = aNow;
@@ -873,15 +885,15 @@
   if (aState.ranking_ == nullptr) {
     return;
   }
-  std::erase_if(aState.reports_, [&](const auto& aReport) {
-    return aNow - aReport.second.received_ > aState.settings_.reportLifetime_;
+  std::erase_if(aState.subtreeReports_, [&](const auto& aReport) {
+    return aNow - aReport.second.receivedAt_ > aState.settings_.reportLifetime_;
   });
   Sync(aState, aNow, aEffects);
   Poll(aState, aNow, aEffects);
   WriteSnapshot(aState, aEffects);
   WriteWatermark(aState, aNow, aWallMs, aEffects);
   ExchangeContacts(aState, aNow, aWallMs, aEffects);
-  CheckFreshness(aState, aNow, aEffects);
+  LogFreshnessChange(aState, aNow, aEffects);
 }
 
 void HandleVersionMessage(Dissemination& aState,
@@ -897,24 +909,24 @@
     HandleSyncReply(aState, *reply, aNow, aEffects);
   } else if (const auto* push = std::get_if<VersionPush>(&aMessage)) {
     HandlePush(aState, *push, aNow, aEffects);
-  } else if (const auto* summary = std::get_if<Summary>(&aMessage)) {
+  } else if (const auto* summary = std::get_if<DataCentreSummary>(&aMessage)) {
     if (summary->platformReachable_) {
-      aState.evidence_.erase(summary->dataCentre_);
+      aState.centreOutages_.erase(summary->dataCentre_);
     }
   }
 }
 
-void HandleVersionAnswer(Dissemination& aState,
-                         const PlatformAnswer& aAnswer,
-                         TimePoint aNow,
-                         DisseminationEffects& aEffects)
+void HandlePlatformAnswer(Dissemination& aState,
+                          const PlatformAnswer& aAnswer,
+                          TimePoint aNow,
+                          DisseminationEffects& aEffects)
 {
   if (!aState.call_) {
     return;
   }
   const auto kind = *aState.call_;
   aState.call_.reset();
-  NotePlatform(aState, aAnswer, aEffects);
+  RecordPlatformState(aState, aAnswer, aEffects);
   switch (kind) {
     case VersionCallKind::kHead:
       HandleHead(aState, aAnswer, aEffects);
@@ -931,7 +943,7 @@
       }
       break;
     case VersionCallKind::kWatermark:
-      // After a failure or a lost answer the row is written again, whatever it holds.
+      // After a failure or a lost answer the row is written again even with the same content.
       if (aAnswer.error_) {
         aState.writtenWatermark_.clear();
       }
@@ -948,27 +960,27 @@
       }
       break;
   }
-  CheckFreshness(aState, aNow, aEffects);
+  LogFreshnessChange(aState, aNow, aEffects);
 }
 
-void FillSummary(const Dissemination& aState, Summary& aSummary, TimePoint aNow)
+void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow)
 {
   aSummary.version_ = aState.inForce_;
-  aSummary.ageMs_ = AgeMs(aState.proof_, aNow);
+  aSummary.ageMs_ = AgeMs(aState.provenUntil_, aNow);
   aSummary.platformReachable_ = aState.platformReachable_;
 }
 
 std::optional<TimePoint> FreshUntil(const Dissemination& aState)
 {
-  if (!aState.proof_ || !aState.extension_) {
-    return aState.proof_ ? aState.proof_ : aState.extension_;
+  if (!aState.provenUntil_ || !aState.extendedUntil_) {
+    return aState.provenUntil_ ? aState.provenUntil_ : aState.extendedUntil_;
   }
-  return std::max(*aState.proof_, *aState.extension_);
+  return std::max(*aState.provenUntil_, *aState.extendedUntil_);
 }
 
 bool IsDelegate(const Dissemination& aState)
 {
-  return aState.ranking_ != nullptr && OwnPosition(aState) < aState.settings_.delegates_;
+  return aState.ranking_ != nullptr && OwnPosition(aState) < aState.settings_.delegateCount_;
 }
 
 std::vector<RankedMember> PushOrder(const MemberRanking& aRanking,
@@ -977,7 +989,7 @@
 {
   auto order = aRanking.members_;
   if (order.size() > 2) {
-    // One turn moves the inner nodes of one version to the leaves of the next.
+    // Rotating by the number of inner nodes makes those of one version leaves of the next.
     const auto others = order.size() - 1;
     const auto inner = (others + aArity - 1) / aArity;
     const auto offset = static_cast<std::ptrdiff_t>(aVersion * inner % others);
@@ -998,18 +1010,20 @@
 SubtreeReport AggregateReports(const Dissemination& aState, TimePoint aNow)
 {
   SubtreeReport total;
-  total.received_ = aNow;
+  total.receivedAt_ = aNow;
   total.nodes_ = 1;
-  total.least_ = aState.inForce_;
-  for (const auto& [host, report] : aState.reports_) {
+  total.minVersion_ = aState.inForce_;
+  for (const auto& [host, report] : aState.subtreeReports_) {
     total.nodes_ += report.nodes_;
-    if (report.least_ != 0 && (total.least_ == 0 || report.least_ < total.least_)) {
-      total.least_ = report.least_;
+    if (report.minVersion_ != 0 &&
+        (total.minVersion_ == 0 || report.minVersion_ < total.minVersion_)) {
+      total.minVersion_ = report.minVersion_;
     }
   }
-  // Hosts are named only where they hold back a subtree below a node that is further.
-  for (const auto& [host, report] : aState.reports_) {
-    if (report.least_ == 0 || report.least_ != total.least_ || report.least_ >= aState.inForce_) {
+  // A node names the hosts below it that are at the minimum, if its own version is higher.
+  for (const auto& [host, report] : aState.subtreeReports_) {
+    if (report.minVersion_ == 0 || report.minVersion_ != total.minVersion_ ||
+        report.minVersion_ >= aState.inForce_) {
       continue;
     }
     auto named = report.lagging_;
@@ -1017,7 +1031,7 @@
       named.push_back(host);
     }
     for (const auto& lagging : named) {
-      if (total.lagging_.size() < aState.settings_.lagging_) {
+      if (total.lagging_.size() < aState.settings_.maxLaggingHosts_) {
         total.lagging_.push_back(lagging);
       }
     }
--- a/peridotquay/version/Membership.cpp
+++ b/peridotquay/version/Membership.cpp
@@ -1,5 +1,5 @@
-// SWIM with incarnations, suspicion, indirect probes and refutation, and summaries between data
-// centres.
+// SWIM failure detection with incarnations, suspicion, indirect probes and refutation, anti-entropy
+// within a data centre and summaries between data centres.
 #include "peridotquay/version/Membership.h"
 
 #include "peridotquay/version/MembershipRank.h"
@@ -12,18 +12,18 @@
 
 namespace {
 
-// A step that comes this late means that the process was paused; the silence of others then proves
-// nothing.
-constexpr Duration kPauseGap = milliseconds(700);
+// Steps this far apart mean that the process was paused. Missing messages then say nothing about
+// the other members.
+constexpr Duration kMinPauseGap = milliseconds(700);
 
-// A delegate that heard from a data centre this lately contradicts that it is unreachable.
-constexpr Duration kHeardLately = seconds(2);
+// A delegate contradicts that a data centre is unreachable if its last summary is more recent.
+constexpr Duration kRecentSummaryAge = seconds(2);
 
-// A delegate whose statement was contradicted trusts the other delegate for this long, so that a
-// partial cut doesn't make the data centre flap.
+// A delegate that was contradicted declares the data centre unreachable only after this time, so
+// that a partial network partition doesn't make its state flap.
 constexpr Duration kContradictionHold = seconds(30);
 
-// Relayed probes are forgotten after this; the asker has given up by then.
+// Relayed probes are removed after this time. The requester has stopped waiting by then.
 constexpr Duration kRelayLifetime = seconds(2);
 
 bool IsLiving(MemberState aState)
@@ -31,12 +31,13 @@
   return aState == MemberState::kAlive || aState == MemberState::kSuspect;
 }
 
-bool IsOwn(const Membership& aState, const MemberEntry& aEntry)
+bool IsOwnCentre(const Membership& aState, const MemberEntry& aEntry)
 {
   return aEntry.dataCentre_ == aState.self_.dataCentre_;
 }
 
-// Order of statements with the same incarnation: the later one in life wins.
+// Order of statements with the same incarnation: the later state of a member's life replaces the
+// earlier one.
 int Precedence(MemberState aState)
 {
   switch (aState) {
@@ -54,8 +55,8 @@
   return 0;
 }
 
-// News is sent to this many members by each node. Twice the logarithm reached all of 64 members in
-// every test run with a tenth of the messages lost; whole tables cover the rest.
+// Number of datagrams in which each node repeats an update. Twice the logarithm of the members
+// reaches all of 64 members with a tenth of the messages lost; anti-entropy covers the rest.
 std::uint32_t SendLimit(const Membership& aState)
 {
   const auto members = static_cast<double>(aState.members_.size() + 2);
@@ -70,11 +71,11 @@
   aState.sendsLeft_[aHost] = SendLimit(aState);
 }
 
-// Tells other data centres of a change of an own member with the next summaries. Only delegates
-// send summaries, so only they keep the queue.
-void QueueForCentres(Membership& aState, const HostId& aHost)
+// Queues a changed member of the own data centre for the next summaries. Only delegates send
+// summaries, so only they keep the queues.
+void QueueForSummaries(Membership& aState, const HostId& aHost)
 {
-  if (!aState.delegate_) {
+  if (!aState.isDelegate_) {
     return;
   }
   for (auto& [id, centre] : aState.centres_) {
@@ -87,18 +88,18 @@
 void QueueAllMembers(Membership& aState, RemoteCentre& aCentre)
 {
   for (const auto& [host, member] : aState.members_) {
-    if (IsOwn(aState, member.entry_) && aCentre.pendingSet_.insert(host).second) {
+    if (IsOwnCentre(aState, member.entry_) && aCentre.pendingSet_.insert(host).second) {
       aCentre.pending_.push_back(host);
     }
   }
 }
 
-void NoteChange(Membership& aState, const MemberEntry& aEntry)
+void RecordChange(Membership& aState, const MemberEntry& aEntry)
 {
   ++aState.revision_;
   QueueUpdate(aState, aEntry.host_);
-  if (IsOwn(aState, aEntry)) {
-    QueueForCentres(aState, aEntry.host_);
+  if (IsOwnCentre(aState, aEntry)) {
+    QueueForSummaries(aState, aEntry.host_);
   }
 }
 
@@ -107,37 +108,39 @@
   MemberEntry entry;
   entry.host_.value_ = std::string(kWholeDataCentre);
   entry.dataCentre_ = aId;
-  entry.incarnation_ = aCentre.statement_;
+  entry.incarnation_ = aCentre.statementNumber_;
   entry.state_ = aCentre.reachable_ ? MemberState::kAlive : MemberState::kUnreachable;
   return entry;
 }
 
-// Takes the news for one datagram: statements about data centres, then members in turn.
-std::vector<MemberEntry> TakeUpdates(Membership& aState)
+// Collects the updates for one datagram: first statements about data centres, then changed members
+// in turn.
+std::vector<MemberEntry> CollectUpdates(Membership& aState)
 {
   std::vector<MemberEntry> updates;
   for (auto& [id, centre] : aState.centres_) {
-    if (centre.repeats_ > 0 && updates.size() < aState.settings_.updatesPerDatagram_) {
-      --centre.repeats_;
+    if (centre.statementSendsLeft_ > 0 && updates.size() < aState.settings_.updatesPerDatagram_) {
+      --centre.statementSendsLeft_;
       updates.push_back(CentreStatement(id, centre));
     }
   }
-  const std::size_t turns = aState.updates_.size();
-  for (std::size_t i = 0; i < turns && updates.size() < aState.settings_.updatesPerDatagram_; ++i) {
+  const std::size_t queued = aState.updates_.size();
+  for (std::size_t i = 0; i < queued && updates.size() < aState.settings_.updatesPerDatagram_;
+       ++i) {
     const HostId host = aState.updates_.front();
     aState.updates_.pop_front();
-    const auto left = aState.sendsLeft_.find(host);
+    const auto sendsLeft = aState.sendsLeft_.find(host);
     const auto member = aState.members_.find(host);
-    if (left == aState.sendsLeft_.end()) {
+    if (sendsLeft == aState.sendsLeft_.end()) {
       continue;
     }
-    // What is unreachable from here only isn't news to others.
+    // kUnreachable holds for this node only, so other members don't receive it.
     if (member != aState.members_.end() &&
         member->second.entry_.state_ != MemberState::kUnreachable) {
       updates.push_back(member->second.entry_);
     }
-    if (--left->second == 0) {
-      aState.sendsLeft_.erase(left);
+    if (--sendsLeft->second == 0) {
+      aState.sendsLeft_.erase(sendsLeft);
     } else {
       aState.updates_.push_back(host);
     }
@@ -150,8 +153,8 @@
                std::uint64_t aSequence,
                MembershipEffects& aEffects)
 {
-  Probe probe{ aSequence, aState.self_, TakeUpdates(aState) };
-  // A member that is thought ill of learns it from the probe and can refute.
+  Probe probe{ aSequence, aState.self_, CollectUpdates(aState) };
+  // A member that is considered suspect or dead learns it from the probe and can refute it.
   if (aMember.entry_.state_ == MemberState::kSuspect ||
       aMember.entry_.state_ == MemberState::kDead) {
     probe.updates_.push_back(aMember.entry_);
@@ -162,35 +165,35 @@
 void SetState(Membership& aState, Member& aMember, MemberState aNew, TimePoint aNow)
 {
   aMember.entry_.state_ = aNew;
-  aMember.since_ = aNow;
-  NoteChange(aState, aMember.entry_);
+  aMember.stateChangedAt_ = aNow;
+  RecordChange(aState, aMember.entry_);
 }
 
-// Raises the own incarnation above a statement that isn't true of this process.
+// Raises the own incarnation above that of a false statement about this process.
 void Refute(Membership& aState, Incarnation aAbove)
 {
   aState.self_.incarnation_ = std::max(aState.self_.incarnation_, aAbove) + 1;
   ++aState.revision_;
-  QueueForCentres(aState, aState.self_.host_);
+  QueueForSummaries(aState, aState.self_.host_);
 }
 
 void MergeSelf(Membership& aState, const MemberEntry& aEntry)
 {
   const bool leaving = aState.self_.state_ == MemberState::kLeft;
-  const bool ill = aEntry.state_ != MemberState::kAlive;
-  const bool accused = ill && aEntry.incarnation_ >= aState.self_.incarnation_;
-  const bool overtaken = aEntry.incarnation_ > aState.self_.incarnation_;
-  if (!leaving && (accused || overtaken)) {
+  const bool notAlive = aEntry.state_ != MemberState::kAlive;
+  const bool mustRefute = notAlive && aEntry.incarnation_ >= aState.self_.incarnation_;
+  const bool isOutdated = aEntry.incarnation_ > aState.self_.incarnation_;
+  if (!leaving && (mustRefute || isOutdated)) {
     Refute(aState, aEntry.incarnation_);
   }
 }
 
 void BeginConfirmation(Membership& aState, const DataCentreId& aCentre, TimePoint aNow)
 {
-  const auto spread = static_cast<std::uint64_t>(aState.settings_.confirmSpread_.count());
+  const auto spread = static_cast<std::uint64_t>(aState.settings_.confirmationPeriod_.count());
   for (auto& [host, member] : aState.members_) {
     if (member.entry_.dataCentre_ == aCentre && IsLiving(member.entry_.state_)) {
-      member.awaiting_ = true;
+      member.awaitingConfirmation_ = true;
       member.confirmAt_ =
         aNow + Duration(static_cast<Duration::rep>(NextRandom(aState.random_) % spread));
     }
@@ -204,7 +207,7 @@
                   MembershipEffects& aEffects)
 {
   auto& centre = aState.centres_[aId];
-  centre.repeats_ = SendLimit(aState);
+  centre.statementSendsLeft_ = SendLimit(aState);
   if (centre.reachable_ == aReachable) {
     return;
   }
@@ -223,69 +226,73 @@
                  TimePoint aNow,
                  MembershipEffects& aEffects)
 {
-  if (IsOwn(aState, aEntry)) {
+  if (IsOwnCentre(aState, aEntry)) {
     return;
   }
   auto& centre = aState.centres_[aEntry.dataCentre_];
-  if (aEntry.incarnation_ <= centre.statement_) {
+  if (aEntry.incarnation_ <= centre.statementNumber_) {
     return;
   }
-  centre.statement_ = aEntry.incarnation_;
+  centre.statementNumber_ = aEntry.incarnation_;
   const bool reachable = aEntry.state_ == MemberState::kAlive;
-  const bool contradicts = !reachable && aState.delegate_ && aNow - centre.heard_ < kHeardLately;
+  const bool contradicts =
+    !reachable && aState.isDelegate_ && aNow - centre.lastSummaryAt_ < kRecentSummaryAge;
   if (contradicts) {
-    ++centre.statement_;
-    centre.repeats_ = SendLimit(aState);
+    ++centre.statementNumber_;
+    centre.statementSendsLeft_ = SendLimit(aState);
     return;
   }
-  if (reachable && aState.delegate_ && aNow - centre.heard_ >= kHeardLately) {
+  if (reachable && aState.isDelegate_ && aNow - centre.lastSummaryAt_ >= kRecentSummaryAge) {
     centre.holdUntil_ = aNow + kContradictionHold;
   }
   SetReachable(aState, aEntry.dataCentre_, reachable, aNow, aEffects);
 }
 
-// Weight of another data centre's member for this node, so that nodes keep different samples.
+// Weight of a member of another data centre. It depends on this node too, so that nodes keep
+// different samples in a full table.
 std::uint64_t SampleWeight(const Membership& aState, const MemberEntry& aEntry)
 {
   return RankWeight("sample/" + aState.self_.host_.value_, aEntry.dataCentre_, aEntry.host_);
 }
 
-// Makes room in a full table: another data centre's member with the least weight goes, but never a
-// delegate of its data centre. A newcomer of less weight than all of the sample is turned away
-// without a search, because a full table hears of members outside its sample in every summary.
-bool MakeRoom(Membership& aState, const MemberEntry& aNewcomer)
+// Removes the member of another data centre with the least weight from a full table, but never a
+// delegate of its data centre. Returns false if the newcomer isn't to be added. A newcomer below
+// the least weight of the sample is rejected without a search, because each summary contains
+// members outside the sample.
+bool EvictSampledMember(Membership& aState, const MemberEntry& aNewcomer)
 {
-  if (!IsOwn(aState, aNewcomer) && SampleWeight(aState, aNewcomer) <= aState.sampleLeast_) {
+  if (!IsOwnCentre(aState, aNewcomer) &&
+      SampleWeight(aState, aNewcomer) <= aState.minSampleWeight_) {
     return false;
   }
-  std::set<HostId> kept;
+  std::set<HostId> protectedHosts;
   for (const auto& [id, centre] : aState.centres_) {
     const auto ranked = RankMembers(aState, kDelegateRole, id);
-    for (std::size_t i = 0; i < std::min(ranked.size(), aState.settings_.delegates_); ++i) {
-      kept.insert(ranked[i].host_);
+    for (std::size_t i = 0; i < std::min(ranked.size(), aState.settings_.delegateCount_); ++i) {
+      protectedHosts.insert(ranked[i].host_);
     }
   }
-  auto victim = aState.members_.end();
-  std::uint64_t least = ~std::uint64_t{ 0 };
+  auto evicted = aState.members_.end();
+  std::uint64_t minWeight = ~std::uint64_t{ 0 };
   for (auto it = aState.members_.begin(); it != aState.members_.end(); ++it) {
     const auto& entry = it->second.entry_;
-    if (IsOwn(aState, entry) || kept.count(it->first) != 0) {
+    if (IsOwnCentre(aState, entry) || protectedHosts.count(it->first) != 0) {
       continue;
     }
     const auto weight = SampleWeight(aState, entry);
-    if (weight < least) {
-      least = weight;
-      victim = it;
+    if (weight < minWeight) {
+      minWeight = weight;
+      evicted = it;
     }
   }
-  if (victim == aState.members_.end()) {
+  if (evicted == aState.members_.end()) {
     return false;
   }
-  aState.sampleLeast_ = least;
-  if (!IsOwn(aState, aNewcomer) && SampleWeight(aState, aNewcomer) <= least) {
+  aState.minSampleWeight_ = minWeight;
+  if (!IsOwnCentre(aState, aNewcomer) && SampleWeight(aState, aNewcomer) <= minWeight) {
     return false;
   }
-  aState.members_.erase(victim);
+  aState.members_.erase(evicted);
   return true;
 }
 
@@ -299,34 +306,36 @@
                TimePoint aNow,
                MembershipEffects& aEffects)
 {
-  // Tombstones of unknown members are taken only while joining. Otherwise nodes whose tombstones
-  // expire at different times would hand them back to each other for ever.
+  // Tombstones of unknown members are accepted only while joining. Otherwise nodes whose tombstones
+  // expire at different times would restore them at each other without end.
   if (!IsLiving(aEntry.state_) && !IsAlone(aState)) {
     return;
   }
-  if (aState.members_.size() >= aState.settings_.maxMembers_ && !MakeRoom(aState, aEntry)) {
+  if (aState.members_.size() >= aState.settings_.maxMembers_ &&
+      !EvictSampledMember(aState, aEntry)) {
     return;
   }
   Member member;
   member.entry_ = aEntry;
-  member.since_ = aNow;
+  member.stateChangedAt_ = aNow;
   member.readySince_ = aNow;
   aState.members_.emplace(aEntry.host_, member);
-  if (!IsOwn(aState, aEntry) && aState.centres_.find(aEntry.dataCentre_) == aState.centres_.end()) {
-    // A data centre first heard of gets the full time before it counts as silent.
+  if (!IsOwnCentre(aState, aEntry) &&
+      aState.centres_.find(aEntry.dataCentre_) == aState.centres_.end()) {
+    // A newly known data centre gets the full timeout before it is declared unreachable.
     auto& centre = aState.centres_[aEntry.dataCentre_];
-    centre.heard_ = aNow;
-    if (aState.delegate_) {
+    centre.lastSummaryAt_ = aNow;
+    if (aState.isDelegate_) {
       QueueAllMembers(aState, centre);
     }
   }
-  NoteChange(aState, aEntry);
+  RecordChange(aState, aEntry);
   if (IsLiving(aEntry.state_)) {
     aEffects.events_.push_back({ MembershipEventKind::kJoined, aEntry.host_.value_ });
   }
 }
 
-// True if the statement replaces what is known.
+// True if a new statement replaces the known one.
 bool IsNewer(const MemberEntry& aKnown, const MemberEntry& aNew)
 {
   if (aNew.incarnation_ != aKnown.incarnation_) {
@@ -357,9 +366,9 @@
                 TimePoint aNow,
                 MembershipEffects& aEffects)
 {
-  // That a single member is unreachable is the finding of one node, not a statement to adopt.
-  const bool whole = aEntry.host_.value_ == kWholeDataCentre;
-  if (aEntry.host_.value_.empty() || (!whole && aEntry.state_ == MemberState::kUnreachable)) {
+  // That a single member is unreachable holds only for the node that found it and isn't adopted.
+  const bool isCentre = aEntry.host_.value_ == kWholeDataCentre;
+  if (aEntry.host_.value_.empty() || (!isCentre && aEntry.state_ == MemberState::kUnreachable)) {
     return;
   }
   if (aEntry.host_.value_ == kWholeDataCentre) {
@@ -377,7 +386,7 @@
   }
   auto& member = found->second;
   if (!IsNewer(member.entry_, aEntry)) {
-    // Load isn't ordered by the incarnation: the latest that arrives is kept.
+    // Load doesn't raise the incarnation, so the last received value is kept.
     if (aEntry.incarnation_ == member.entry_.incarnation_ && member.entry_.load_ != aEntry.load_) {
       aState.loadChanged_ = true;
       member.entry_.load_ = aEntry.load_;
@@ -394,29 +403,29 @@
     member.readySince_ = aNow;
   }
   if (member.entry_.state_ != aEntry.state_) {
-    member.since_ = aNow;
+    member.stateChangedAt_ = aNow;
   }
   member.entry_ = aEntry;
-  NoteChange(aState, aEntry);
+  RecordChange(aState, aEntry);
 }
 
-// First-hand proof of life: an unreachable member is back, and a member of a data centre that is
-// back is confirmed.
-void NoteHeard(Membership& aState, const HostId& aHost, TimePoint aNow)
+// Handles a message that came from the member itself: an unreachable member is alive again, and a
+// member that awaits confirmation is confirmed.
+void RecordProofOfLife(Membership& aState, const HostId& aHost, TimePoint aNow)
 {
   const auto found = aState.members_.find(aHost);
   if (found == aState.members_.end()) {
     return;
   }
   auto& member = found->second;
-  if (member.awaiting_) {
-    member.awaiting_ = false;
+  if (member.awaitingConfirmation_) {
+    member.awaitingConfirmation_ = false;
     member.readySince_ = aNow;
     ++aState.revision_;
   }
   if (member.entry_.state_ == MemberState::kUnreachable) {
     member.entry_.state_ = MemberState::kAlive;
-    member.since_ = aNow;
+    member.stateChangedAt_ = aNow;
     member.readySince_ = aNow;
     ++aState.revision_;
   }
@@ -440,8 +449,8 @@
 {
   MergeEntry(aState, aProbe.sender_, aNow, aEffects);
   MergeAll(aState, aProbe.updates_, aNow, aEffects);
-  NoteHeard(aState, aProbe.sender_.host_, aNow);
-  ProbeAck ack{ aProbe.sequence_, aState.self_, TakeUpdates(aState) };
+  RecordProofOfLife(aState, aProbe.sender_.host_, aNow);
+  ProbeAck ack{ aProbe.sequence_, aState.self_, CollectUpdates(aState) };
   const auto known = aState.members_.find(aProbe.sender_.host_);
   if (known != aState.members_.end() && known->second.entry_.state_ != MemberState::kAlive) {
     ack.updates_.push_back(known->second.entry_);
@@ -460,12 +469,12 @@
       aState.probe_->host_ == aAck.sender_.host_) {
     aState.probe_->acked_ = true;
   }
-  NoteHeard(aState, aAck.sender_.host_, aNow);
-  const auto relayed = aState.relayed_.find(aAck.sequence_);
-  if (relayed != aState.relayed_.end()) {
+  RecordProofOfLife(aState, aAck.sender_.host_, aNow);
+  const auto relayed = aState.relayedProbes_.find(aAck.sequence_);
+  if (relayed != aState.relayedProbes_.end()) {
     ProbeAck ack{ relayed->second.sequence_, aAck.sender_, {} };
-    aEffects.messages_.push_back({ relayed->second.asker_, std::move(ack), true });
-    aState.relayed_.erase(relayed);
+    aEffects.messages_.push_back({ relayed->second.requester_, std::move(ack), true });
+    aState.relayedProbes_.erase(relayed);
   }
 }
 
@@ -477,20 +486,22 @@
 {
   MergeEntry(aState, aRequest.sender_, aNow, aEffects);
   MergeAll(aState, aRequest.updates_, aNow, aEffects);
-  NoteHeard(aState, aRequest.sender_.host_, aNow);
+  RecordProofOfLife(aState, aRequest.sender_.host_, aNow);
   const auto sequence = aState.nextSequence_++;
-  aState.relayed_[sequence] = { aFrom, aRequest.sequence_, aNow };
-  Probe probe{ sequence, aState.self_, TakeUpdates(aState) };
+  aState.relayedProbes_[sequence] = { aFrom, aRequest.sequence_, aNow };
+  Probe probe{ sequence, aState.self_, CollectUpdates(aState) };
   aEffects.messages_.push_back({ aRequest.subjectAddress_, std::move(probe), true });
 }
 
-// The whole table, or for another data centre only what it can't learn elsewhere: own members.
-std::vector<MemberEntry> TableFor(const Membership& aState, const DataCentreId& aAsker)
+// The whole table for a member of the own data centre. A member of another one gets only the
+// members of this data centre, which it can't learn elsewhere.
+std::vector<MemberEntry> MakeMemberTable(const Membership& aState,
+                                         const DataCentreId& aRequesterCentre)
 {
   std::vector<MemberEntry> entries{ aState.self_ };
   for (const auto& [host, member] : aState.members_) {
-    const bool own = IsOwn(aState, member.entry_);
-    if (own || aAsker == aState.self_.dataCentre_) {
+    const bool own = IsOwnCentre(aState, member.entry_);
+    if (own || aRequesterCentre == aState.self_.dataCentre_) {
       entries.push_back(member.entry_);
     }
   }
@@ -504,17 +515,18 @@
                  MembershipEffects& aEffects)
 {
   MergeAll(aState, aTable.members_, aNow, aEffects);
-  if (aTable.request_) {
-    const bool named = !aTable.members_.empty();
-    const Address to = named ? aTable.members_.front().peer_ : aFrom;
-    const DataCentreId asker =
-      named ? aTable.members_.front().dataCentre_ : aState.self_.dataCentre_;
-    aEffects.messages_.push_back({ to, MemberTable{ false, TableFor(aState, asker) }, false });
+  if (aTable.isRequest_) {
+    const bool hasSender = !aTable.members_.empty();
+    const Address to = hasSender ? aTable.members_.front().peer_ : aFrom;
+    const DataCentreId requesterCentre =
+      hasSender ? aTable.members_.front().dataCentre_ : aState.self_.dataCentre_;
+    aEffects.messages_.push_back(
+      { to, MemberTable{ false, MakeMemberTable(aState, requesterCentre) }, false });
   }
 }
 
 void HandleSummary(Membership& aState,
-                   const Summary& aSummary,
+                   const DataCentreSummary& aSummary,
                    TimePoint aNow,
                    MembershipEffects& aEffects)
 {
@@ -523,20 +535,20 @@
   }
   MergeAll(aState, aSummary.members_, aNow, aEffects);
   auto& centre = aState.centres_[aSummary.dataCentre_];
-  centre.heard_ = aNow;
+  centre.lastSummaryAt_ = aNow;
   if (!centre.reachable_) {
-    ++centre.statement_;
+    ++centre.statementNumber_;
     SetReachable(aState, aSummary.dataCentre_, true, aNow, aEffects);
   }
 }
 
-std::vector<HostId> OwnHosts(const Membership& aState, bool aLivingOnly)
+std::vector<HostId> OwnCentreHosts(const Membership& aState, bool aLivingOnly)
 {
   std::vector<HostId> hosts;
   for (const auto& [host, member] : aState.members_) {
     const auto state = member.entry_.state_;
-    const bool probed = IsLiving(state) || (!aLivingOnly && state == MemberState::kUnreachable);
-    if (IsOwn(aState, member.entry_) && probed) {
+    const bool isIncluded = IsLiving(state) || (!aLivingOnly && state == MemberState::kUnreachable);
+    if (IsOwnCentre(aState, member.entry_) && isIncluded) {
       hosts.push_back(host);
     }
   }
@@ -550,7 +562,7 @@
   }
 }
 
-// Ends the last probe: without an ack the member is suspected.
+// Ends the last probe. A member that didn't ack becomes suspected.
 void FinishProbe(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
   if (!aState.probe_) {
@@ -569,7 +581,7 @@
 {
   while (true) {
     if (aState.probeOrder_.empty()) {
-      aState.probeOrder_ = OwnHosts(aState, false);
+      aState.probeOrder_ = OwnCentreHosts(aState, false);
       Shuffle(aState.probeOrder_, aState.random_);
       if (aState.probeOrder_.empty()) {
         return;
@@ -589,69 +601,70 @@
   }
 }
 
-// Tells some suspected members directly, in random order.
+// Probes some randomly chosen suspected members, so that they learn of the suspicion.
 void ProbeSuspects(Membership& aState, MembershipEffects& aEffects)
 {
   std::vector<HostId> suspects;
   for (const auto& [host, member] : aState.members_) {
-    if (IsOwn(aState, member.entry_) && member.entry_.state_ == MemberState::kSuspect) {
+    if (IsOwnCentre(aState, member.entry_) && member.entry_.state_ == MemberState::kSuspect) {
       suspects.push_back(host);
     }
   }
   Shuffle(suspects, aState.random_);
-  suspects.resize(std::min<std::size_t>(suspects.size(), aState.settings_.suspectProbes_));
+  suspects.resize(
+    std::min<std::size_t>(suspects.size(), aState.settings_.suspectProbesPerInterval_));
   for (const auto& host : suspects) {
     SendProbe(aState, aState.members_.at(host), aState.nextSequence_++, aEffects);
   }
 }
 
-void AskIndirectly(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
+void SendIndirectProbes(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
   auto& probe = aState.probe_;
-  if (!probe || probe->acked_ || probe->indirect_ ||
-      aNow - probe->sent_ < aState.settings_.indirectAfter_) {
+  if (!probe || probe->acked_ || probe->indirectSent_ ||
+      aNow - probe->sentAt_ < aState.settings_.indirectProbeDelay_) {
     return;
   }
-  probe->indirect_ = true;
+  probe->indirectSent_ = true;
   const auto subject = aState.members_.find(probe->host_);
   if (subject == aState.members_.end()) {
     return;
   }
-  auto helpers = OwnHosts(aState, true);
+  auto helpers = OwnCentreHosts(aState, true);
   Shuffle(helpers, aState.random_);
-  std::uint32_t asked = 0;
+  std::uint32_t sentCount = 0;
   for (const auto& host : helpers) {
-    if (host == probe->host_ || asked == aState.settings_.indirectProbes_) {
+    if (host == probe->host_ || sentCount == aState.settings_.indirectProbeCount_) {
       continue;
     }
-    ++asked;
+    ++sentCount;
     ProbeRequest request{ probe->sequence_,
                           aState.self_,
                           probe->host_,
                           subject->second.entry_.peer_,
-                          TakeUpdates(aState) };
+                          CollectUpdates(aState) };
     aEffects.messages_.push_back(
       { aState.members_.at(host).entry_.peer_, std::move(request), true });
   }
 }
 
-// True if no other own member is alive, which is a cut of this node and not the death of all
-// others.
+// True if no other member of the own data centre is alive. The likely cause is that this node is
+// partitioned from the network, not that all others died.
 bool AllOthersSilent(const Membership& aState)
 {
-  std::size_t known = 0;
+  std::size_t silentCount = 0;
   for (const auto& [host, member] : aState.members_) {
     const auto state = member.entry_.state_;
-    if (!IsOwn(aState, member.entry_) || state == MemberState::kLeft ||
+    if (!IsOwnCentre(aState, member.entry_) || state == MemberState::kLeft ||
         state == MemberState::kDead) {
       continue;
     }
     if (state == MemberState::kAlive) {
       return false;
     }
-    ++known;
+    ++silentCount;
   }
-  return known >= 2;
+  return silentCount >= 2;
 }
 
 void ExpireStates(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
@@ -659,21 +672,21 @@
   for (auto it = aState.members_.begin(); it != aState.members_.end();) {
     auto& member = it->second;
     const auto state = member.entry_.state_;
-    const auto age = aNow - member.since_;
-    const bool own = IsOwn(aState, member.entry_);
-    if (own && state == MemberState::kSuspect && age >= aState.settings_.deadAfter_) {
+    const auto age = aNow - member.stateChangedAt_;
+    const bool own = IsOwnCentre(aState, member.entry_);
+    if (own && state == MemberState::kSuspect && age >= aState.settings_.suspicionTimeout_) {
       if (AllOthersSilent(aState)) {
-        // Known here only: the members behind the cut are as sure of their own lives.
+        // Not announced to others: the members on the far side of the partition are alive.
         member.entry_.state_ = MemberState::kUnreachable;
-        member.since_ = aNow;
+        member.stateChangedAt_ = aNow;
         ++aState.revision_;
       } else {
         SetState(aState, member, MemberState::kDead, aNow);
         aEffects.events_.push_back({ MembershipEventKind::kDead, it->first.value_ });
       }
     }
-    const bool ended = state == MemberState::kDead || state == MemberState::kLeft;
-    if (ended && age >= aState.settings_.tombstone_) {
+    const bool hasEnded = state == MemberState::kDead || state == MemberState::kLeft;
+    if (hasEnded && age >= aState.settings_.tombstoneLifetime_) {
       ++aState.revision_;
       it = aState.members_.erase(it);
     } else {
@@ -682,23 +695,23 @@
   }
 }
 
-// Time that passed while this process was paused counts for no one.
-void ForgivePause(Membership& aState, TimePoint aNow)
+// Extends the timeouts of other members by the time for which this process was paused.
+void DiscountPause(Membership& aState, TimePoint aNow)
 {
-  const auto gap = aNow - aState.lastStep_;
-  if (gap < kPauseGap) {
+  const auto gap = aNow - aState.lastStepAt_;
+  if (gap < kMinPauseGap) {
     return;
   }
   aState.probe_.reset();
   for (auto& [host, member] : aState.members_) {
     if (member.entry_.state_ == MemberState::kSuspect) {
-      member.since_ += gap;
+      member.stateChangedAt_ += gap;
     }
   }
   for (auto& [id, centre] : aState.centres_) {
-    centre.heard_ += gap;
+    centre.lastSummaryAt_ += gap;
   }
-  aState.nextProbe_ = std::max(aState.nextProbe_, aNow);
+  aState.nextProbeAt_ = std::max(aState.nextProbeAt_, aNow);
 }
 
 bool IsKnownAddress(const Membership& aState, const Address& aAddress)
@@ -708,13 +721,13 @@
   });
 }
 
-void Join(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
+void ContactSeeds(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  if (aNow < aState.nextJoin_) {
+  if (aNow < aState.nextJoinAt_) {
     return;
   }
   const bool alone = IsAlone(aState);
-  aState.nextJoin_ =
+  aState.nextJoinAt_ =
     aNow + (alone ? aState.settings_.joinInterval_ : aState.settings_.seedInterval_);
   for (const auto& seed : aState.seeds_) {
     if (seed != aState.self_.peer_ && !IsKnownAddress(aState, seed)) {
@@ -723,54 +736,54 @@
   }
 }
 
-// Sends news that waits because many members changed at once, to a random member.
+// Sends queued updates to a random member when many members changed at once.
 void SendBacklog(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  if (aNow < aState.nextBacklog_ ||
+  if (aNow < aState.nextBacklogAt_ ||
       aState.updates_.size() <= aState.settings_.updatesPerDatagram_) {
     return;
   }
-  aState.nextBacklog_ = aNow + aState.settings_.backlogInterval_;
-  const auto hosts = OwnHosts(aState, true);
+  aState.nextBacklogAt_ = aNow + aState.settings_.backlogInterval_;
+  const auto hosts = OwnCentreHosts(aState, true);
   if (!hosts.empty()) {
     const auto& member = aState.members_.at(hosts[NextRandom(aState.random_) % hosts.size()]);
     SendProbe(aState, member, aState.nextSequence_++, aEffects);
   }
 }
 
-// Compares whole tables with one member now and then, for news that probes lost.
+// Exchanges whole tables with a random member, because updates in lost datagrams may be missing.
 void CompareTables(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  if (aNow < aState.nextTable_) {
+  if (aNow < aState.nextAntiEntropyAt_) {
     return;
   }
   const auto& settings = aState.settings_;
   const auto members = static_cast<Duration::rep>(aState.members_.size());
-  // Soon after the start and then more rarely: nodes that start together miss each other's news.
+  // More often after the start, because nodes that start together miss each other's updates.
   const auto interval =
-    std::max(settings.tableInterval_, settings.tableIntervalPerMember_ * members);
-  aState.tableWait_ = std::min(interval, 2 * aState.tableWait_);
-  aState.nextTable_ = aNow + aState.tableWait_;
-  const auto hosts = OwnHosts(aState, true);
+    std::max(settings.antiEntropyInterval_, settings.antiEntropyIntervalPerMember_ * members);
+  aState.antiEntropyDelay_ = std::min(interval, 2 * aState.antiEntropyDelay_);
+  aState.nextAntiEntropyAt_ = aNow + aState.antiEntropyDelay_;
+  const auto hosts = OwnCentreHosts(aState, true);
   if (hosts.empty()) {
     return;
   }
   const auto& peer = aState.members_.at(hosts[NextRandom(aState.random_) % hosts.size()]).entry_;
   aEffects.messages_.push_back(
-    { peer.peer_, MemberTable{ true, TableFor(aState, aState.self_.dataCentre_) }, false });
+    { peer.peer_, MemberTable{ true, MakeMemberTable(aState, aState.self_.dataCentre_) }, false });
 }
 
-// Probes one member that is thought dead, because after a cut both sides think the other dead and
-// nobody else would start talking.
-void Revive(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
+// Probes a random dead member. After a network partition each side considers the other dead, and no
+// other message would reconnect them.
+void ProbeDeadMember(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  if (aNow < aState.nextRevive_) {
+  if (aNow < aState.nextReviveAt_) {
     return;
   }
-  aState.nextRevive_ = aNow + aState.settings_.reviveInterval_;
+  aState.nextReviveAt_ = aNow + aState.settings_.reviveInterval_;
   std::vector<const Member*> dead;
   for (const auto& [host, member] : aState.members_) {
-    if (IsOwn(aState, member.entry_) && member.entry_.state_ == MemberState::kDead) {
+    if (IsOwnCentre(aState, member.entry_) && member.entry_.state_ == MemberState::kDead) {
       dead.push_back(&member);
     }
   }
@@ -784,7 +797,7 @@
 {
   std::map<DataCentreId, std::size_t> awaiting;
   for (const auto& [host, member] : aState.members_) {
-    if (member.awaiting_) {
+    if (member.awaitingConfirmation_) {
       ++awaiting[member.entry_.dataCentre_];
     }
   }
@@ -792,11 +805,11 @@
     return;
   }
   for (auto& [host, member] : aState.members_) {
-    if (!member.awaiting_ || member.confirmAt_ > aNow) {
+    if (!member.awaitingConfirmation_ || member.confirmAt_ > aNow) {
       continue;
     }
-    if (awaiting[member.entry_.dataCentre_] > aState.settings_.probedConfirmations_) {
-      member.awaiting_ = false;
+    if (awaiting[member.entry_.dataCentre_] > aState.settings_.maxProbedConfirmations_) {
+      member.awaitingConfirmation_ = false;
       member.readySince_ = aNow;
       ++aState.revision_;
     } else {
@@ -806,12 +819,12 @@
   }
 }
 
-// Members for one summary: those that changed, then some unchanged ones in turn.
+// Members for one summary: this node, changed members, then some unchanged ones in turn.
 std::vector<MemberEntry> SummaryMembers(Membership& aState, RemoteCentre& aCentre)
 {
   std::vector<MemberEntry> entries{ aState.self_ };
   std::set<HostId> chosen;
-  while (!aCentre.pending_.empty() && chosen.size() < aState.settings_.summaryChanges_) {
+  while (!aCentre.pending_.empty() && chosen.size() < aState.settings_.maxSummaryChanges_) {
     const HostId host = aCentre.pending_.front();
     aCentre.pending_.pop_front();
     aCentre.pendingSet_.erase(host);
@@ -823,12 +836,12 @@
   auto it = aState.members_.upper_bound(aState.refreshCursor_);
   std::size_t refreshed = 0;
   for (std::size_t i = 0;
-       i < aState.members_.size() && refreshed < aState.settings_.summaryRefresh_;
+       i < aState.members_.size() && refreshed < aState.settings_.summaryRefreshCount_;
        ++i) {
     if (it == aState.members_.end()) {
       it = aState.members_.begin();
     }
-    if (IsOwn(aState, it->second.entry_)) {
+    if (IsOwnCentre(aState, it->second.entry_)) {
       ++refreshed;
       aState.refreshCursor_ = it->first;
       if (chosen.insert(it->first).second) {
@@ -848,14 +861,14 @@
     ++rank;
   }
   const bool delegate =
-    rank < aState.settings_.delegates_ && aState.self_.state_ != MemberState::kLeft;
-  if (delegate && !aState.delegate_) {
+    rank < aState.settings_.delegateCount_ && aState.self_.state_ != MemberState::kLeft;
+  if (delegate && !aState.isDelegate_) {
     aState.delegateSince_ = aNow;
     for (auto& [id, centre] : aState.centres_) {
       QueueAllMembers(aState, centre);
     }
   }
-  aState.delegate_ = delegate;
+  aState.isDelegate_ = delegate;
   if (!delegate) {
     for (auto& [id, centre] : aState.centres_) {
       centre.pending_.clear();
@@ -866,28 +879,29 @@
   ++aState.summaries_;
   for (auto& [id, centre] : aState.centres_) {
     const auto remote = RankMembers(aState, kDelegateRole, id);
-    const auto delegates = std::min(remote.size(), aState.settings_.delegates_);
+    const auto delegates = std::min(remote.size(), aState.settings_.delegateCount_);
     if (delegates == 0) {
       continue;
     }
-    // Both delegates together reach both remote delegates each second.
+    // The rank offsets the turns, so that both delegates together reach both remote delegates in
+    // each round.
     const auto& peer = remote[(aState.summaries_ + rank) % delegates];
-    Summary summary;
+    DataCentreSummary summary;
     summary.dataCentre_ = aState.self_.dataCentre_;
     summary.members_ = SummaryMembers(aState, centre);
     aEffects.summaries_.push_back({ peer.address_, std::move(summary), false });
   }
 }
 
-void JudgeCentres(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
+void DetectSilentCentres(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  const auto silence = aState.settings_.centreSilence_;
-  if (!aState.delegate_ || aNow - aState.delegateSince_ < silence) {
+  const auto timeout = aState.settings_.centreTimeout_;
+  if (!aState.isDelegate_ || aNow - aState.delegateSince_ < timeout) {
     return;
   }
   for (auto& [id, centre] : aState.centres_) {
-    if (centre.reachable_ && aNow - centre.heard_ >= silence && aNow >= centre.holdUntil_) {
-      ++centre.statement_;
+    if (centre.reachable_ && aNow - centre.lastSummaryAt_ >= timeout && aNow >= centre.holdUntil_) {
+      ++centre.statementNumber_;
       SetReachable(aState, id, false, aNow, aEffects);
     }
   }
@@ -929,43 +943,45 @@
   state.seeds_ = std::move(aSeeds);
   state.random_ = aSeed;
   state.selfReadySince_ = aNow;
-  state.lastStep_ = aNow;
-  state.nextProbe_ = aNow;
-  state.nextJoin_ = aNow;
-  // Spread over the interval, so that nodes that start together don't act together.
+  state.lastStepAt_ = aNow;
+  state.nextProbeAt_ = aNow;
+  state.nextJoinAt_ = aNow;
+  // Random first times, so that nodes that start together don't send at the same moments.
   const auto jitter = [&](Duration aInterval) {
     return Duration(static_cast<Duration::rep>(NextRandom(state.random_) %
                                                static_cast<std::uint64_t>(aInterval.count())));
   };
-  state.tableWait_ = aSettings.firstTable_;
-  state.nextTable_ = aNow + aSettings.firstTable_ / 2 + jitter(aSettings.firstTable_);
-  state.nextRevive_ = aNow + jitter(aSettings.reviveInterval_);
-  state.nextSummary_ = aNow + jitter(aSettings.probeInterval_);
+  state.antiEntropyDelay_ = aSettings.firstAntiEntropyDelay_;
+  state.nextAntiEntropyAt_ =
+    aNow + aSettings.firstAntiEntropyDelay_ / 2 + jitter(aSettings.firstAntiEntropyDelay_);
+  state.nextReviveAt_ = aNow + jitter(aSettings.reviveInterval_);
+  state.nextSummaryAt_ = aNow + jitter(aSettings.probeInterval_);
   return state;
 }
 
 void StepMembership(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  ForgivePause(aState, aNow);
-  aState.lastStep_ = aNow;
-  Join(aState, aNow, aEffects);
-  AskIndirectly(aState, aNow, aEffects);
-  if (aNow >= aState.nextProbe_) {
-    aState.nextProbe_ = aNow + aState.settings_.probeInterval_;
+  DiscountPause(aState, aNow);
+  aState.lastStepAt_ = aNow;
+  ContactSeeds(aState, aNow, aEffects);
+  SendIndirectProbes(aState, aNow, aEffects);
+  if (aNow >= aState.nextProbeAt_) {
+    aState.nextProbeAt_ = aNow + aState.settings_.probeInterval_;
     FinishProbe(aState, aNow, aEffects);
     ExpireStates(aState, aNow, aEffects);
     StartProbe(aState, aNow, aEffects);
     ProbeSuspects(aState, aEffects);
-    std::erase_if(aState.relayed_,
-                  [&](const auto& aRelay) { return aNow - aRelay.second.sent_ > kRelayLifetime; });
+    std::erase_if(aState.relayedProbes_, [&](const auto& aRelay) {
+      return aNow - aRelay.second.sentAt_ > kRelayLifetime;
+    });
   }
   SendBacklog(aState, aNow, aEffects);
   CompareTables(aState, aNow, aEffects);
-  Revive(aState, aNow, aEffects);
-  if (aNow >= aState.nextSummary_) {
-    aState.nextSummary_ = aNow + aState.settings_.probeInterval_;
+  ProbeDeadMember(aState, aNow, aEffects);
+  if (aNow >= aState.nextSummaryAt_) {
+    aState.nextSummaryAt_ = aNow + aState.settings_.probeInterval_;
     SendSummaries(aState, aNow, aEffects);
-    JudgeCentres(aState, aNow, aEffects);
+    DetectSilentCentres(aState, aNow, aEffects);
   }
   ConfirmMembers(aState, aNow, aEffects);
   assert(aState.members_.find(aState.self_.host_) == aState.members_.end());
@@ -986,7 +1002,7 @@
     HandleProbeRequest(aState, aFrom, *request, aNow, aEffects);
   } else if (const auto* table = std::get_if<MemberTable>(&aMessage)) {
     HandleTable(aState, aFrom, *table, aNow, aEffects);
-  } else if (const auto* summary = std::get_if<Summary>(&aMessage)) {
+  } else if (const auto* summary = std::get_if<DataCentreSummary>(&aMessage)) {
     HandleSummary(aState, *summary, aNow, aEffects);
   }
 }
@@ -1010,12 +1026,12 @@
   self.slots_ = aSlots;
   ++self.incarnation_;
   ++aState.revision_;
-  QueueForCentres(aState, self.host_);
+  QueueForSummaries(aState, self.host_);
 }
 
 void AnnounceDeparture(Membership& aState, const HostId& aSuccessor, MembershipEffects& aEffects)
 {
-  // Several datagrams, because this process won't be there to repeat a lost one.
+  // Several copies, because this process can't repeat a lost datagram.
   constexpr std::size_t kCopies = 8;
   auto& self = aState.self_;
   self.state_ = MemberState::kLeft;
@@ -1023,7 +1039,7 @@
   self.successor_ = aSuccessor;
   ++self.incarnation_;
   ++aState.revision_;
-  auto hosts = OwnHosts(aState, true);
+  auto hosts = OwnCentreHosts(aState, true);
   Shuffle(hosts, aState.random_);
   hosts.resize(std::min(hosts.size(), kCopies));
   for (const auto& host : hosts) {
@@ -1044,7 +1060,7 @@
 bool IsAlone(const Membership& aState)
 {
   return std::none_of(aState.members_.begin(), aState.members_.end(), [&](const auto& aMember) {
-    return IsOwn(aState, aMember.second.entry_);
+    return IsOwnCentre(aState, aMember.second.entry_);
   });
 }
 
@@ -1062,7 +1078,7 @@
   };
   const auto& self = aState.self_;
   for (const auto& [host, member] : aState.members_) {
-    if (!member.awaiting_ && IsReachableCentre(aState, member.entry_)) {
+    if (!member.awaitingConfirmation_ && IsReachableCentre(aState, member.entry_)) {
       add(member.entry_, member.readySince_);
     }
   }
@@ -1072,7 +1088,7 @@
       return aLeft.host_ < aRight.host_;
     });
   }
-  // Calls by ids of a host that left go to the host that took its records over.
+  // Calls that carry request ids of a host that left go to the successor that has its records.
   for (const auto& [host, member] : aState.members_) {
     const auto successor = view.hosts_.find(member.entry_.successor_);
     if (member.entry_.state_ == MemberState::kLeft && successor != view.hosts_.end()) {
@@ -1123,7 +1139,7 @@
     auto& delegates = ranking.delegates_[id];
     if (centre.reachable_) {
       delegates = RankMembers(aState, kDelegateRole, id);
-      delegates.resize(std::min(delegates.size(), aState.settings_.delegates_));
+      delegates.resize(std::min(delegates.size(), aState.settings_.delegateCount_));
     }
   }
   for (const auto& [host, member] : aState.members_) {
@@ -1131,7 +1147,7 @@
     if (IsLiving(state)) {
       ranking.addresses_[host] = member.entry_.peer_;
     }
-    if (IsOwn(aState, member.entry_) && state != MemberState::kAlive &&
+    if (IsOwnCentre(aState, member.entry_) && state != MemberState::kAlive &&
         state != MemberState::kLeft) {
       ranking.unreachable_.push_back(host);
     }
--- a/standins/lib/HistoryCheck.cpp
+++ b/standins/lib/HistoryCheck.cpp
@@ -87,7 +87,7 @@
         RecordViolation(result, HistoryProperty::kRunsAtMostOnce, execution.requestId_);
       }
     }
-    if (execution.keySeen_) {
+    if (execution.hasKeyHeader_) {
       RecordViolation(result, HistoryProperty::kNoKeySeen, execution.id_);
     }
     if (execution.wrongDeeperAnswers_ > 0) {
--- a/standins/lib/LoadRunner.cpp
+++ b/standins/lib/LoadRunner.cpp
@@ -174,7 +174,7 @@
     }
     boost::beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(kMaxTargetBody * 2);
+    parser.body_limit(kMaxTargetBodyBytes * 2);
     co_await http::async_read(
       *socket, buffer, parser, asio::redirect_error(asio::use_awaitable, failure));
     if (failure) {
@@ -232,7 +232,7 @@
                                        TimePoint aEnd) const
   {
     const LoadClass& requestClass = plan_.classes_[aArrival.class_];
-    const std::string target = WithQuery(requestClass.path_, "tag", aTag);
+    const std::string target = WithQueryParameter(requestClass.path_, "tag", aTag);
     const auto verb = requestClass.repeatable_ ? http::verb::get : http::verb::post;
     auto message = std::make_shared<Message>(verb, target, 11);
     message->set(http::field::host, "fleet");
@@ -311,7 +311,7 @@
       const bool correctBody =
         exchange.status_ != 200 ||
         exchange.body_ ==
-          TargetBody(target, message->body(), BodyLength(target, kDefaultAnswerBytes));
+          TargetBody(target, message->body(), RequestedBodyLength(target, kDefaultAnswerBytes));
       allNotRun = allNotRun && exchange.outcome_ == "not-run";
       RecordCall({ tag, id, exchange.outcome_, exchange.status_, correctBody, plan_.retryBudget_ },
                  attempt,
--- a/tests/standins/HistoryTest.cpp
+++ b/tests/standins/HistoryTest.cpp
@@ -22,7 +22,7 @@
   execution.id_ = std::move(aId);
   execution.path_ = std::move(aPath);
   execution.requestId_ = std::move(aRequestId);
-  execution.end_ = ExecutionEnd::kAnswered;
+  execution.executionStatus_ = ExecutionStatus::kAnswered;
   return execution;
 }
 
@@ -40,7 +40,7 @@
                           Execution("c-1", "/deep?tag=1.0&from=a-1"),
                           Execution("a-2", "/top?tag=3.0", "id-3"),
                           Execution("a-3", "/top?tag=2.0") };
-  history.executions_.back().end_ = ExecutionEnd::kRefused;
+  history.executions_.back().executionStatus_ = ExecutionStatus::kRefused;
   return history;
 }
 
@@ -80,14 +80,14 @@
     aHistory.executions_.push_back(Execution("d-1", "/top", "id-1"));
   });
   CheckFailsOnly(HistoryProperty::kNotRunIsTrue, [](History& aHistory) {
-    aHistory.executions_.back().end_ = ExecutionEnd::kCancelled;
+    aHistory.executions_.back().executionStatus_ = ExecutionStatus::kCancelled;
   });
   CheckFailsOnly(HistoryProperty::kUnknownIs504,
                  [](History& aHistory) { aHistory.calls_[2].status_ = 502; });
   CheckFailsOnly(HistoryProperty::kUnknownIs504,
                  [](History& aHistory) { aHistory.calls_[2].outcome_ = "ran"; });
   CheckFailsOnly(HistoryProperty::kNoKeySeen,
-                 [](History& aHistory) { aHistory.executions_[1].keySeen_ = true; });
+                 [](History& aHistory) { aHistory.executions_[1].hasKeyHeader_ = true; });
   CheckFailsOnly(HistoryProperty::kOwnAnswer,
                  [](History& aHistory) { aHistory.calls_[0].correctBody_ = false; });
   CheckFailsOnly(HistoryProperty::kOwnAnswer,
@@ -98,7 +98,7 @@
   // A refused attempt counts as an attempt too.
   CheckFailsOnly(HistoryProperty::kWithinBudget, [](History& aHistory) {
     aHistory.executions_.push_back(Execution("d-1", "/deep?tag=1.0&from=a-1"));
-    aHistory.executions_.back().end_ = ExecutionEnd::kRefused;
+    aHistory.executions_.back().executionStatus_ = ExecutionStatus::kRefused;
   });
 }
 
