--- a/standins/lib/Fleet.h
+++ b/standins/lib/Fleet.h
@@ -45,7 +45,7 @@
 {
   int status_ = -1;    ///< Exit status; -1 if it couldn't be started or timed out.
   std::string output_; ///< Standard output and standard error.
-  double seconds_ = 0;
+  double seconds_ = 0; ///< Run time.
 };
 
 /// A running deployment. The destructor ends every process. It also removes the folder of the run
@@ -106,7 +106,9 @@
   Result<void> StartTarget(FleetHost& aHost);
   Result<void> StartNode(FleetHost& aHost, const std::vector<Address>& aSeeds);
   Result<void> ReadNodeAddresses(FleetHost& aHost);
+  /// Waits until two requests in a row succeed through every host.
   Result<void> AwaitServing();
+  /// Waits until a process has written a JSON file and returns its text.
   Result<std::string> AwaitFile(const std::string& aName, FleetProcess& aProcess) const;
   std::string ProgramPath(const std::string& aName) const;
   std::string FilePath(const std::string& aName) const;
--- a/standins/lib/LoadDemo.cpp
+++ b/standins/lib/LoadDemo.cpp
@@ -141,18 +141,20 @@
     }));
 }
 
-TableRow AtLeast(std::string aLabel, double aValue, double aBound)
+TableRow AtLeast(std::string aLabel, double aMeasured, double aBound)
 {
-  return {
-    std::move(aLabel), FormatNumber(aValue, 3), ">= " + FormatNumber(aBound, 3), aValue >= aBound
-  };
+  return { std::move(aLabel),
+           FormatNumber(aMeasured, 3),
+           ">= " + FormatNumber(aBound, 3),
+           aMeasured >= aBound };
 }
 
-TableRow AtMost(std::string aLabel, double aValue, double aBound)
+TableRow AtMost(std::string aLabel, double aMeasured, double aBound)
 {
-  return {
-    std::move(aLabel), FormatNumber(aValue, 2), "<= " + FormatNumber(aBound, 2), aValue <= aBound
-  };
+  return { std::move(aLabel),
+           FormatNumber(aMeasured, 2),
+           "<= " + FormatNumber(aBound, 2),
+           aMeasured <= aBound };
 }
 
 // Checks the results of the run.
--- a/standins/lib/LoadReport.cpp
+++ b/standins/lib/LoadReport.cpp
@@ -111,6 +111,7 @@
     }));
 }
 
+// Counts wrongful refusals and shed critical requests.
 void CountRefusals(LoadReport& aReport,
                    const Scenario& aScenario,
                    const LoadPlan& aPlan,
--- a/standins/lib/LoadReport.h
+++ b/standins/lib/LoadReport.h
@@ -20,8 +20,9 @@
   std::uint64_t offered_ = 0; ///< Scheduled requests.
   std::uint64_t served_ = 0;  ///< Requests with a complete and correct answer within the deadline.
   double ideal_ = 0;          ///< Maximum that rates and capacity allow to serve.
-  double goodput_ =
-    0; ///< Served over ideal; in an overloaded phase, counts answers that came during the phase.
+  /// Served over ideal. In an overloaded phase, served counts the answers that came during the
+  /// phase.
+  double goodput_ = 0;
   double p50Ms_ = 0; ///< Latency of served requests, from the scheduled arrival.
   double p99Ms_ = 0;
   double criticalServedFraction_ = 1;           ///< Of the critical requests; 1 if there were none.
@@ -35,10 +36,13 @@
   /// From the end of phase "trigger"; empty without that phase or if the fleet didn't recover.
   std::optional<double> recoverySeconds_;
   bool hasTrigger_ = false;
-  std::string worstAccount_;           ///< Client account with the least served of its fair share.
-  double worstAccountShare_ = 1;       ///< Its served requests over its max-min fair share.
+  /// Client account with the smallest served fraction of its fair share in phase "trigger", or in
+  /// "before" if there is no trigger.
+  std::string worstAccount_;
+  double worstAccountShare_ = 1; ///< Served requests of worstAccount_ over its max-min fair share.
   std::uint64_t wrongfulRefusals_ = 0; ///< Admissible requests whose first attempt was refused.
-  /// Requests outside of overload, from accounts other than the scenario's misbehaving one.
+  /// Requests outside of the warm-up, overloaded phases and the phases directly after those, from
+  /// accounts other than the scenario's misbehaving one.
   std::uint64_t admissibleRequests_ = 0;
   std::uint64_t criticalShed_ = 0; ///< Critical requests whose first attempt was shed.
   std::uint64_t criticalRequests_ = 0;
--- a/standins/lib/LoadScenario.h
+++ b/standins/lib/LoadScenario.h
@@ -30,7 +30,7 @@
   std::uint32_t callerRetries_ = 1;   ///< Maximum retries of one request by its caller.
   bool immediateRetries_ = false;     ///< Callers retry without delay, whatever the answer was.
   bool links_ = false;                ///< Puts a link between each node and its target.
-  /// How much longer the deepest service takes in phase "trigger"; lowers the ideal of that phase.
+  /// Factor by which the deepest service is slower in phase "trigger"; lowers the ideal there.
   double slowFactor_ = 1;
   /// Account whose refusals are never wrongful: it exceeds its rate or uses a withdrawn key.
   std::optional<std::size_t> misbehavingAccount_;
--- a/tests/standins/LoadReportTest.cpp
+++ b/tests/standins/LoadReportTest.cpp
@@ -91,8 +91,8 @@
   CHECK(Phase(run.Report(), "trigger").goodput_ < 0.05);
 }
 
-// Guards against counting refusals of the misbehaving account, of the warm-up, or failures that
-// aren't refusals.
+// Guards against counting refusals of the misbehaving account, refusals in the warm-up, and
+// failures that aren't refusals.
 TEST_CASE("only refusals of admissible requests are wrongful", "[report]")
 {
   PlannedRun run("greedy-account");
