--- a/standins/lib/Fleet.cpp
+++ b/standins/lib/Fleet.cpp
@@ -31,12 +31,12 @@
                         const std::string& aTarget,
                         const std::string& aJson)
 {
-  const auto reply = FetchHttp(aServer, { "POST", aTarget, {}, aJson });
-  if (!reply) {
-    return BOOST_OUTCOME_V2_NAMESPACE::failure(reply.assume_error());
+  const auto response = FetchHttp(aServer, { "POST", aTarget, {}, aJson });
+  if (!response) {
+    return BOOST_OUTCOME_V2_NAMESPACE::failure(response.assume_error());
   }
-  if (reply.assume_value().status_ != 200) {
-    return Fail(ErrorCode::kOutOfRange, aTarget, reply.assume_value().body_);
+  if (response.assume_value().status_ != 200) {
+    return Fail(ErrorCode::kOutOfRange, aTarget, response.assume_value().body_);
   }
   return Success();
 }
@@ -261,13 +261,13 @@
           ErrorCode::kDeadlineExceeded, host.name_ + " does not serve requests", lastFailure);
       }
       const std::string target = "/" + profile.services_.front().name_ + "/" + requestClass->name_;
-      FetchRequest query{ "GET", target, { { "Quay-Key", profile.accounts_[0].key_ } }, "" };
-      query.timeout_ = seconds(5);
-      const auto reply = FetchHttp(host.callers_, query);
-      const bool served = reply && reply.assume_value().status_ == 200;
+      FetchRequest request{ "GET", target, { { "Quay-Key", profile.accounts_[0].key_ } }, "" };
+      request.timeout_ = seconds(5);
+      const auto response = FetchHttp(host.callers_, request);
+      const bool served = response && response.assume_value().status_ == 200;
       successes = served ? successes + 1 : 0;
       if (!served) {
-        lastFailure = reply ? reply.assume_value().body_ : Describe(reply.assume_error());
+        lastFailure = response ? response.assume_value().body_ : Describe(response.assume_error());
         std::this_thread::sleep_for(kPollInterval);
       }
     }
@@ -387,13 +387,13 @@
     if (host.killed_) {
       continue;
     }
-    FetchRequest query{ "GET", "/executions", {}, "" };
-    query.timeout_ = seconds(20);
-    const auto reply = FetchHttp(host.target_, query);
-    if (!reply) {
+    FetchRequest request{ "GET", "/executions", {}, "" };
+    request.timeout_ = seconds(20);
+    const auto response = FetchHttp(host.target_, request);
+    if (!response) {
       continue;
     }
-    auto log = ParseExecutions(reply.assume_value().body_);
+    auto log = ParseExecutions(response.assume_value().body_);
     if (log) {
       all.insert(all.end(), log.assume_value().begin(), log.assume_value().end());
     }
@@ -403,8 +403,9 @@
 
 std::string Fleet::Status(std::size_t aHost) const
 {
-  const auto reply = FetchHttp(hosts_[aHost].admin_, { "GET", "/status", {}, "" });
-  return reply && reply.assume_value().status_ == 200 ? reply.assume_value().body_ : std::string();
+  const auto response = FetchHttp(hosts_[aHost].admin_, { "GET", "/status", {}, "" });
+  return response && response.assume_value().status_ == 200 ? response.assume_value().body_
+                                                            : std::string();
 }
 
 } // namespace peridotquay::standins
--- a/standins/lib/FleetHttp.cpp
+++ b/standins/lib/FleetHttp.cpp
@@ -99,44 +99,44 @@
 
 HttpSession::~HttpSession() = default;
 
-Result<FetchResponse> HttpSession::Fetch(const FetchRequest& aQuery, bool aKeepAlive)
+Result<FetchResponse> HttpSession::Fetch(const FetchRequest& aRequest, bool aKeepAlive)
 {
   http::request<http::string_body> request;
-  request.method_string(aQuery.method_);
-  request.target(aQuery.target_);
+  request.method_string(aRequest.method_);
+  request.target(aRequest.target_);
   request.version(11);
   request.set(http::field::host, state_->server_.ip_);
-  for (const auto& [name, value] : aQuery.headers_) {
+  for (const auto& [name, value] : aRequest.headers_) {
     request.set(name, value);
   }
-  request.body() = aQuery.body_;
+  request.body() = aRequest.body_;
   request.prepare_payload();
   request.keep_alive(aKeepAlive);
   http::response_parser<http::string_body> parser;
   parser.body_limit(std::uint64_t{ 1 } << 30U);
-  state_->stream_.expires_after(aQuery.timeout_);
+  state_->stream_.expires_after(aRequest.timeout_);
   ErrorCode stage = ErrorCode::kTargetUnreachable;
   const error_code error = state_->Exchange(request, parser, stage);
   if (error) {
     state_->Close();
     const auto code = error == beast::error::timeout ? ErrorCode::kDeadlineExceeded : stage;
-    return Fail(code, aQuery.target_, error.message());
+    return Fail(code, aRequest.target_, error.message());
   }
   if (!parser.keep_alive() || !aKeepAlive) {
     state_->Close();
   }
-  FetchResponse reply;
-  reply.status_ = parser.get().result_int();
+  FetchResponse response;
+  response.status_ = parser.get().result_int();
   for (const auto& field : parser.get()) {
-    reply.headers_[LowerCase(std::string(field.name_string()))] = std::string(field.value());
+    response.headers_[LowerCase(std::string(field.name_string()))] = std::string(field.value());
   }
-  reply.body_ = std::move(parser.get().body());
-  return reply;
+  response.body_ = std::move(parser.get().body());
+  return response;
 }
 
-Result<FetchResponse> FetchHttp(const Address& aServer, const FetchRequest& aQuery)
+Result<FetchResponse> FetchHttp(const Address& aServer, const FetchRequest& aRequest)
 {
-  return HttpSession(aServer).Fetch(aQuery, false);
+  return HttpSession(aServer).Fetch(aRequest, false);
 }
 
 } // namespace peridotquay::standins
--- a/standins/lib/FleetHttp.h
+++ b/standins/lib/FleetHttp.h
@@ -43,7 +43,7 @@
   /// Connects if there is no connection, sends a request and reads the complete answer. Closes the
   /// connection after an error, if the server asks for it, or unless aKeepAlive. Errors: those of
   /// FetchHttp.
-  Result<FetchResponse> Fetch(const FetchRequest& aQuery, bool aKeepAlive = true);
+  Result<FetchResponse> Fetch(const FetchRequest& aRequest, bool aKeepAlive = true);
 
 private:
   struct State;
@@ -52,6 +52,6 @@
 
 /// Sends a request on a new connection and reads the complete answer. Errors: kTargetUnreachable,
 /// kTruncatedAnswer, kDeadlineExceeded.
-Result<FetchResponse> FetchHttp(const Address& aServer, const FetchRequest& aQuery);
+Result<FetchResponse> FetchHttp(const Address& aServer, const FetchRequest& aRequest);
 
 } // namespace peridotquay::standins
