--- a/standins/lib/FleetHttp.cpp
+++ b/standins/lib/FleetHttp.cpp
@@ -53,7 +53,7 @@
   }
 
   /// Makes one exchange. Sets aFailureCode to the error to report if it fails.
-  error_code Exchange(const http::request<http::string_body>& aRequest,
+  error_code Exchange(const http::request<http::string_body>& aMessage,
                       http::response_parser<http::string_body>& aParser,
                       ErrorCode& aFailureCode)
   {
@@ -69,7 +69,7 @@
       open_ = true;
     }
     const auto written =
-      RunOperation([&](auto aDone) { http::async_write(stream_, aRequest, std::move(aDone)); });
+      RunOperation([&](auto aDone) { http::async_write(stream_, aMessage, std::move(aDone)); });
     if (written) {
       return written;
     }
