--- a/standins/lib/FleetHttp.cpp
+++ b/standins/lib/FleetHttp.cpp
@@ -1,4 +1,5 @@
-// Blocking HTTP exchange on an io_context of its own, so that it can time out.
+// Blocking HTTP client. Each session runs asynchronous operations on its own io_context, because
+// only those can time out.
 #include "standins/lib/FleetHttp.h"
 
 #include <boost/asio/io_context.hpp>
@@ -40,9 +41,9 @@
   {
   }
 
-  /// Runs one asynchronous operation to its end.
+  /// Starts one asynchronous operation, waits for its end and returns its error.
   template<typename Start>
-  error_code Await(Start aStart)
+  error_code RunOperation(Start aStart)
   {
     error_code result;
     context_.restart();
@@ -51,28 +52,29 @@
     return result;
   }
 
-  error_code Exchange(const http::request<http::string_body>& aRequest,
+  /// Makes one exchange. Sets aFailureCode to the error to report if it fails.
+  error_code Exchange(const http::request<http::string_body>& aMessage,
                       http::response_parser<http::string_body>& aParser,
-                      ErrorCode& aStage)
+                      ErrorCode& aFailureCode)
   {
-    aStage = ErrorCode::kTargetUnreachable;
+    aFailureCode = ErrorCode::kTargetUnreachable;
     if (!open_) {
       buffer_.clear();
       const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(server_.ip_), server_.port_);
       const auto connected =
-        Await([&](auto aDone) { stream_.async_connect(endpoint, std::move(aDone)); });
+        RunOperation([&](auto aDone) { stream_.async_connect(endpoint, std::move(aDone)); });
       if (connected) {
         return connected;
       }
       open_ = true;
     }
     const auto written =
-      Await([&](auto aDone) { http::async_write(stream_, aRequest, std::move(aDone)); });
+      RunOperation([&](auto aDone) { http::async_write(stream_, aMessage, std::move(aDone)); });
     if (written) {
       return written;
     }
-    aStage = ErrorCode::kTruncatedAnswer;
-    return Await(
+    aFailureCode = ErrorCode::kTruncatedAnswer;
+    return RunOperation(
       [&](auto aDone) { http::async_read(stream_, buffer_, aParser, std::move(aDone)); });
   }
 
@@ -97,44 +99,44 @@
 
 HttpSession::~HttpSession() = default;
 
-Result<FetchResponse> HttpSession::Fetch(const FetchRequest& aQuery, bool aKeep)
+Result<FetchResponse> HttpSession::Fetch(const FetchRequest& aRequest, bool aKeepAlive)
 {
   http::request<http::string_body> request;
-  request.method_string(aQuery.method_);
-  request.target(aQuery.target_);
+  request.method_string(aRequest.method_);
+  request.target(aRequest.target_);
   request.version(11);
   request.set(http::field::host, state_->server_.ip_);
-  for (const auto& [name, value] : aQuery.headers_) {
+  for (const auto& [name, value] : aRequest.headers_) {
     request.set(name, value);
   }
-  request.body() = aQuery.body_;
+  request.body() = aRequest.body_;
   request.prepare_payload();
-  request.keep_alive(aKeep);
+  request.keep_alive(aKeepAlive);
   http::response_parser<http::string_body> parser;
   parser.body_limit(std::uint64_t{ 1 } << 30U);
-  state_->stream_.expires_after(aQuery.timeout_);
+  state_->stream_.expires_after(aRequest.timeout_);
   ErrorCode stage = ErrorCode::kTargetUnreachable;
   const error_code error = state_->Exchange(request, parser, stage);
   if (error) {
     state_->Close();
     const auto code = error == beast::error::timeout ? ErrorCode::kDeadlineExceeded : stage;
-    return Fail(code, aQuery.target_, error.message());
+    return Fail(code, aRequest.target_, error.message());
   }
-  if (!parser.keep_alive() || !aKeep) {
+  if (!parser.keep_alive() || !aKeepAlive) {
     state_->Close();
   }
-  FetchResponse reply;
-  reply.status_ = parser.get().result_int();
+  FetchResponse response;
+  response.status_ = parser.get().result_int();
   for (const auto& field : parser.get()) {
-    reply.headers_[LowerCase(std::string(field.name_string()))] = std::string(field.value());
+    response.headers_[LowerCase(std::string(field.name_string()))] = std::string(field.value());
   }
-  reply.body_ = std::move(parser.get().body());
-  return reply;
+  response.body_ = std::move(parser.get().body());
+  return response;
 }
 
-Result<FetchResponse> FetchHttp(const Address& aServer, const FetchRequest& aQuery)
+Result<FetchResponse> FetchHttp(const Address& aServer, const FetchRequest& aRequest)
 {
-  return HttpSession(aServer).Fetch(aQuery, false);
+  return HttpSession(aServer).Fetch(aRequest, false);
 }
 
 } // namespace peridotquay::standins
