--- a/standins/lib/HistoryCheck.cpp
+++ b/standins/lib/HistoryCheck.cpp
@@ -85,7 +85,7 @@
         Note(result, HistoryProperty::kRunsAtMostOnce, execution.requestId_);
       }
     }
-    if (execution.keySeen_) {
+    if (execution.hasKeyHeader_) {
       Note(result, HistoryProperty::kNoKeySeen, execution.id_);
     }
     if (execution.wrongDeeperAnswers_ > 0) {
--- a/standins/lib/LoadRunner.cpp
+++ b/standins/lib/LoadRunner.cpp
@@ -168,7 +168,7 @@
     }
     boost::beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(kMaxTargetBody * 2);
+    parser.body_limit(kMaxTargetBodyBytes * 2);
     co_await http::async_read(
       *socket, buffer, parser, asio::redirect_error(asio::use_awaitable, failure));
     if (failure) {
@@ -223,7 +223,7 @@
                                        TimePoint aEnd) const
   {
     const LoadClass& kind = plan_.classes_[aArrival.class_];
-    const std::string target = WithQuery(kind.path_, "tag", aTag);
+    const std::string target = WithQueryParameter(kind.path_, "tag", aTag);
     const auto verb = kind.repeatable_ ? http::verb::get : http::verb::post;
     auto message = std::make_shared<Message>(verb, target, 11);
     message->set(http::field::host, "fleet");
@@ -296,7 +296,8 @@
       const std::string_view target(message->target());
       const bool right =
         exchange.status_ != 200 ||
-        exchange.body_ == TargetBody(target, message->body(), BodyLength(target, kAnswerBytes));
+        exchange.body_ ==
+          TargetBody(target, message->body(), RequestedBodyLength(target, kAnswerBytes));
       allNotRun = allNotRun && exchange.outcome_ == "not-run";
       NoteCall(
         { tag, id, exchange.outcome_, exchange.status_, right, plan_.budget_ }, attempt, allNotRun);
--- a/standins/lib/PlatformServer.cpp
+++ b/standins/lib/PlatformServer.cpp
@@ -176,7 +176,7 @@
   state_->thread_.join();
 }
 
-Address PlatformServer::Bound() const
+Address PlatformServer::BoundAddress() const
 {
   return state_->bound_;
 }
--- a/standins/lib/PlatformServer.h
+++ b/standins/lib/PlatformServer.h
@@ -31,7 +31,7 @@
   ~PlatformServer();
 
   /// The address that it is bound to.
-  Address Bound() const;
+  Address BoundAddress() const;
   /// Replaces the faults; in force when it returns.
   void SetFaults(const PlatformFaults& aFaults);
   PlatformFaults Faults() const;
--- a/standins/lib/TargetBody.cpp
+++ b/standins/lib/TargetBody.cpp
@@ -33,7 +33,7 @@
 {
   static constexpr std::string_view kDigits = "0123456789abcdef";
   const std::uint64_t seed = Hash(aBody, Hash("\n", Hash(aTarget, 0xCBF29CE484222325ULL)));
-  std::string body(std::min(aLength, kMaxTargetBody), '0');
+  std::string body(std::min(aLength, kMaxTargetBodyBytes), '0');
   std::uint64_t block = 0;
   for (std::size_t i = 0; i < body.size(); ++i) {
     if (i % 16 == 0) {
@@ -60,18 +60,20 @@
   return {};
 }
 
-std::size_t BodyLength(std::string_view aTarget, std::size_t aDefault)
+std::size_t RequestedBodyLength(std::string_view aTarget, std::size_t aDefault)
 {
   const std::string_view text = QueryValue(aTarget, "length");
   std::size_t length = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), length);
   if (text.empty() || parsed.ec != std::errc()) {
-    return std::min(aDefault, kMaxTargetBody);
+    return std::min(aDefault, kMaxTargetBodyBytes);
   }
-  return std::min(length, kMaxTargetBody);
+  return std::min(length, kMaxTargetBodyBytes);
 }
 
-std::string WithQuery(std::string_view aTarget, std::string_view aName, std::string_view aValue)
+std::string WithQueryParameter(std::string_view aTarget,
+                               std::string_view aName,
+                               std::string_view aValue)
 {
   std::string target(aTarget);
   target += aTarget.find('?') == std::string_view::npos ? '?' : '&';
--- a/standins/lib/TargetExecution.cpp
+++ b/standins/lib/TargetExecution.cpp
@@ -15,10 +15,10 @@
                      { "client_account", entry.clientAccount_ },
                      { "importance", entry.importance_ },
                      { "retry_budget", entry.retryBudget_ },
-                     { "key_seen", entry.keySeen_ },
-                     { "call_seen", entry.callSeen_ },
+                     { "key_seen", entry.hasKeyHeader_ },
+                     { "call_seen", entry.hasCallHeader_ },
                      { "wrong_deeper_answers", entry.wrongDeeperAnswers_ },
-                     { "end", static_cast<int>(entry.end_) },
+                     { "end", static_cast<int>(entry.executionStatus_) },
                      { "start_us", entry.startUs_ },
                      { "end_us", entry.endUs_ } });
   }
@@ -41,10 +41,10 @@
       entry.clientAccount_ = item.at("client_account");
       entry.importance_ = item.at("importance");
       entry.retryBudget_ = item.at("retry_budget");
-      entry.keySeen_ = item.at("key_seen");
-      entry.callSeen_ = item.at("call_seen");
+      entry.hasKeyHeader_ = item.at("key_seen");
+      entry.hasCallHeader_ = item.at("call_seen");
       entry.wrongDeeperAnswers_ = item.at("wrong_deeper_answers");
-      entry.end_ = static_cast<ExecutionEnd>(item.at("end").get<int>());
+      entry.executionStatus_ = static_cast<ExecutionStatus>(item.at("end").get<int>());
       entry.startUs_ = item.at("start_us");
       entry.endUs_ = item.at("end_us");
       executions.push_back(std::move(entry));
--- a/standins/lib/TargetExecution.h
+++ b/standins/lib/TargetExecution.h
@@ -11,15 +11,15 @@
 namespace peridotquay::standins {
 
 /// How a request at a target ended.
-enum class ExecutionEnd : std::uint8_t
+enum class ExecutionStatus : std::uint8_t
 {
   kRunning,
-  kAnswered,    ///< Whole answer written.
-  kRefused,     ///< 503 "not run"; never started.
-  kCancelled,   ///< The caller closed the connection.
-  kExpired,     ///< Its deadline passed while it ran.
-  kDeeperError, ///< A deeper call failed; answered with 502 or 504.
-  kDropped      ///< The answer was cut by a fault.
+  kAnswered,         ///< Whole answer written.
+  kRefused,          ///< 503 "not run"; never started.
+  kCancelled,        ///< The caller closed the connection.
+  kExpired,          ///< Its deadline passed while it ran.
+  kDeeperCallFailed, ///< A deeper call failed; answered with 502 or 504.
+  kAnswerTruncated   ///< The answer was cut by a fault.
 };
 
 /// A request as the target saw it. Times are microseconds of the machine's monotonic clock, so logs
@@ -32,16 +32,16 @@
   std::string clientAccount_;
   std::string importance_;
   std::string retryBudget_;              ///< Header Quay-Retry-Budget as seen.
-  bool keySeen_ = false;                 ///< Whether a header Quay-Key arrived.
-  bool callSeen_ = false;                ///< Whether a header Quay-Call arrived.
+  bool hasKeyHeader_ = false;            ///< Whether a header Quay-Key arrived.
+  bool hasCallHeader_ = false;           ///< Whether a header Quay-Call arrived.
   std::uint32_t wrongDeeperAnswers_ = 0; ///< Deeper answers with status 200 and a wrong body.
-  ExecutionEnd end_ = ExecutionEnd::kRunning;
+  ExecutionStatus executionStatus_ = ExecutionStatus::kRunning;
   std::int64_t startUs_ = 0;
   std::int64_t endUs_ = 0; ///< 0 while running.
   bool operator==(const TargetExecution&) const = default;
 
   /// Whether any work was done.
-  bool Started() const { return end_ != ExecutionEnd::kRefused; }
+  bool Started() const { return executionStatus_ != ExecutionStatus::kRefused; }
 };
 
 /// JSON array of the entries.
--- a/standins/lib/TargetServer.cpp
+++ b/standins/lib/TargetServer.cpp
@@ -220,7 +220,7 @@
   bool open = true;
   while (open && acceptor_.is_open()) {
     http::request_parser<http::string_body> parser;
-    parser.body_limit(kMaxTargetBody * 2);
+    parser.body_limit(kMaxTargetBodyBytes * 2);
     co_await http::async_read(
       *aSocket, buffer, parser, asio::redirect_error(asio::use_awaitable, failure));
     if (failure) {
@@ -296,7 +296,7 @@
   if (reason == nullptr) {
     return std::nullopt;
   }
-  Log(aRequest, ExecutionEnd::kRefused).endUs_ = NowUs();
+  Log(aRequest, ExecutionStatus::kRefused).endUs_ = NowUs();
   auto response =
     MakeResponse(aRequest,
                  503,
@@ -305,7 +305,7 @@
   return response;
 }
 
-TargetExecution& TargetServer::Log(const Request& aRequest, ExecutionEnd aEnd)
+TargetExecution& TargetServer::Log(const Request& aRequest, ExecutionStatus aEnd)
 {
   TargetExecution entry;
   entry.id_ = settings_.name_ + "-" + std::to_string(nextExecution_++);
@@ -314,14 +314,14 @@
   entry.clientAccount_ = HeaderValue(aRequest, "Quay-Client-Account");
   entry.importance_ = HeaderValue(aRequest, "Quay-Importance");
   entry.retryBudget_ = HeaderValue(aRequest, "Quay-Retry-Budget");
-  entry.keySeen_ = aRequest.find("Quay-Key") != aRequest.end();
-  entry.callSeen_ = aRequest.find("Quay-Call") != aRequest.end();
-  entry.end_ = aEnd;
+  entry.hasKeyHeader_ = aRequest.find("Quay-Key") != aRequest.end();
+  entry.hasCallHeader_ = aRequest.find("Quay-Call") != aRequest.end();
+  entry.executionStatus_ = aEnd;
   entry.startUs_ = NowUs();
   executions_.push_back(std::move(entry));
   // Entries of running requests stay: their coroutines hold a pointer.
   while (executions_.size() > settings_.maxExecutions_ &&
-         executions_.front().end_ != ExecutionEnd::kRunning) {
+         executions_.front().executionStatus_ != ExecutionStatus::kRunning) {
     executions_.pop_front();
     ++droppedExecutions_;
   }
@@ -355,7 +355,7 @@
     co_return Worked{ std::move(*refusal) };
   }
   const auto running = std::make_shared<Running>(context_);
-  running->entry_ = &Log(aRequest, ExecutionEnd::kRunning);
+  running->entry_ = &Log(aRequest, ExecutionStatus::kRunning);
   const std::string deadline = HeaderValue(aRequest, "Quay-Deadline-Ms");
   if (!deadline.empty()) {
     running->deadline_ =
@@ -387,15 +387,15 @@
     const std::string call = HeaderValue(aRequest, "Quay-Call");
     const std::string_view own(aRequest.target().data(), aRequest.target().size());
     const std::string tag(QueryValue(own, "tag"));
-    for (const std::string& path : settings_.deeper_) {
+    for (const std::string& path : settings_.deeperPaths_) {
       if (running->cancelled_ || running->expired_ || running->worstDeeper_ != 200) {
         break;
       }
       std::string target = path;
       if (!tag.empty()) {
-        target = WithQuery(target, "tag", tag);
+        target = WithQueryParameter(target, "tag", tag);
       }
-      target = WithQuery(target, "from", running->entry_->id_);
+      target = WithQueryParameter(target, "from", running->entry_->id_);
       ++running->pendingDeeper_;
       if (!settings_.parallel_) {
         // Named, because g++ 12 destroys temporaries in co_await arguments twice.
@@ -423,13 +423,13 @@
   entry.endUs_ = NowUs();
   Worked worked;
   if (running->cancelled_ || !aSocket->is_open()) {
-    entry.end_ = ExecutionEnd::kCancelled;
+    entry.executionStatus_ = ExecutionStatus::kCancelled;
     worked.cancelled_ = true;
   } else if (running->expired_) {
-    entry.end_ = ExecutionEnd::kExpired;
+    entry.executionStatus_ = ExecutionStatus::kExpired;
     worked.response_ = MakeResponse(aRequest, 504, R"({"error":{"type":"deadline-exceeded"}})");
   } else if (running->worstDeeper_ != 200) {
-    entry.end_ = ExecutionEnd::kDeeperError;
+    entry.executionStatus_ = ExecutionStatus::kDeeperCallFailed;
     worked.response_ = MakeResponse(aRequest,
                                     running->worstDeeper_ == 504 ? 504 : 502,
                                     R"({"error":{"type":"deeper-call","status":)" +
@@ -439,13 +439,14 @@
     if (worked.drop_) {
       --faults_.dropAnswers_;
     }
-    entry.end_ = worked.drop_ ? ExecutionEnd::kDropped : ExecutionEnd::kAnswered;
+    entry.executionStatus_ =
+      worked.drop_ ? ExecutionStatus::kAnswerTruncated : ExecutionStatus::kAnswered;
     const std::string_view target(aRequest.target().data(), aRequest.target().size());
-    worked.response_ =
-      MakeResponse(aRequest,
-                   200,
-                   TargetBody(target, aRequest.body(), BodyLength(target, settings_.answerBytes_)),
-                   "text/plain");
+    worked.response_ = MakeResponse(
+      aRequest,
+      200,
+      TargetBody(target, aRequest.body(), RequestedBodyLength(target, settings_.answerBytes_)),
+      "text/plain");
   }
   co_return worked;
 }
@@ -494,7 +495,7 @@
   aRunning.finished_ = true;
   aRunning.deadlineTimer_.cancel();
   aSocket->cancel(ignored);
-  aRunning.entry_->end_ = ExecutionEnd::kRefused;
+  aRunning.entry_->executionStatus_ = ExecutionStatus::kRefused;
   aRunning.entry_->endUs_ = NowUs();
   Worked worked;
   worked.cancelled_ = aRunning.cancelled_ || !aSocket->is_open();
@@ -548,7 +549,7 @@
       *socket, request, asio::redirect_error(asio::use_awaitable, failure));
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(kMaxTargetBody * 2);
+    parser.body_limit(kMaxTargetBodyBytes * 2);
     if (!failure) {
       co_await http::async_read(
         *socket, buffer, parser, asio::redirect_error(asio::use_awaitable, failure));
@@ -557,7 +558,8 @@
       const auto& answer = parser.get();
       status = answer.result_int();
       if (status == 200 &&
-          answer.body() != TargetBody(aTarget, "", BodyLength(aTarget, settings_.answerBytes_))) {
+          answer.body() !=
+            TargetBody(aTarget, "", RequestedBodyLength(aTarget, settings_.answerBytes_))) {
         ++aRunning->entry_->wrongDeeperAnswers_;
         status = 502;
       }
--- a/standins/lib/TargetServer.h
+++ b/standins/lib/TargetServer.h
@@ -102,7 +102,7 @@
   std::optional<Response> Refusal(const Request& aRequest);
   Response OwnAnswer(const Request& aRequest);
   Response PostFaults(const Request& aRequest);
-  TargetExecution& Log(const Request& aRequest, ExecutionEnd aEnd);
+  TargetExecution& Log(const Request& aRequest, ExecutionStatus aEnd);
   Duration DrawServiceTime();
   std::string State() const;
   void Sample();
--- a/standins/lib/TargetSettings.h
+++ b/standins/lib/TargetSettings.h
@@ -34,14 +34,14 @@
   Duration serviceTime_ = milliseconds(10); ///< Mean.
   ServiceTimes serviceTimes_ = ServiceTimes::kFixed;
   std::uint64_t seed_ = 1;
-  Duration coldFor_{};                  ///< Time after the start in state "cold".
-  double coldFactor_ = 3;               ///< Service time factor while cold, falling linearly to 1.
-  std::optional<Address> outbound_;     ///< The node's address for deeper calls.
-  std::vector<std::string> deeper_;     ///< Paths called through outbound_ by every request.
-  bool parallel_ = false;               ///< Deeper calls at the same time instead of one by one.
-  Duration reportLag_{};                ///< Age of what /health and /load report.
-  std::size_t answerBytes_ = 64;        ///< Body length if the query gives none.
-  std::size_t maxExecutions_ = 500'000; ///< Older entries of the log are dropped and counted.
+  Duration coldFor_{};                   ///< Time after the start in state "cold".
+  double coldFactor_ = 3;                ///< Service time factor while cold, falling linearly to 1.
+  std::optional<Address> outbound_;      ///< The node's address for deeper calls.
+  std::vector<std::string> deeperPaths_; ///< Paths called through outbound_ by every request.
+  bool parallel_ = false;                ///< Deeper calls at the same time instead of one by one.
+  Duration reportLag_{};                 ///< Age of what /health and /load report.
+  std::size_t answerBytes_ = 64;         ///< Body length if the query gives none.
+  std::size_t maxExecutions_ = 500'000;  ///< Older entries of the log are dropped and counted.
 };
 
 /// Faults that can be changed while the target runs. All default to "no fault".
--- a/standins/lib/UserStore.cpp
+++ b/standins/lib/UserStore.cpp
@@ -69,7 +69,7 @@
   compacted_ = ++version_;
 }
 
-std::size_t UserStore::Rows(const std::string& aTable)
+std::size_t UserStore::RowCount(const std::string& aTable)
 {
   const std::lock_guard lock(mutex_);
   std::size_t count = 0;
@@ -83,7 +83,7 @@
 {
   ++calls_;
   const std::string& path = aExchange->request_.path_;
-  if (fault_ == UserStoreFault::kDown) {
+  if (fault_ == UserStoreFault::kUnavailable) {
     aExchange->Respond({ 503, {}, "", std::nullopt });
   } else if (fault_ == UserStoreFault::kSilent) {
     unanswered_.push_back(aExchange);
@@ -157,7 +157,7 @@
   for (const auto& entry : json.value("remove", nlohmann::json::array())) {
     rows_[{ entry.at("table"), entry.at("key") }] = { "", version_, true };
   }
-  if (fault_ == UserStoreFault::kLosesWrites) {
+  if (fault_ == UserStoreFault::kLoseWriteAnswers) {
     unanswered_.push_back(aExchange);
     return;
   }
--- a/standins/lib/UserStore.h
+++ b/standins/lib/UserStore.h
@@ -21,9 +21,9 @@
 enum class UserStoreFault : std::uint8_t
 {
   kNone,
-  kDown,        ///< Answers 503; nothing is done.
-  kLosesWrites, ///< Writes are done and not answered.
-  kSilent       ///< Nothing is answered.
+  kUnavailable,      ///< Answers 503; nothing is done.
+  kLoseWriteAnswers, ///< Writes are done and not answered.
+  kSilent            ///< Nothing is answered.
 };
 
 /// Serves on its own thread from construction to destruction.
@@ -42,11 +42,11 @@
   /// Drops the history of watches.
   void Compact();
   /// Calls so far.
-  std::uint64_t Calls() const { return calls_; }
+  std::uint64_t CallCount() const { return calls_; }
   /// Reads of the operator's document so far.
   std::uint64_t DocumentReads() const { return documentReads_; }
   /// Rows of a table that exist.
-  std::size_t Rows(const std::string& aTable);
+  std::size_t RowCount(const std::string& aTable);
 
 private:
   struct Row
--- a/standins/lib/UserTarget.cpp
+++ b/standins/lib/UserTarget.cpp
@@ -45,7 +45,7 @@
   return front_->Port();
 }
 
-std::vector<HttpRequest> UserTarget::Ran()
+std::vector<HttpRequest> UserTarget::StartedRequests()
 {
   const std::lock_guard lock(mutex_);
   return ran_;
--- a/standins/lib/UserTarget.h
+++ b/standins/lib/UserTarget.h
@@ -27,12 +27,12 @@
 
   std::uint16_t Port() const;
   /// Each request takes so long.
-  void SetWork(Duration aWork) { work_ = aWork; }
+  void SetServiceTime(Duration aWork) { work_ = aWork; }
   /// Part of answers that are lost after the request ran: one in so many; 0 for none.
-  void LoseOneIn(unsigned aCount) { loseOneIn_ = aCount; }
+  void LoseOneAnswerIn(unsigned aCount) { loseOneIn_ = aCount; }
   void SetDraining() { draining_ = true; }
   /// Requests that it began to run, in order.
-  std::vector<HttpRequest> Ran();
+  std::vector<HttpRequest> StartedRequests();
 
 private:
   void OnRequest(const std::shared_ptr<HttpExchange>& aExchange);
--- a/standins/standin_platform.cpp
+++ b/standins/standin_platform.cpp
@@ -69,7 +69,7 @@
     std::cerr << Describe(server.assume_error()) << "\n";
     return 1;
   }
-  const auto bound = server.assume_value()->Bound();
+  const auto bound = server.assume_value()->BoundAddress();
   if (!WritePortFile(absl::GetFlag(FLAGS_port_file), bound.port_)) {
     std::cerr << "can't write " << absl::GetFlag(FLAGS_port_file) << "\n";
     return 1;
--- a/standins/standin_target.cpp
+++ b/standins/standin_target.cpp
@@ -67,7 +67,7 @@
     settings.outbound_ = { "127.0.0.1",
                            static_cast<std::uint16_t>(absl::GetFlag(FLAGS_outbound_port)) };
   }
-  settings.deeper_ = absl::GetFlag(FLAGS_deeper);
+  settings.deeperPaths_ = absl::GetFlag(FLAGS_deeper);
   settings.parallel_ = absl::GetFlag(FLAGS_parallel);
   settings.reportLag_ = FromSeconds(absl::GetFlag(FLAGS_report_lag_s));
 
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -38,7 +38,7 @@
   {
     PlatformClientSettings settings;
     settings.addresses_ = std::move(aOthers);
-    settings.addresses_.push_back(server_->Bound());
+    settings.addresses_.push_back(server_->BoundAddress());
     settings.requestTimeout_ = milliseconds(400);
     return MakePlatformClient(settings);
   }
@@ -438,7 +438,7 @@
   BlockingHttp http(seconds(1), 65536);
   const auto post = [&](const char* aBody) {
     return http
-      .Send(bench.server_->Bound(), { "POST", "/faults", aBody }, Clock::now() + seconds(1))
+      .Send(bench.server_->BoundAddress(), { "POST", "/faults", aBody }, Clock::now() + seconds(1))
       .status_;
   };
   CHECK(post(R"({"outage":"refuse","delay_ms":5})") == 200);
@@ -455,7 +455,7 @@
 {
   Bench bench;
   const std::string quayctl = std::string(PQ_BINARY_DIR) + "/quayctl ";
-  const auto bound = bench.server_->Bound();
+  const auto bound = bench.server_->BoundAddress();
   const auto platform = " --platform=" + bound.ip_ + ":" + std::to_string(bound.port_);
   const auto write = platform + " --operator=test ";
   const auto foundry = ExampleDirectory("foundry");
--- a/tests/failure/UserFleet.h
+++ b/tests/failure/UserFleet.h
@@ -113,7 +113,7 @@
   bool WaitReady()
   {
     for (int i = 0; i < 1000; ++i) {
-      bool ready = store_.Rows("quay_hosts") == hosts_.size();
+      bool ready = store_.RowCount("quay_hosts") == hosts_.size();
       for (std::size_t host = 0; ready && host < hosts_.size(); ++host) {
         ready = Ready(host) == 200;
       }
@@ -170,7 +170,7 @@
   {
     std::map<std::string, int> runs;
     for (auto& host : hosts_) {
-      for (const auto& request : host->target_->Ran()) {
+      for (const auto& request : host->target_->StartedRequests()) {
         ++runs[std::string(FindHeader(request.headers_, "X-Request-Id").value_or(""))];
       }
     }
--- a/tests/failure/UserFleetTest.cpp
+++ b/tests/failure/UserFleetTest.cpp
@@ -35,7 +35,7 @@
 {
   UserFleet fleet(16);
   REQUIRE(fleet.WaitReady());
-  const std::uint64_t calls = fleet.Store().Calls();
+  const std::uint64_t calls = fleet.Store().CallCount();
   std::atomic<int> served{ 0 };
   std::vector<std::thread> clients;
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
@@ -59,7 +59,7 @@
     CHECK(count == 1);
   }
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
-    for (const auto& request : fleet.TargetOf(host).Ran()) {
+    for (const auto& request : fleet.TargetOf(host).StartedRequests()) {
       CHECK_FALSE(FindHeader(request.headers_, "Authorization"));
       const std::string id(*FindHeader(request.headers_, "X-Request-Id"));
       const std::size_t origin = std::stoul(id);
@@ -69,7 +69,7 @@
     }
   }
   // A quiet host makes a proof of freshness every 2.8 s and two watches every 20 s.
-  CHECK(fleet.Store().Calls() - calls < 16 * 8);
+  CHECK(fleet.Store().CallCount() - calls < 16 * 8);
 }
 
 // Guards against unknown routes and keys that are served, and known ones that are refused.
@@ -123,15 +123,15 @@
 {
   UserFleet fleet(8);
   REQUIRE(fleet.WaitReady());
-  fleet.Store().SetFault(UserStoreFault::kDown);
+  fleet.Store().SetFault(UserStoreFault::kUnavailable);
   fleet.TargetOf(0).SetDraining();
   REQUIRE(Eventually([&] { return fleet.Log(0).find("TargetDraining") != std::string::npos; },
                      seconds(2)));
-  const std::size_t before = fleet.TargetOf(0).Ran().size();
+  const std::size_t before = fleet.TargetOf(0).StartedRequests().size();
   for (int i = 0; i < 40; ++i) {
     CHECK(fleet.Ask(static_cast<std::size_t>(i) % 8, "/read/1", std::to_string(i)).status_ == 200);
   }
-  CHECK(fleet.TargetOf(0).Ran().size() == before);
+  CHECK(fleet.TargetOf(0).StartedRequests().size() == before);
 }
 
 // Guards against requests that a planned stop or a reload cuts, and against a host that says it is
@@ -141,7 +141,7 @@
   UserFleet fleet(8);
   REQUIRE(fleet.WaitReady());
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
-    fleet.TargetOf(host).SetWork(milliseconds(300));
+    fleet.TargetOf(host).SetServiceTime(milliseconds(300));
   }
   std::atomic<bool> ending{ false };
   std::atomic<int> lost{ 0 };
@@ -184,7 +184,7 @@
   UserFleet fleet(4);
   REQUIRE(fleet.WaitReady());
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
-    fleet.TargetOf(host).LoseOneIn(3);
+    fleet.TargetOf(host).LoseOneAnswerIn(3);
   }
   std::map<std::string, unsigned> status;
   std::vector<std::thread> clients;
@@ -242,12 +242,12 @@
   CHECK(fleet.Ask(0, "/read/1", "refused", "unknown").status_ == 401);
   CHECK(explains("refused", { "RequestRefused", "reason=unknown-key", "version=1", "fresh_ms=" }));
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
-    fleet.TargetOf(host).LoseOneIn(1);
+    fleet.TargetOf(host).LoseOneAnswerIn(1);
   }
   CHECK(fleet.Ask(0, "/write/1", "unknown").status_ == 504);
   CHECK(explains("unknown",
                  { "CallEnded", "target=i-h", "RequestEnded", "outcome=unknown", "queue_ms=" }));
-  fleet.Store().SetFault(UserStoreFault::kDown);
+  fleet.Store().SetFault(UserStoreFault::kUnavailable);
   std::this_thread::sleep_for(milliseconds(5100));
   CHECK(fleet.Ask(0, "/read/1", "outage").status_ == 503);
   CHECK(explains("outage", { "RequestRefused", "reason=configuration-not-fresh" }));
@@ -279,7 +279,7 @@
   // Open watches end with the next change.
   fleet.Store().Put("op", "config", UserDocument(2, { "k1", "k2" }).dump());
   std::this_thread::sleep_for(milliseconds(500));
-  const std::uint64_t calls = fleet.Store().Calls();
+  const std::uint64_t calls = fleet.Store().CallCount();
   auto document = UserDocument(3, { "k1" });
   fleet.Store().Put("op", "config", document.dump());
   const auto refused = [&](std::size_t aHost) {
@@ -291,7 +291,7 @@
     CHECK(refused(host));
   }
   // Four readers take the change and prove it.
-  CHECK(fleet.Store().Calls() - calls < 4 * 8);
+  CHECK(fleet.Store().CallCount() - calls < 4 * 8);
   for (const std::size_t reader : { 0, 1, 10, 11 }) {
     CHECK_FALSE(followed(reader));
     fleet.ProcessOf(reader).Signal(SIGSTOP);
@@ -363,7 +363,7 @@
 {
   UserFleet fleet(8);
   REQUIRE(fleet.WaitReady());
-  fleet.Store().SetFault(UserStoreFault::kLosesWrites);
+  fleet.Store().SetFault(UserStoreFault::kLoseWriteAnswers);
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
     fleet.ProcessOf(host).Signal(SIGKILL);
   }
@@ -375,7 +375,8 @@
   }
   fleet.Store().SetFault(UserStoreFault::kNone);
   fleet.Store().Compact();
-  CHECK(Eventually([&] { return fleet.Store().Rows("quay_hosts") == fleet.Size(); }, seconds(3)));
+  CHECK(
+    Eventually([&] { return fleet.Store().RowCount("quay_hosts") == fleet.Size(); }, seconds(3)));
   fleet.Store().Put("op", "config", UserDocument(9, { "k2" }).dump());
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
     CHECK(
--- a/tests/process/ControlPlaneTest.cpp
+++ b/tests/process/ControlPlaneTest.cpp
@@ -151,7 +151,7 @@
 {
   auto server = PlatformServer::Start({});
   REQUIRE(server.has_value());
-  const auto address = server.assume_value()->Bound();
+  const auto address = server.assume_value()->BoundAddress();
   auto platform = MakePlatformClient({ { address } });
   Commit(*platform,
          1,
--- a/tests/soak/SoakTest.cpp
+++ b/tests/soak/SoakTest.cpp
@@ -129,10 +129,10 @@
       aFleet.Store().Compact();
       break;
     case 6:
-      aFleet.TargetOf(host).LoseOneIn(static_cast<unsigned>(aRandom() % 5));
+      aFleet.TargetOf(host).LoseOneAnswerIn(static_cast<unsigned>(aRandom() % 5));
       break;
     case 7:
-      aFleet.TargetOf(host).SetWork(milliseconds(5 + aRandom() % 400));
+      aFleet.TargetOf(host).SetServiceTime(milliseconds(5 + aRandom() % 400));
       break;
     default:
       // Links misbehave until the end of the next fault of the same link, or of the run.
@@ -156,8 +156,8 @@
     for (const bool store : { true, false }) {
       aFleet.LinksOf(host).Set(store, R"({"cut":false,"cut_answers":false,"delay_ms":0})");
     }
-    aFleet.TargetOf(host).LoseOneIn(0);
-    aFleet.TargetOf(host).SetWork(milliseconds(5));
+    aFleet.TargetOf(host).LoseOneAnswerIn(0);
+    aFleet.TargetOf(host).SetServiceTime(milliseconds(5));
     if (aDown[host]) {
       aFleet.Restart(host);
     }
--- a/tests/standins/HistoryTest.cpp
+++ b/tests/standins/HistoryTest.cpp
@@ -21,7 +21,7 @@
   execution.id_ = std::move(aId);
   execution.path_ = std::move(aPath);
   execution.requestId_ = std::move(aRequestId);
-  execution.end_ = ExecutionEnd::kAnswered;
+  execution.executionStatus_ = ExecutionStatus::kAnswered;
   return execution;
 }
 
@@ -38,7 +38,7 @@
                           Execution("c-1", "/deep?tag=1.0&from=a-1"),
                           Execution("a-2", "/top?tag=3.0", "id-3"),
                           Execution("a-3", "/top?tag=2.0") };
-  history.executions_.back().end_ = ExecutionEnd::kRefused;
+  history.executions_.back().executionStatus_ = ExecutionStatus::kRefused;
   return history;
 }
 
@@ -76,14 +76,14 @@
     aHistory.executions_.push_back(Execution("d-1", "/top", "id-1"));
   });
   CheckFailsOnly(HistoryProperty::kNotRunIsTrue, [](History& aHistory) {
-    aHistory.executions_.back().end_ = ExecutionEnd::kCancelled;
+    aHistory.executions_.back().executionStatus_ = ExecutionStatus::kCancelled;
   });
   CheckFailsOnly(HistoryProperty::kUnknownIs504,
                  [](History& aHistory) { aHistory.calls_[2].status_ = 502; });
   CheckFailsOnly(HistoryProperty::kUnknownIs504,
                  [](History& aHistory) { aHistory.calls_[2].outcome_ = "ran"; });
   CheckFailsOnly(HistoryProperty::kNoKeySeen,
-                 [](History& aHistory) { aHistory.executions_[1].keySeen_ = true; });
+                 [](History& aHistory) { aHistory.executions_[1].hasKeyHeader_ = true; });
   CheckFailsOnly(HistoryProperty::kOwnAnswer,
                  [](History& aHistory) { aHistory.calls_[0].rightBody_ = false; });
   CheckFailsOnly(HistoryProperty::kOwnAnswer,
@@ -94,7 +94,7 @@
   // A refused attempt is an attempt.
   CheckFailsOnly(HistoryProperty::kWithinBudget, [](History& aHistory) {
     aHistory.executions_.push_back(Execution("d-1", "/deep?tag=1.0&from=a-1"));
-    aHistory.executions_.back().end_ = ExecutionEnd::kRefused;
+    aHistory.executions_.back().executionStatus_ = ExecutionStatus::kRefused;
   });
 }
 
--- a/tests/standins/LoadRunnerTest.cpp
+++ b/tests/standins/LoadRunnerTest.cpp
@@ -43,7 +43,7 @@
     TargetSettings top = deep;
     top.name_ = "top";
     top.outbound_ = Address{ "127.0.0.1", deep_->Port() };
-    top.deeper_ = { "/deep/work" };
+    top.deeperPaths_ = { "/deep/work" };
     top_ = std::make_shared<TargetServer>(context_, top);
     REQUIRE(top_->Start().has_value());
     address_ = { "127.0.0.1", top_->Port() };
--- a/tests/standins/TargetTest.cpp
+++ b/tests/standins/TargetTest.cpp
@@ -93,9 +93,9 @@
   CHECK(TargetBody("/a", "x", 100).size() == 100);
   CHECK(QueryValue("/a?tag=1&from=b&length=7", "from") == "b");
   CHECK(QueryValue("/a?xtag=1", "tag").empty());
-  CHECK(BodyLength("/a?length=7", 64) == 7);
-  CHECK(BodyLength("/a?length=99999999", 64) == kMaxTargetBody);
-  CHECK(WithQuery(WithQuery("/a", "b", "c"), "d", "e") == "/a?b=c&d=e");
+  CHECK(RequestedBodyLength("/a?length=7", 64) == 7);
+  CHECK(RequestedBodyLength("/a?length=99999999", 64) == kMaxTargetBodyBytes);
+  CHECK(WithQueryParameter(WithQueryParameter("/a", "b", "c"), "d", "e") == "/a?b=c&d=e");
 }
 
 // Guards against a log that lacks what the history checks need.
@@ -117,9 +117,9 @@
   CHECK(log[0].path_ == "/stock?length=200&tag=7");
   CHECK(log[0].clientAccount_ == "kaya");
   CHECK(log[0].retryBudget_ == "2");
-  CHECK(log[0].keySeen_);
-  CHECK_FALSE(log[0].callSeen_);
-  CHECK(log[0].end_ == ExecutionEnd::kAnswered);
+  CHECK(log[0].hasKeyHeader_);
+  CHECK_FALSE(log[0].hasCallHeader_);
+  CHECK(log[0].executionStatus_ == ExecutionStatus::kAnswered);
   CHECK(log[0].endUs_ > log[0].startUs_);
   CHECK(ParseExecutions(WriteExecutions(log)).assume_value() == log);
 }
@@ -143,8 +143,8 @@
   target.AwaitInUse(0);
   const auto log = target.Executions();
   REQUIRE(log.size() == 2);
-  CHECK(log[0].end_ == ExecutionEnd::kCancelled);
-  CHECK(log[1].end_ == ExecutionEnd::kRefused);
+  CHECK(log[0].executionStatus_ == ExecutionStatus::kCancelled);
+  CHECK(log[1].executionStatus_ == ExecutionStatus::kRefused);
   CHECK_FALSE(log[1].Started());
 }
 
@@ -206,7 +206,7 @@
     RunningTarget deep(Quick());
     TargetSettings settings = Quick();
     settings.outbound_ = deep.address_;
-    settings.deeper_ = { "/deep/a?length=32", "/deep/b" };
+    settings.deeperPaths_ = { "/deep/a?length=32", "/deep/b" };
     settings.parallel_ = parallel;
     RunningTarget target(settings);
     const auto reply = target.Fetch({ "GET", "/top?tag=9", { { "Quay-Call", "token" } }, "" });
@@ -216,10 +216,10 @@
     REQUIRE(log.size() == 2);
     CHECK(QueryValue(log[0].path_, "tag") == "9");
     CHECK(QueryValue(log[0].path_, "from") == own.at(0).id_);
-    CHECK(log[0].callSeen_);
+    CHECK(log[0].hasCallHeader_);
     deep.Fault(R"({"refuse":1})");
     CHECK(target.Get("/top").status_ == 502);
-    CHECK(target.Executions().back().end_ == ExecutionEnd::kDeeperError);
+    CHECK(target.Executions().back().executionStatus_ == ExecutionStatus::kDeeperCallFailed);
   }
 }
 
