--- a/standins/lib/LinkRelay.cpp
+++ b/standins/lib/LinkRelay.cpp
@@ -50,7 +50,7 @@
 } // namespace
 
 LinkRelay::Flow::Flow(asio::io_context& aContext)
-  : changed_(aContext)
+  : wakeTimer_(aContext)
 {
 }
 
@@ -118,14 +118,14 @@
     if (const auto connection = weak.lock()) {
       for (std::size_t side : { 0U, 1U }) {
         connection->sockets_[side].close(ignored);
-        connection->flows_[side].changed_.cancel();
+        connection->flows_[side].wakeTimer_.cancel();
       }
     }
   }
-  for (const auto& [sender, path] : paths_) {
+  for (const auto& [sender, path] : datagramPaths_) {
     path->socket_.close(ignored);
   }
-  paths_.clear();
+  datagramPaths_.clear();
 }
 
 std::uint16_t LinkRelay::Port() const
@@ -138,14 +138,14 @@
   return control_.local_endpoint().port();
 }
 
-bool LinkRelay::Silent(const Connection& aConnection) const
+bool LinkRelay::IsSilent(const Connection& aConnection) const
 {
-  return aConnection.silence_ != settings_.faults_.silenceExisting_;
+  return aConnection.silenceAtOpen_ != settings_.faults_.silenceGeneration_;
 }
 
-bool LinkRelay::Stalls(std::size_t aSide) const
+bool LinkRelay::IsStalled(std::size_t aSide) const
 {
-  return settings_.faults_.cut_ || (aSide == 1 && settings_.faults_.cutAnswers_);
+  return settings_.faults_.cut_ || (aSide == 1 && settings_.faults_.cutFromRemote_);
 }
 
 asio::awaitable<void> LinkRelay::Accept()
@@ -161,8 +161,8 @@
     }
     connections_.remove_if([](const auto& aOld) { return aOld.expired(); });
     connections_.push_back(connection);
-    connection->silence_ = settings_.faults_.silenceExisting_;
-    connection->reset_ = settings_.faults_.resetExisting_;
+    connection->silenceAtOpen_ = settings_.faults_.silenceGeneration_;
+    connection->resetAtOpen_ = settings_.faults_.resetGeneration_;
     asio::co_spawn(
       context_, [self, connection] { return self->Open(connection); }, asio::detached);
   }
@@ -173,8 +173,8 @@
   const auto self = shared_from_this();
   error_code failure;
   while (settings_.faults_.cut_ && acceptor_.is_open()) {
-    aConnection->flows_[0].changed_.expires_at(TimePoint::max());
-    co_await aConnection->flows_[0].changed_.async_wait(
+    aConnection->flows_[0].wakeTimer_.expires_at(TimePoint::max());
+    co_await aConnection->flows_[0].wakeTimer_.async_wait(
       asio::redirect_error(asio::use_awaitable, failure));
   }
   const Tcp::endpoint remote(asio::ip::make_address(settings_.remote_.ip_),
@@ -205,16 +205,17 @@
   std::string buffer(kChunkBytes, '\0');
   error_code failure;
   while (!failure) {
-    const std::size_t got = co_await aConnection->sockets_[aSide].async_read_some(
+    const std::size_t received = co_await aConnection->sockets_[aSide].async_read_some(
       asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, failure));
-    if (Silent(*aConnection)) {
+    if (IsSilent(*aConnection)) {
       continue;
     }
-    bytes_[aSide] += got;
-    const TimePoint due = ArrivalTime(settings_.faults_, got, freeAt_[aSide], Clock::now());
-    flow.chunks_.push_back({ due, failure ? std::string() : buffer.substr(0, got) });
+    relayedBytes_[aSide] += received;
+    const TimePoint arrivesAt =
+      ArrivalTime(settings_.faults_, received, freeAt_[aSide], Clock::now());
+    flow.chunks_.push_back({ arrivesAt, failure ? std::string() : buffer.substr(0, received) });
     flow.queuedBytes_ += flow.chunks_.back().bytes_.size();
-    flow.changed_.cancel();
+    flow.wakeTimer_.cancel();
     while (!failure && flow.queuedBytes_ > kMaxQueuedBytes) {
       asio::steady_timer pause(context_, milliseconds(1));
       co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, failure));
@@ -226,27 +227,27 @@
 {
   const auto self = shared_from_this();
   Flow& flow = aConnection->flows_[aSide];
-  Tcp::socket& to = aConnection->sockets_[1 - aSide];
+  Tcp::socket& destination = aConnection->sockets_[1 - aSide];
   error_code failure;
-  while (to.is_open()) {
-    const bool ready = !flow.chunks_.empty() && !Stalls(aSide);
-    if (!ready || flow.chunks_.front().due_ > Clock::now()) {
-      flow.changed_.expires_at(ready ? flow.chunks_.front().due_ : TimePoint::max());
-      co_await flow.changed_.async_wait(asio::redirect_error(asio::use_awaitable, failure));
+  while (destination.is_open()) {
+    const bool ready = !flow.chunks_.empty() && !IsStalled(aSide);
+    if (!ready || flow.chunks_.front().arrivesAt_ > Clock::now()) {
+      flow.wakeTimer_.expires_at(ready ? flow.chunks_.front().arrivesAt_ : TimePoint::max());
+      co_await flow.wakeTimer_.async_wait(asio::redirect_error(asio::use_awaitable, failure));
       continue;
     }
     const Chunk chunk = std::move(flow.chunks_.front());
     flow.chunks_.pop_front();
     flow.queuedBytes_ -= chunk.bytes_.size();
-    if (Silent(*aConnection)) {
+    if (IsSilent(*aConnection)) {
       continue;
     }
     if (chunk.bytes_.empty()) {
-      to.shutdown(Tcp::socket::shutdown_send, failure);
+      destination.shutdown(Tcp::socket::shutdown_send, failure);
       break;
     }
     co_await asio::async_write(
-      to, asio::buffer(chunk.bytes_), asio::redirect_error(asio::use_awaitable, failure));
+      destination, asio::buffer(chunk.bytes_), asio::redirect_error(asio::use_awaitable, failure));
     if (failure) {
       break;
     }
@@ -257,15 +258,15 @@
   }
 }
 
-void LinkRelay::SendLater(std::size_t aDirection,
-                          std::string aBytes,
-                          std::function<void(std::string)> aSend)
+void LinkRelay::SendDelayed(std::size_t aDirection,
+                            std::string aBytes,
+                            std::function<void(std::string)> aSend)
 {
-  if (Stalls(aDirection)) {
+  if (IsStalled(aDirection)) {
     ++lostDatagrams_;
     return;
   }
-  bytes_[aDirection] += aBytes.size();
+  relayedBytes_[aDirection] += aBytes.size();
   const auto timer = std::make_shared<asio::steady_timer>(
     context_, ArrivalTime(settings_.faults_, aBytes.size(), freeAt_[aDirection], Clock::now()));
   timer->async_wait(
@@ -285,15 +286,15 @@
   while (datagrams_.is_open()) {
     error_code failure;
     Udp::endpoint sender;
-    const std::size_t got = co_await datagrams_.async_receive_from(
+    const std::size_t received = co_await datagrams_.async_receive_from(
       asio::buffer(buffer), sender, asio::redirect_error(asio::use_awaitable, failure));
     if (failure) {
       continue;
     }
-    auto& path = paths_[sender];
+    auto& path = datagramPaths_[sender];
     if (!path) {
-      if (paths_.size() > kMaxDatagramPaths) {
-        paths_.erase(sender);
+      if (datagramPaths_.size() > kMaxDatagramPaths) {
+        datagramPaths_.erase(sender);
         ++lostDatagrams_;
         continue;
       }
@@ -304,7 +305,7 @@
       asio::co_spawn(
         context_, [self, path = path] { return self->ReturnDatagrams(path); }, asio::detached);
     }
-    SendLater(0, buffer.substr(0, got), [path = path](const std::string& aBytes) {
+    SendDelayed(0, buffer.substr(0, received), [path = path](const std::string& aBytes) {
       error_code ignored;
       path->socket_.send(asio::buffer(aBytes), 0, ignored);
     });
@@ -317,27 +318,27 @@
   std::string buffer(65536, '\0');
   while (aPath->socket_.is_open()) {
     error_code failure;
-    const std::size_t got = co_await aPath->socket_.async_receive(
+    const std::size_t received = co_await aPath->socket_.async_receive(
       asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, failure));
     // A refused datagram is reported here; the remote may come back later.
     if (failure) {
       continue;
     }
-    SendLater(1, buffer.substr(0, got), [self, aPath](const std::string& aBytes) {
+    SendDelayed(1, buffer.substr(0, received), [self, aPath](const std::string& aBytes) {
       error_code ignored;
       self->datagrams_.send_to(asio::buffer(aBytes), aPath->sender_, 0, ignored);
     });
   }
 }
 
-void LinkRelay::FaultsChanged()
+void LinkRelay::HandleFaultChange()
 {
   for (const auto& weak : connections_) {
     const auto connection = weak.lock();
     if (!connection) {
       continue;
     }
-    if (connection->reset_ != settings_.faults_.resetExisting_) {
+    if (connection->resetAtOpen_ != settings_.faults_.resetGeneration_) {
       for (auto& socket : connection->sockets_) {
         // Closing with a linger time of 0 sends a reset.
         error_code ignored;
@@ -345,28 +346,28 @@
         socket.close(ignored);
       }
     }
-    connection->flows_[0].changed_.cancel();
-    connection->flows_[1].changed_.cancel();
+    connection->flows_[0].wakeTimer_.cancel();
+    connection->flows_[1].wakeTimer_.cancel();
   }
 }
 
-std::string LinkRelay::Report() const
+std::string LinkRelay::StatusJson() const
 {
   std::size_t open = 0;
   std::size_t silent = 0;
   for (const auto& weak : connections_) {
     const auto connection = weak.lock();
     if (connection) {
-      ++(Silent(*connection) ? silent : open);
+      ++(IsSilent(*connection) ? silent : open);
     }
   }
   const nlohmann::json report{ { "connections", open },
                                { "silent_connections", silent },
-                               { "bytes_to_remote", bytes_[0] },
-                               { "bytes_from_remote", bytes_[1] },
+                               { "bytes_to_remote", relayedBytes_[0] },
+                               { "bytes_from_remote", relayedBytes_[1] },
                                { "lost_datagrams", lostDatagrams_ },
                                { "cut", settings_.faults_.cut_ },
-                               { "cut_answers", settings_.faults_.cutAnswers_ },
+                               { "cut_answers", settings_.faults_.cutFromRemote_ },
                                { "delay_ms", ToSeconds(settings_.faults_.delay_) * 1000 },
                                { "bandwidth", settings_.faults_.bandwidth_ } };
   return report.dump();
@@ -381,12 +382,12 @@
     co_await control_.async_accept(*socket, asio::redirect_error(asio::use_awaitable, failure));
     if (!failure) {
       asio::co_spawn(
-        context_, [self, socket] { return self->Control(socket); }, asio::detached);
+        context_, [self, socket] { return self->ServeControl(socket); }, asio::detached);
     }
   }
 }
 
-asio::awaitable<void> LinkRelay::Control(std::shared_ptr<Tcp::socket> aSocket)
+asio::awaitable<void> LinkRelay::ServeControl(std::shared_ptr<Tcp::socket> aSocket)
 {
   const auto self = shared_from_this();
   boost::beast::flat_buffer buffer;
@@ -409,11 +410,11 @@
       response.result(http::status::bad_request);
       response.body() = nlohmann::json(Describe(applied.assume_error())).dump();
     } else {
-      FaultsChanged();
-      response.body() = Report();
+      HandleFaultChange();
+      response.body() = StatusJson();
     }
   } else {
-    response.body() = Report();
+    response.body() = StatusJson();
   }
   response.set(http::field::content_type, "application/json");
   response.prepare_payload();
--- a/standins/lib/LinkRelay.h
+++ b/standins/lib/LinkRelay.h
@@ -46,7 +46,7 @@
   /// Bytes on the way. An empty chunk is the end of the stream.
   struct Chunk
   {
-    TimePoint due_;
+    TimePoint arrivesAt_;
     std::string bytes_;
   };
 
@@ -55,8 +55,8 @@
   {
     explicit Flow(boost::asio::io_context& aContext);
     std::deque<Chunk> chunks_;
-    std::size_t queuedBytes_ = 0;       ///< Invariant: sum of the sizes in chunks_.
-    boost::asio::steady_timer changed_; ///< Cancelled when chunks_ or the faults change.
+    std::size_t queuedBytes_ = 0;         ///< Invariant: sum of the sizes in chunks_.
+    boost::asio::steady_timer wakeTimer_; ///< Cancelled when chunks_ or the faults change.
   };
 
   struct Connection
@@ -64,8 +64,8 @@
     explicit Connection(boost::asio::io_context& aContext);
     std::array<Tcp::socket, 2> sockets_; ///< The caller's and the remote's.
     std::array<Flow, 2> flows_;          ///< flows_[i] is read from sockets_[i].
-    std::uint64_t silence_ = 0;          ///< Value of silenceExisting_ when it was opened.
-    std::uint64_t reset_ = 0;            ///< Value of resetExisting_ when it was opened.
+    std::uint64_t silenceAtOpen_ = 0;    ///< Value of silenceGeneration_ when it was opened.
+    std::uint64_t resetAtOpen_ = 0;      ///< Value of resetGeneration_ when it was opened.
   };
 
   /// Return path of datagrams for one sender.
@@ -83,15 +83,15 @@
   boost::asio::awaitable<void> ReceiveDatagrams();
   boost::asio::awaitable<void> ReturnDatagrams(std::shared_ptr<DatagramPath> aPath);
   boost::asio::awaitable<void> AcceptControl();
-  boost::asio::awaitable<void> Control(std::shared_ptr<Tcp::socket> aSocket);
-  void SendLater(std::size_t aDirection,
-                 std::string aBytes,
-                 std::function<void(std::string)> aSend);
-  bool Silent(const Connection& aConnection) const;
+  boost::asio::awaitable<void> ServeControl(std::shared_ptr<Tcp::socket> aSocket);
+  void SendDelayed(std::size_t aDirection,
+                   std::string aBytes,
+                   std::function<void(std::string)> aSend);
+  bool IsSilent(const Connection& aConnection) const;
   /// Whether nothing passes that side aSide sends: 0 for the caller, 1 for the remote.
-  bool Stalls(std::size_t aSide) const;
-  void FaultsChanged();
-  std::string Report() const;
+  bool IsStalled(std::size_t aSide) const;
+  void HandleFaultChange();
+  std::string StatusJson() const;
 
   boost::asio::io_context& context_;
   LinkSettings settings_;
@@ -99,10 +99,11 @@
   Tcp::acceptor control_;
   Udp::socket datagrams_;
   std::array<TimePoint, 2> freeAt_{}; ///< Per direction; all connections share the bandwidth.
-  std::array<std::uint64_t, 2> bytes_{};
+  std::array<std::uint64_t, 2> relayedBytes_{};
   std::uint64_t lostDatagrams_ = 0;
   std::list<std::weak_ptr<Connection>> connections_;
-  std::map<Udp::endpoint, std::shared_ptr<DatagramPath>> paths_; ///< At most kMaxDatagramPaths.
+  std::map<Udp::endpoint, std::shared_ptr<DatagramPath>>
+    datagramPaths_; ///< At most kMaxDatagramPaths.
 };
 
 } // namespace peridotquay::standins
--- a/standins/lib/LinkSettings.cpp
+++ b/standins/lib/LinkSettings.cpp
@@ -38,11 +38,11 @@
       if (name == "cut") {
         next.cut_ = flag;
       } else if (name == "cut_answers") {
-        next.cutAnswers_ = flag;
+        next.cutFromRemote_ = flag;
       } else if (name == "silence_existing") {
-        next.silenceExisting_ += flag ? 1 : 0;
+        next.silenceGeneration_ += flag ? 1 : 0;
       } else {
-        next.resetExisting_ += flag ? 1 : 0;
+        next.resetGeneration_ += flag ? 1 : 0;
       }
     } else {
       return Fail(ErrorCode::kUnknownSetting, name);
--- a/standins/lib/LinkSettings.h
+++ b/standins/lib/LinkSettings.h
@@ -13,12 +13,12 @@
 /// Properties of a link, equal in both directions. All defaults mean "no effect".
 struct LinkFaults
 {
-  Duration delay_{};                  ///< One way.
-  std::uint64_t bandwidth_ = 0;       ///< Bytes a second in each direction; 0: unlimited.
-  bool cut_ = false;                  ///< TCP stalls, datagrams are lost.
-  bool cutAnswers_ = false;           ///< Only what the remote sends stalls or is lost.
-  std::uint64_t silenceExisting_ = 0; ///< Grows when open connections shall fall silent.
-  std::uint64_t resetExisting_ = 0;   ///< Grows when open connections shall be reset.
+  Duration delay_{};                    ///< One way.
+  std::uint64_t bandwidth_ = 0;         ///< Bytes a second in each direction; 0: unlimited.
+  bool cut_ = false;                    ///< TCP stalls, datagrams are lost.
+  bool cutFromRemote_ = false;          ///< Only what the remote sends stalls or is lost.
+  std::uint64_t silenceGeneration_ = 0; ///< Grows when open connections shall fall silent.
+  std::uint64_t resetGeneration_ = 0;   ///< Grows when open connections shall be reset.
   bool operator==(const LinkFaults&) const = default;
 };
 
--- a/standins/lib/PlatformFaults.cpp
+++ b/standins/lib/PlatformFaults.cpp
@@ -22,11 +22,11 @@
   return "none";
 }
 
-Result<PlatformOutage> ReadOutage(const ConfigTable& aTable, PlatformOutage aPresent)
+Result<PlatformOutage> ReadOutage(const ConfigTable& aTable, PlatformOutage aCurrent)
 {
   BOOST_OUTCOME_TRY(text, ReadText(aTable, "outage", 16));
   if (!text) {
-    return aPresent;
+    return aCurrent;
   }
   for (const auto outage :
        { PlatformOutage::kNone, PlatformOutage::kRefuse, PlatformOutage::kSilent }) {
@@ -42,12 +42,12 @@
 std::string EncodePlatformFaults(const PlatformFaults& aFaults)
 {
   return ConfigJson{
-    { "writes_per_second", aFaults.writesPerSecond_ },
-    { "reads_per_second", aFaults.readsPerSecond_ },
+    { "writes_per_second", aFaults.maxWritesPerSecond_ },
+    { "reads_per_second", aFaults.maxReadsPerSecond_ },
     { "delay_ms", aFaults.delayMs_ },
     { "outage", OutageName(aFaults.outage_) },
-    { "lose_answers", aFaults.loseAnswers_ },
-    { "lose_next", aFaults.loseNext_ }
+    { "lose_answers", aFaults.lostAnswerFraction_ },
+    { "lose_next", aFaults.loseNextAnswers_ }
   }.dump();
 }
 
@@ -72,12 +72,12 @@
   BOOST_OUTCOME_TRY(outage, ReadOutage(table, faults.outage_));
   BOOST_OUTCOME_TRY(lose, ReadNumber(table, "lose_answers", 0, 1));
   BOOST_OUTCOME_TRY(loseNext, ReadInteger(table, "lose_next", 0, 1000000));
-  faults.writesPerSecond_ = writes.value_or(faults.writesPerSecond_);
-  faults.readsPerSecond_ = reads.value_or(faults.readsPerSecond_);
+  faults.maxWritesPerSecond_ = writes.value_or(faults.maxWritesPerSecond_);
+  faults.maxReadsPerSecond_ = reads.value_or(faults.maxReadsPerSecond_);
   faults.delayMs_ = static_cast<std::uint32_t>(delay.value_or(faults.delayMs_));
   faults.outage_ = outage;
-  faults.loseAnswers_ = lose.value_or(faults.loseAnswers_);
-  faults.loseNext_ = static_cast<std::uint32_t>(loseNext.value_or(faults.loseNext_));
+  faults.lostAnswerFraction_ = lose.value_or(faults.lostAnswerFraction_);
+  faults.loseNextAnswers_ = static_cast<std::uint32_t>(loseNext.value_or(faults.loseNextAnswers_));
   aFaults = faults;
   return Success();
 }
--- a/standins/lib/PlatformFaults.h
+++ b/standins/lib/PlatformFaults.h
@@ -20,12 +20,12 @@
 /// Faults of the platform stand-in.
 struct PlatformFaults
 {
-  double writesPerSecond_ = 0; ///< Ceiling; writes above it get 503 and do nothing. 0: none.
-  double readsPerSecond_ = 0;  ///< Ceiling of reads, likewise.
-  std::uint32_t delayMs_ = 0;  ///< Added to each request, half before it takes effect.
+  double maxWritesPerSecond_ = 0; ///< Ceiling; writes above it get 503 and do nothing. 0: none.
+  double maxReadsPerSecond_ = 0;  ///< Ceiling of reads, likewise.
+  std::uint32_t delayMs_ = 0;     ///< Added to each request, half before it takes effect.
   PlatformOutage outage_ = PlatformOutage::kNone;
-  double loseAnswers_ = 0;     ///< Part of writes that take effect and get no answer, 0 to 1.
-  std::uint32_t loseNext_ = 0; ///< The next writes that take effect get no answer.
+  double lostAnswerFraction_ = 0; ///< Part of writes that take effect and get no answer, 0 to 1.
+  std::uint32_t loseNextAnswers_ = 0; ///< The next writes that take effect get no answer.
   bool operator==(const PlatformFaults&) const = default;
 };
 
--- a/standins/lib/PlatformServer.cpp
+++ b/standins/lib/PlatformServer.cpp
@@ -43,21 +43,22 @@
 }
 
 /// Handles one request with its delays. Empty if no answer is to be sent.
-asio::awaitable<std::optional<PlatformReply>> Answer(PlatformService& aService,
-                                                     PlatformRequest aRequest)
+asio::awaitable<std::optional<PlatformReply>> HandleWithFaults(PlatformService& aService,
+                                                               PlatformRequest aRequest)
 {
-  const bool admin = aRequest.target_ == "/faults" || aRequest.target_ == "/stats";
+  const bool isControl = aRequest.target_ == "/faults" || aRequest.target_ == "/stats";
   // Keeps the connection open without an answer until the outage ends; the request is lost.
-  if (!admin && aService.Faults().outage_ == PlatformOutage::kSilent) {
+  if (!isControl && aService.Faults().outage_ == PlatformOutage::kSilent) {
     while (aService.Faults().outage_ == PlatformOutage::kSilent) {
       co_await Sleep(milliseconds(50));
     }
     co_return std::nullopt;
   }
-  const Duration half = admin ? Duration::zero() : milliseconds(aService.Faults().delayMs_) / 2;
-  co_await Sleep(half);
+  const Duration halfDelay =
+    isControl ? Duration::zero() : milliseconds(aService.Faults().delayMs_) / 2;
+  co_await Sleep(halfDelay);
   auto reply = aService.Handle(aRequest, Clock::now());
-  co_await Sleep(half);
+  co_await Sleep(halfDelay);
   if (reply.lost_) {
     co_return std::nullopt;
   }
@@ -83,7 +84,7 @@
     PlatformRequest call{ std::string(request.method_string()),
                           std::string(request.target()),
                           std::move(request.body()) };
-    auto reply = co_await Answer(aService, std::move(call));
+    auto reply = co_await HandleWithFaults(aService, std::move(call));
     if (!reply) {
       co_return;
     }
--- a/standins/lib/PlatformService.cpp
+++ b/standins/lib/PlatformService.cpp
@@ -14,7 +14,7 @@
 /// How long a repeat of a transaction is answered like the first.
 constexpr Duration kOperationLifetime = seconds(600);
 
-constexpr std::uint32_t kMostRows = 1000;
+constexpr std::uint32_t kMaxRows = 1000;
 
 PlatformReply ErrorReply(unsigned aStatus, const std::string& aType)
 {
@@ -62,14 +62,14 @@
 
 } // namespace
 
-bool PlatformService::Ceiling::Take(double aPerSecond, TimePoint aNow)
+bool PlatformService::RateLimit::TryConsume(double aTokensPerSecond, TimePoint aNow)
 {
-  if (aPerSecond <= 0) {
+  if (aTokensPerSecond <= 0) {
     return true;
   }
-  const auto most = std::max(1.0, aPerSecond / 10);
-  tokens_ = std::min(most, tokens_ + ToSeconds(aNow - refilled_) * aPerSecond);
-  refilled_ = aNow;
+  const auto maxTokens = std::max(1.0, aTokensPerSecond / 10);
+  tokens_ = std::min(maxTokens, tokens_ + ToSeconds(aNow - refilledAt_) * aTokensPerSecond);
+  refilledAt_ = aNow;
   if (tokens_ < 1) {
     return false;
   }
@@ -93,40 +93,40 @@
     return StatsReply();
   }
   const bool write = aRequest.method_ != "GET";
-  if (Refused(write, aNow)) {
+  if (ShouldRefuse(write, aNow)) {
     ++counts_.refused_;
     return ErrorReply(503, "unavailable");
   }
   ++(write ? counts_.writes_ : counts_.reads_);
   counts_.bytesIn_ += aRequest.body_.size();
-  constexpr std::string_view kObjects = "/v1/objects/";
+  constexpr std::string_view kObjectsPath = "/v1/objects/";
   auto reply = ErrorReply(404, "not-found");
   if (!write && StartsWith(target, "/v1/rows")) {
     reply = HandleRows(target);
   } else if (aRequest.method_ == "POST" && target == "/v1/transactions") {
     reply = HandleTransaction(aRequest.body_, aNow);
-  } else if (StartsWith(target, kObjects)) {
-    reply = HandleObject(aRequest, target.substr(kObjects.size()));
+  } else if (StartsWith(target, kObjectsPath)) {
+    reply = HandleObject(aRequest, target.substr(kObjectsPath.size()));
   }
   counts_.bytesOut_ += reply.body_.size();
   return reply;
 }
 
-bool PlatformService::Refused(bool aWrite, TimePoint aNow)
+bool PlatformService::ShouldRefuse(bool aWrite, TimePoint aNow)
 {
   if (faults_.outage_ != PlatformOutage::kNone) {
     return true;
   }
-  return aWrite ? !writeCeiling_.Take(faults_.writesPerSecond_, aNow)
-                : !readCeiling_.Take(faults_.readsPerSecond_, aNow);
+  return aWrite ? !writeLimit_.TryConsume(faults_.maxWritesPerSecond_, aNow)
+                : !readLimit_.TryConsume(faults_.maxReadsPerSecond_, aNow);
 }
 
 /// Decides whether the answer to a write that took effect is lost.
-bool PlatformService::LoseAnswer()
+bool PlatformService::ShouldLoseAnswer()
 {
-  bool lose = std::uniform_real_distribution<double>(0, 1)(random_) < faults_.loseAnswers_;
-  if (faults_.loseNext_ > 0) {
-    --faults_.loseNext_;
+  bool lose = std::uniform_real_distribution<double>(0, 1)(random_) < faults_.lostAnswerFraction_;
+  if (faults_.loseNextAnswers_ > 0) {
+    --faults_.loseNextAnswers_;
     lose = true;
   }
   counts_.lost_ += lose ? 1 : 0;
@@ -135,15 +135,15 @@
 
 PlatformReply PlatformService::HandleRows(std::string_view aTarget)
 {
-  constexpr std::string_view kOneRow = "/v1/rows/";
-  if (StartsWith(aTarget, kOneRow)) {
-    const auto key = UnescapeUrl(aTarget.substr(kOneRow.size()));
+  constexpr std::string_view kRowPath = "/v1/rows/";
+  if (StartsWith(aTarget, kRowPath)) {
+    const auto key = UnescapeUrl(aTarget.substr(kRowPath.size()));
     const auto found = key ? rows_.find(*key) : rows_.end();
     return found == rows_.end() ? ErrorReply(404, "not-found")
                                 : PlatformReply{ 200, EncodePlatformRow(found->second), false };
   }
-  const auto mark = aTarget.find('?');
-  const auto query = mark == std::string_view::npos ? "" : aTarget.substr(mark + 1);
+  const auto queryStart = aTarget.find('?');
+  const auto query = queryStart == std::string_view::npos ? "" : aTarget.substr(queryStart + 1);
   const auto prefix = QueryValue(query, "prefix");
   const auto after = QueryValue(query, "after");
   const auto limitText = QueryValue(query, "limit").value_or("");
@@ -154,7 +154,7 @@
   }
   std::vector<PlatformRow> rows;
   auto row = *after < *prefix ? rows_.lower_bound(*prefix) : rows_.upper_bound(*after);
-  for (; row != rows_.end() && rows.size() < std::min(limit, kMostRows); ++row) {
+  for (; row != rows_.end() && rows.size() < std::min(limit, kMaxRows); ++row) {
     if (!StartsWith(row->first, *prefix)) {
       break;
     }
@@ -171,10 +171,12 @@
   }
   const auto& transaction = decoded.assume_value();
   std::erase_if(operations_, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.done_ > kOperationLifetime;
+    return aNow - aEntry.second.doneAt_ > kOperationLifetime;
   });
   if (const auto done = operations_.find(transaction.operationId_); done != operations_.end()) {
-    return { 200, EncodePlatformTransactionResult({ "", done->second.revision_ }), LoseAnswer() };
+    return { 200,
+             EncodePlatformTransactionResult({ "", done->second.revision_ }),
+             ShouldLoseAnswer() };
   }
   for (const auto& condition : transaction.conditions_) {
     const auto found = rows_.find(condition.key_);
@@ -192,7 +194,7 @@
     }
   }
   operations_[transaction.operationId_] = { revision_, aNow };
-  return { 200, EncodePlatformTransactionResult({ "", revision_ }), LoseAnswer() };
+  return { 200, EncodePlatformTransactionResult({ "", revision_ }), ShouldLoseAnswer() };
 }
 
 PlatformReply PlatformService::HandleObject(const PlatformRequest& aRequest, std::string_view aName)
@@ -203,7 +205,7 @@
   }
   if (aRequest.method_ == "PUT") {
     objects_[*name] = aRequest.body_;
-    return { 200, "{}", LoseAnswer() };
+    return { 200, "{}", ShouldLoseAnswer() };
   }
   const auto found = objects_.find(*name);
   if (aRequest.method_ != "GET") {
--- a/standins/lib/PlatformService.h
+++ b/standins/lib/PlatformService.h
@@ -59,16 +59,16 @@
 
 private:
   /// Token bucket of one ceiling, holding at most a tenth of a second of tokens or one.
-  struct Ceiling
+  struct RateLimit
   {
     double tokens_ = 1;
-    TimePoint refilled_{};
-    bool Take(double aPerSecond, TimePoint aNow);
+    TimePoint refilledAt_{};
+    bool TryConsume(double aTokensPerSecond, TimePoint aNow);
   };
   struct Operation
   {
     std::uint64_t revision_ = 0;
-    TimePoint done_{};
+    TimePoint doneAt_{};
   };
 
   PlatformReply HandleRows(std::string_view aTarget);
@@ -76,13 +76,13 @@
   PlatformReply HandleObject(const PlatformRequest& aRequest, std::string_view aName);
   PlatformReply HandleFaults(const PlatformRequest& aRequest);
   PlatformReply StatsReply() const;
-  bool Refused(bool aWrite, TimePoint aNow);
-  bool LoseAnswer();
+  bool ShouldRefuse(bool aWrite, TimePoint aNow);
+  bool ShouldLoseAnswer();
 
   PlatformFaults faults_;
   PlatformCounts counts_;
-  Ceiling writeCeiling_;
-  Ceiling readCeiling_;
+  RateLimit writeLimit_;
+  RateLimit readLimit_;
   std::mt19937_64 random_;
   std::uint64_t revision_ = 0;
   std::map<std::string, PlatformRow, std::less<>> rows_;
--- a/standins/lib/TargetServer.cpp
+++ b/standins/lib/TargetServer.cpp
@@ -51,7 +51,7 @@
   return target.substr(0, target.find('?'));
 }
 
-bool IsOwnPath(std::string_view aPath)
+bool IsControlPath(std::string_view aPath)
 {
   return aPath == "/health" || aPath == "/load" || aPath == "/executions" || aPath == "/faults" ||
          aPath == "/drain";
@@ -72,8 +72,8 @@
   return response;
 }
 
-http::response<http::string_body> RefusalAnswer(const http::request<http::string_body>& aRequest,
-                                                const std::string& aReason)
+http::response<http::string_body> MakeRefusal(const http::request<http::string_body>& aRequest,
+                                              const std::string& aReason)
 {
   auto response = MakeResponse(
     aRequest, 503, R"({"error":{"type":"target-refused","detail":")" + aReason + "\"}}");
@@ -85,21 +85,21 @@
 bool PeerClosed(tcp::socket& aSocket)
 {
   char byte = 0;
-  const ssize_t got = ::recv(aSocket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+  const ssize_t received = ::recv(aSocket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
 } // namespace
 
-TargetServer::Running::Running(asio::io_context& aContext)
-  : work_(aContext)
+TargetServer::ActiveRequest::ActiveRequest(asio::io_context& aContext)
+  : workTimer_(aContext)
   , deadlineTimer_(aContext)
 {
 }
 
-void TargetServer::Running::Interrupt()
+void TargetServer::ActiveRequest::Interrupt()
 {
-  work_.cancel();
+  workTimer_.cancel();
   deadlineTimer_.cancel();
   for (const auto& socket : deeperSockets_) {
     error_code ignored;
@@ -111,11 +111,11 @@
   : context_(aContext)
   , settings_(std::move(aSettings))
   , acceptor_(aContext)
-  , thaw_(aContext, TimePoint::max())
+  , thawTimer_(aContext, TimePoint::max())
   , random_(settings_.seed_)
-  , started_(Clock::now())
+  , startedAt_(Clock::now())
 {
-  Sample();
+  RecordSample();
 }
 
 Result<void> TargetServer::Start()
@@ -153,13 +153,13 @@
 {
   draining_ = true;
   closing_ = true;
-  Sample();
+  RecordSample();
   CloseIfDrained();
 }
 
 void TargetServer::CloseIfDrained()
 {
-  if (closing_ && unanswered_ == 0) {
+  if (closing_ && unansweredRequests_ == 0) {
     Stop();
   }
 }
@@ -168,12 +168,12 @@
 {
   error_code ignored;
   acceptor_.close(ignored);
-  thaw_.cancel();
-  faults_.freeze_ = false;
+  thawTimer_.cancel();
+  faults_.frozen_ = false;
   for (const auto& socket : connections_) {
     socket->close(ignored);
   }
-  idle_.clear();
+  idleConnections_.clear();
 }
 
 std::vector<TargetExecution> TargetServer::Executions() const
@@ -191,7 +191,7 @@
     if (failure) {
       continue;
     }
-    if (connections_.size() >= settings_.connections_ + kReservedConnections) {
+    if (connections_.size() >= settings_.maxConnections_ + kReservedConnections) {
       socket->close(failure);
       continue;
     }
@@ -203,18 +203,18 @@
   }
 }
 
-asio::awaitable<void> TargetServer::WhileFrozen()
+asio::awaitable<void> TargetServer::AwaitThaw()
 {
-  while (faults_.freeze_) {
+  while (faults_.frozen_) {
     error_code ignored;
-    co_await thaw_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    co_await thawTimer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
 asio::awaitable<void> TargetServer::Serve(std::shared_ptr<Socket> aSocket)
 {
   const auto self = shared_from_this();
-  const auto place = connections_.insert(connections_.end(), aSocket);
+  const auto position = connections_.insert(connections_.end(), aSocket);
   beast::flat_buffer buffer;
   error_code failure;
   bool open = true;
@@ -227,44 +227,46 @@
       break;
     }
     const Request request = parser.release();
-    const bool own = IsOwnPath(PathOf(request));
-    ++unanswered_;
+    const bool isControl = IsControlPath(PathOf(request));
+    ++unansweredRequests_;
     if (PathOf(request) != "/faults") {
-      co_await WhileFrozen();
+      co_await AwaitThaw();
     }
-    Worked worked;
-    if (own) {
-      worked.response_ = OwnAnswer(request);
+    RequestResult outcome;
+    if (isControl) {
+      outcome.response_ = HandleControlRequest(request);
     } else {
       // A connection beyond the bound may only use the target's own paths.
-      if (connections_.size() > settings_.connections_) {
-        --unanswered_;
+      if (connections_.size() > settings_.maxConnections_) {
+        --unansweredRequests_;
         break;
       }
-      auto work = Work(aSocket, request);
-      worked = co_await std::move(work);
-      if (worked.cancelled_) {
-        --unanswered_;
+      auto work = HandleRequest(aSocket, request);
+      outcome = co_await std::move(work);
+      if (outcome.cancelled_) {
+        --unansweredRequests_;
         CloseIfDrained();
         break;
       }
-      co_await WhileFrozen();
+      co_await AwaitThaw();
     }
-    Response& response = worked.response_;
+    Response& response = outcome.response_;
     const bool keepAlive = response.keep_alive();
-    const bool written = co_await WriteAnswer(*aSocket, response, worked.drop_);
-    --unanswered_;
+    const bool written = co_await WriteAnswer(*aSocket, response, outcome.truncate_);
+    --unansweredRequests_;
     CloseIfDrained();
     open = written && keepAlive;
   }
   aSocket->close(failure);
-  connections_.erase(place);
+  connections_.erase(position);
 }
 
-asio::awaitable<bool> TargetServer::WriteAnswer(Socket& aSocket, Response& aResponse, bool aDrop)
+asio::awaitable<bool> TargetServer::WriteAnswer(Socket& aSocket,
+                                                Response& aResponse,
+                                                bool aTruncate)
 {
   error_code failure;
-  if (aDrop) {
+  if (aTruncate) {
     std::ostringstream text;
     text << aResponse;
     const std::string whole = text.str();
@@ -279,16 +281,16 @@
   co_return !failure;
 }
 
-std::optional<TargetServer::Response> TargetServer::Refusal(const Request& aRequest)
+std::optional<TargetServer::Response> TargetServer::CheckAdmission(const Request& aRequest)
 {
   const std::string deadline = HeaderValue(aRequest, "Quay-Deadline-Ms");
   const char* reason = nullptr;
   if (State() == "draining") {
     reason = "draining";
-  } else if (faults_.refuse_ > 0) {
-    --faults_.refuse_;
+  } else if (faults_.refuseRequests_ > 0) {
+    --faults_.refuseRequests_;
     reason = "refused";
-  } else if (inUse_ >= settings_.slots_ && waiting_.size() >= settings_.queue_) {
+  } else if (slotsInUse_ >= settings_.slots_ && waiting_.size() >= settings_.maxQueueLength_) {
     reason = "no-slot";
   } else if (!deadline.empty() && std::atoll(deadline.c_str()) <= 0) {
     reason = "deadline";
@@ -296,7 +298,7 @@
   if (reason == nullptr) {
     return std::nullopt;
   }
-  Log(aRequest, ExecutionStatus::kRefused).endUs_ = NowUs();
+  LogExecution(aRequest, ExecutionStatus::kRefused).endUs_ = NowUs();
   auto response =
     MakeResponse(aRequest,
                  503,
@@ -305,7 +307,7 @@
   return response;
 }
 
-TargetExecution& TargetServer::Log(const Request& aRequest, ExecutionStatus aEnd)
+TargetExecution& TargetServer::LogExecution(const Request& aRequest, ExecutionStatus aEnd)
 {
   TargetExecution entry;
   entry.id_ = settings_.name_ + "-" + std::to_string(nextExecution_++);
@@ -320,7 +322,7 @@
   entry.startUs_ = NowUs();
   executions_.push_back(std::move(entry));
   // Entries of running requests stay: their coroutines hold a pointer.
-  while (executions_.size() > settings_.maxExecutions_ &&
+  while (executions_.size() > settings_.maxLoggedExecutions_ &&
          executions_.front().executionStatus_ != ExecutionStatus::kRunning) {
     executions_.pop_front();
     ++droppedExecutions_;
@@ -331,15 +333,15 @@
 Duration TargetServer::DrawServiceTime()
 {
   double factor = 1;
-  if (settings_.serviceTimes_ == ServiceTimes::kExponential) {
+  if (settings_.distribution_ == ServiceTimeDistribution::kExponential) {
     factor = std::exponential_distribution<double>(1)(random_);
-  } else if (settings_.serviceTimes_ == ServiceTimes::kLogNormal) {
+  } else if (settings_.distribution_ == ServiceTimeDistribution::kLogNormal) {
     // exp(-sigma^2 / 2) keeps the mean at 1.
     constexpr double kSigma = 0.25;
     factor = std::lognormal_distribution<double>(-kSigma * kSigma / 2, kSigma)(random_);
   }
-  const double age = ToSeconds(Clock::now() - started_);
-  const double cold = ToSeconds(settings_.coldFor_);
+  const double age = ToSeconds(Clock::now() - startedAt_);
+  const double cold = ToSeconds(settings_.coldPeriod_);
   if (age < cold) {
     factor *= 1 + (settings_.coldFactor_ - 1) * (1 - age / cold);
   }
@@ -347,131 +349,133 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wanted));
 }
 
-asio::awaitable<TargetServer::Worked> TargetServer::Work(std::shared_ptr<Socket> aSocket,
-                                                         const Request& aRequest)
+asio::awaitable<TargetServer::RequestResult> TargetServer::HandleRequest(
+  std::shared_ptr<Socket> aSocket,
+  const Request& aRequest)
 {
-  auto refusal = Refusal(aRequest);
+  auto refusal = CheckAdmission(aRequest);
   if (refusal) {
-    co_return Worked{ std::move(*refusal) };
+    co_return RequestResult{ std::move(*refusal) };
   }
-  const auto running = std::make_shared<Running>(context_);
-  running->entry_ = &Log(aRequest, ExecutionStatus::kRunning);
+  const auto active = std::make_shared<ActiveRequest>(context_);
+  active->logEntry_ = &LogExecution(aRequest, ExecutionStatus::kRunning);
   const std::string deadline = HeaderValue(aRequest, "Quay-Deadline-Ms");
   if (!deadline.empty()) {
-    running->deadline_ =
+    active->deadline_ =
       Clock::now() + milliseconds(std::min(std::atoll(deadline.c_str()), 3'600'000LL));
-    running->deadlineTimer_.expires_at(running->deadline_);
-    running->deadlineTimer_.async_wait([running](error_code aFailure) {
-      if (!aFailure && !running->finished_) {
-        running->expired_ = true;
-        running->Interrupt();
+    active->deadlineTimer_.expires_at(active->deadline_);
+    active->deadlineTimer_.async_wait([active](error_code aFailure) {
+      if (!aFailure && !active->finished_) {
+        active->expired_ = true;
+        active->Interrupt();
       }
     });
   }
   // A closed connection cancels the request.
-  aSocket->async_wait(tcp::socket::wait_read, [running, aSocket](error_code aFailure) {
-    if (!aFailure && !running->finished_ && PeerClosed(*aSocket)) {
-      running->cancelled_ = true;
-      running->Interrupt();
+  aSocket->async_wait(tcp::socket::wait_read, [active, aSocket](error_code aFailure) {
+    if (!aFailure && !active->finished_ && PeerClosed(*aSocket)) {
+      active->cancelled_ = true;
+      active->Interrupt();
     }
   });
-  auto slot = AwaitSlot(running);
+  auto slot = AcquireSlot(active);
   co_await std::move(slot);
-  if (!running->hasSlot_) {
-    co_return LeaveQueue(aSocket, aRequest, *running);
+  if (!active->hasSlot_) {
+    co_return LeaveQueue(aSocket, aRequest, *active);
   }
   error_code failure;
-  running->work_.expires_after(DrawServiceTime());
-  co_await running->work_.async_wait(asio::redirect_error(asio::use_awaitable, failure));
+  active->workTimer_.expires_after(DrawServiceTime());
+  co_await active->workTimer_.async_wait(asio::redirect_error(asio::use_awaitable, failure));
   if (settings_.outbound_) {
     const std::string call = HeaderValue(aRequest, "Quay-Call");
     const std::string_view own(aRequest.target().data(), aRequest.target().size());
     const std::string tag(QueryValue(own, "tag"));
     for (const std::string& path : settings_.deeperPaths_) {
-      if (running->cancelled_ || running->expired_ || running->worstDeeper_ != 200) {
+      if (active->cancelled_ || active->expired_ || active->worstDeeperStatus_ != 200) {
         break;
       }
       std::string target = path;
       if (!tag.empty()) {
         target = WithQueryParameter(target, "tag", tag);
       }
-      target = WithQueryParameter(target, "from", running->entry_->id_);
-      ++running->pendingDeeper_;
-      if (!settings_.parallel_) {
+      target = WithQueryParameter(target, "from", active->logEntry_->id_);
+      ++active->pendingDeeperCalls_;
+      if (!settings_.parallelDeeperCalls_) {
         // Named, because g++ 12 destroys temporaries in co_await arguments twice.
-        auto deeper = DeeperCall(running, target, call);
+        auto deeper = DeeperCall(active, target, call);
         co_await std::move(deeper);
       } else {
         asio::co_spawn(
           context_,
-          [self = shared_from_this(), running, target, call] {
-            return self->DeeperCall(running, target, call);
+          [self = shared_from_this(), active, target, call] {
+            return self->DeeperCall(active, target, call);
           },
           asio::detached);
       }
     }
-    while (running->pendingDeeper_ > 0) {
-      running->work_.expires_at(TimePoint::max());
-      co_await running->work_.async_wait(asio::redirect_error(asio::use_awaitable, failure));
+    while (active->pendingDeeperCalls_ > 0) {
+      active->workTimer_.expires_at(TimePoint::max());
+      co_await active->workTimer_.async_wait(asio::redirect_error(asio::use_awaitable, failure));
     }
   }
-  running->finished_ = true;
-  running->deadlineTimer_.cancel();
+  active->finished_ = true;
+  active->deadlineTimer_.cancel();
   aSocket->cancel(failure);
-  FreeSlot();
-  TargetExecution& entry = *running->entry_;
+  ReleaseSlot();
+  TargetExecution& entry = *active->logEntry_;
   entry.endUs_ = NowUs();
-  Worked worked;
-  if (running->cancelled_ || !aSocket->is_open()) {
+  RequestResult outcome;
+  if (active->cancelled_ || !aSocket->is_open()) {
     entry.executionStatus_ = ExecutionStatus::kCancelled;
-    worked.cancelled_ = true;
-  } else if (running->expired_) {
+    outcome.cancelled_ = true;
+  } else if (active->expired_) {
     entry.executionStatus_ = ExecutionStatus::kExpired;
-    worked.response_ = MakeResponse(aRequest, 504, R"({"error":{"type":"deadline-exceeded"}})");
-  } else if (running->worstDeeper_ != 200) {
+    outcome.response_ = MakeResponse(aRequest, 504, R"({"error":{"type":"deadline-exceeded"}})");
+  } else if (active->worstDeeperStatus_ != 200) {
     entry.executionStatus_ = ExecutionStatus::kDeeperCallFailed;
-    worked.response_ = MakeResponse(aRequest,
-                                    running->worstDeeper_ == 504 ? 504 : 502,
-                                    R"({"error":{"type":"deeper-call","status":)" +
-                                      std::to_string(running->worstDeeper_) + "}}");
+    outcome.response_ = MakeResponse(aRequest,
+                                     active->worstDeeperStatus_ == 504 ? 504 : 502,
+                                     R"({"error":{"type":"deeper-call","status":)" +
+                                       std::to_string(active->worstDeeperStatus_) + "}}");
   } else {
-    worked.drop_ = faults_.dropAnswers_ > 0;
-    if (worked.drop_) {
-      --faults_.dropAnswers_;
+    outcome.truncate_ = faults_.truncateAnswers_ > 0;
+    if (outcome.truncate_) {
+      --faults_.truncateAnswers_;
     }
     entry.executionStatus_ =
-      worked.drop_ ? ExecutionStatus::kAnswerTruncated : ExecutionStatus::kAnswered;
+      outcome.truncate_ ? ExecutionStatus::kAnswerTruncated : ExecutionStatus::kAnswered;
     const std::string_view target(aRequest.target().data(), aRequest.target().size());
-    worked.response_ = MakeResponse(
+    outcome.response_ = MakeResponse(
       aRequest,
       200,
-      TargetBody(target, aRequest.body(), RequestedBodyLength(target, settings_.answerBytes_)),
+      TargetBody(
+        target, aRequest.body(), RequestedBodyLength(target, settings_.defaultAnswerBytes_)),
       "text/plain");
   }
-  co_return worked;
+  co_return outcome;
 }
 
-asio::awaitable<void> TargetServer::AwaitSlot(std::shared_ptr<Running> aRunning)
+asio::awaitable<void> TargetServer::AcquireSlot(std::shared_ptr<ActiveRequest> aActive)
 {
   const auto self = shared_from_this();
-  if (inUse_ < settings_.slots_) {
-    aRunning->hasSlot_ = true;
-    ++inUse_;
-    Sample();
+  if (slotsInUse_ < settings_.slots_) {
+    aActive->hasSlot_ = true;
+    ++slotsInUse_;
+    RecordSample();
   } else {
-    waiting_.push_back(aRunning);
-    while (!aRunning->hasSlot_ && !aRunning->cancelled_ && !aRunning->expired_) {
+    waiting_.push_back(aActive);
+    while (!aActive->hasSlot_ && !aActive->cancelled_ && !aActive->expired_) {
       error_code ignored;
-      aRunning->work_.expires_at(TimePoint::max());
-      co_await aRunning->work_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+      aActive->workTimer_.expires_at(TimePoint::max());
+      co_await aActive->workTimer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
-    std::erase(waiting_, aRunning);
+    std::erase(waiting_, aActive);
   }
   // Waiting isn't running.
-  aRunning->entry_->startUs_ = NowUs();
+  aActive->logEntry_->startUs_ = NowUs();
 }
 
-void TargetServer::FreeSlot()
+void TargetServer::ReleaseSlot()
 {
   while (!waiting_.empty()) {
     const auto next = waiting_.front();
@@ -479,35 +483,35 @@
     if (!next->cancelled_ && !next->expired_) {
       // The slot passes on without being free in between.
       next->hasSlot_ = true;
-      next->work_.cancel();
+      next->workTimer_.cancel();
       return;
     }
   }
-  --inUse_;
-  Sample();
+  --slotsInUse_;
+  RecordSample();
 }
 
-TargetServer::Worked TargetServer::LeaveQueue(const std::shared_ptr<Socket>& aSocket,
-                                              const Request& aRequest,
-                                              Running& aRunning)
+TargetServer::RequestResult TargetServer::LeaveQueue(const std::shared_ptr<Socket>& aSocket,
+                                                     const Request& aRequest,
+                                                     ActiveRequest& aActive)
 {
   error_code ignored;
-  aRunning.finished_ = true;
-  aRunning.deadlineTimer_.cancel();
+  aActive.finished_ = true;
+  aActive.deadlineTimer_.cancel();
   aSocket->cancel(ignored);
-  aRunning.entry_->executionStatus_ = ExecutionStatus::kRefused;
-  aRunning.entry_->endUs_ = NowUs();
-  Worked worked;
-  worked.cancelled_ = aRunning.cancelled_ || !aSocket->is_open();
-  worked.response_ = RefusalAnswer(aRequest, "deadline");
-  return worked;
+  aActive.logEntry_->executionStatus_ = ExecutionStatus::kRefused;
+  aActive.logEntry_->endUs_ = NowUs();
+  RequestResult outcome;
+  outcome.cancelled_ = aActive.cancelled_ || !aSocket->is_open();
+  outcome.response_ = MakeRefusal(aRequest, "deadline");
+  return outcome;
 }
 
-std::shared_ptr<TargetServer::Socket> TargetServer::TakeIdle()
+std::shared_ptr<TargetServer::Socket> TargetServer::PopIdleConnection()
 {
-  while (!idle_.empty()) {
-    auto socket = std::move(idle_.back());
-    idle_.pop_back();
+  while (!idleConnections_.empty()) {
+    auto socket = std::move(idleConnections_.back());
+    idleConnections_.pop_back();
     if (socket->is_open() && !PeerClosed(*socket)) {
       return socket;
     }
@@ -515,34 +519,34 @@
   return nullptr;
 }
 
-asio::awaitable<void> TargetServer::DeeperCall(std::shared_ptr<Running> aRunning,
+asio::awaitable<void> TargetServer::DeeperCall(std::shared_ptr<ActiveRequest> aActive,
                                                std::string aTarget,
                                                std::string aCallToken)
 {
   const auto self = shared_from_this();
   error_code failure;
-  auto socket = TakeIdle();
+  auto socket = PopIdleConnection();
   if (!socket) {
     socket = std::make_shared<Socket>(context_);
-    aRunning->deeperSockets_.push_back(socket);
+    aActive->deeperSockets_.push_back(socket);
     const tcp::endpoint endpoint(asio::ip::make_address(settings_.outbound_->ip_),
                                  settings_.outbound_->port_);
     co_await socket->async_connect(endpoint, asio::redirect_error(asio::use_awaitable, failure));
     error_code ignored;
     socket->set_option(tcp::no_delay(true), ignored);
   } else {
-    aRunning->deeperSockets_.push_back(socket);
+    aActive->deeperSockets_.push_back(socket);
   }
   unsigned status = 502;
-  if (!failure && !aRunning->cancelled_ && !aRunning->expired_) {
+  if (!failure && !aActive->cancelled_ && !aActive->expired_) {
     Request request(http::verb::get, aTarget, 11);
     request.set(http::field::host, "node");
     if (!aCallToken.empty()) {
       request.set("Quay-Call", aCallToken);
     }
-    if (aRunning->deadline_ != TimePoint::max()) {
+    if (aActive->deadline_ != TimePoint::max()) {
       const auto left =
-        std::chrono::duration_cast<milliseconds>(aRunning->deadline_ - Clock::now()).count();
+        std::chrono::duration_cast<milliseconds>(aActive->deadline_ - Clock::now()).count();
       request.set("Quay-Deadline-Ms", std::to_string(std::max<std::int64_t>(left, 0)));
     }
     co_await http::async_write(
@@ -559,21 +563,21 @@
       status = answer.result_int();
       if (status == 200 &&
           answer.body() !=
-            TargetBody(aTarget, "", RequestedBodyLength(aTarget, settings_.answerBytes_))) {
-        ++aRunning->entry_->wrongDeeperAnswers_;
+            TargetBody(aTarget, "", RequestedBodyLength(aTarget, settings_.defaultAnswerBytes_))) {
+        ++aActive->logEntry_->wrongDeeperAnswers_;
         status = 502;
       }
-      if (answer.keep_alive() && !aRunning->cancelled_ && !aRunning->expired_) {
-        idle_.push_back(socket);
+      if (answer.keep_alive() && !aActive->cancelled_ && !aActive->expired_) {
+        idleConnections_.push_back(socket);
       }
     }
   }
-  std::erase(aRunning->deeperSockets_, socket);
-  if (status != 200 && (aRunning->worstDeeper_ == 200 || status == 504)) {
-    aRunning->worstDeeper_ = status;
+  std::erase(aActive->deeperSockets_, socket);
+  if (status != 200 && (aActive->worstDeeperStatus_ == 200 || status == 504)) {
+    aActive->worstDeeperStatus_ = status;
   }
-  --aRunning->pendingDeeper_;
-  aRunning->work_.cancel();
+  --aActive->pendingDeeperCalls_;
+  aActive->workTimer_.cancel();
 }
 
 std::string TargetServer::State() const
@@ -584,24 +588,24 @@
   if (!faults_.state_.empty()) {
     return faults_.state_;
   }
-  return Clock::now() - started_ < settings_.coldFor_ ? "cold" : "ready";
+  return Clock::now() - startedAt_ < settings_.coldPeriod_ ? "cold" : "ready";
 }
 
-void TargetServer::Sample()
+void TargetServer::RecordSample()
 {
   if (settings_.reportLag_ == Duration::zero()) {
     samples_.clear();
   }
-  samples_.push_back({ Clock::now(), inUse_, State() });
+  samples_.push_back({ Clock::now(), slotsInUse_, State() });
   // The report needs the newest sample that is older than the lag, and all later ones.
-  while (samples_.size() > 1 && samples_[1].at_ <= Clock::now() - settings_.reportLag_) {
+  while (samples_.size() > 1 && samples_[1].takenAt_ <= Clock::now() - settings_.reportLag_) {
     samples_.pop_front();
   }
 }
 
-const TargetServer::LoadSample& TargetServer::Reported()
+const TargetServer::LoadSample& TargetServer::ReportedSample()
 {
-  Sample();
+  RecordSample();
   return samples_.front();
 }
 
@@ -614,15 +618,15 @@
   if (faults_.outboundPort_) {
     settings_.outbound_ = Address{ "127.0.0.1", *faults_.outboundPort_ };
     faults_.outboundPort_.reset();
-    idle_.clear();
+    idleConnections_.clear();
   }
-  Sample();
-  thaw_.cancel();
-  thaw_.expires_at(TimePoint::max());
+  RecordSample();
+  thawTimer_.cancel();
+  thawTimer_.expires_at(TimePoint::max());
   return MakeResponse(aRequest, 200, "{}");
 }
 
-TargetServer::Response TargetServer::OwnAnswer(const Request& aRequest)
+TargetServer::Response TargetServer::HandleControlRequest(const Request& aRequest)
 {
   const std::string_view path = PathOf(aRequest);
   const bool post = aRequest.method() == http::verb::post;
@@ -634,18 +638,18 @@
       return MakeResponse(aRequest, 405, "{}");
     }
     draining_ = true;
-    Sample();
+    RecordSample();
     return MakeResponse(aRequest, 200, "{}");
   }
   if (path == "/executions") {
     return MakeResponse(aRequest, 200, WriteExecutions(Executions()));
   }
-  const LoadSample& reported = Reported();
+  const LoadSample& reported = ReportedSample();
   if (path == "/health") {
     return MakeResponse(aRequest, 200, nlohmann::json{ { "state", reported.state_ } }.dump());
   }
   const nlohmann::json load{ { "slots", faults_.falseSlots_.value_or(settings_.slots_) },
-                             { "in_use", faults_.falseInUse_.value_or(reported.inUse_) } };
+                             { "in_use", faults_.falseInUse_.value_or(reported.slotsInUse_) } };
   return MakeResponse(aRequest, 200, load.dump());
 }
 
--- a/standins/lib/TargetServer.h
+++ b/standins/lib/TargetServer.h
@@ -52,9 +52,9 @@
   using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
   /// A request that holds a slot.
-  struct Running
+  struct ActiveRequest
   {
-    explicit Running(boost::asio::io_context& aContext);
+    explicit ActiveRequest(boost::asio::io_context& aContext);
     /// Stops its work: ends its timers and closes its deeper connections.
     void Interrupt();
 
@@ -63,70 +63,71 @@
     bool finished_ = false;
     bool hasSlot_ = false; ///< False while it waits in the queue.
     TimePoint deadline_ = TimePoint::max();
-    boost::asio::steady_timer work_;
+    boost::asio::steady_timer workTimer_;
     boost::asio::steady_timer deadlineTimer_;
     std::vector<std::shared_ptr<Socket>> deeperSockets_;
-    std::uint32_t pendingDeeper_ = 0;
-    unsigned worstDeeper_ = 200; ///< Worst status of the deeper calls.
-    TargetExecution* entry_ = nullptr;
+    std::uint32_t pendingDeeperCalls_ = 0;
+    unsigned worstDeeperStatus_ = 200; ///< Worst status of the deeper calls.
+    TargetExecution* logEntry_ = nullptr;
   };
 
   /// Result of Work.
-  struct Worked
+  struct RequestResult
   {
     Response response_;
     bool cancelled_ = false; ///< Nothing is answered.
-    bool drop_ = false;      ///< The answer is cut in the middle.
+    bool truncate_ = false;  ///< The answer is cut in the middle.
   };
 
   struct LoadSample
   {
-    TimePoint at_;
-    std::uint32_t inUse_;
+    TimePoint takenAt_;
+    std::uint32_t slotsInUse_;
     std::string state_;
   };
 
   boost::asio::awaitable<void> Accept();
   boost::asio::awaitable<void> Serve(std::shared_ptr<Socket> aSocket);
-  boost::asio::awaitable<void> WhileFrozen();
-  boost::asio::awaitable<Worked> Work(std::shared_ptr<Socket> aSocket, const Request& aRequest);
-  boost::asio::awaitable<void> AwaitSlot(std::shared_ptr<Running> aRunning);
-  void FreeSlot();
-  static Worked LeaveQueue(const std::shared_ptr<Socket>& aSocket,
-                           const Request& aRequest,
-                           Running& aRunning);
-  boost::asio::awaitable<void> DeeperCall(std::shared_ptr<Running> aRunning,
+  boost::asio::awaitable<void> AwaitThaw();
+  boost::asio::awaitable<RequestResult> HandleRequest(std::shared_ptr<Socket> aSocket,
+                                                      const Request& aRequest);
+  boost::asio::awaitable<void> AcquireSlot(std::shared_ptr<ActiveRequest> aActive);
+  void ReleaseSlot();
+  static RequestResult LeaveQueue(const std::shared_ptr<Socket>& aSocket,
+                                  const Request& aRequest,
+                                  ActiveRequest& aActive);
+  boost::asio::awaitable<void> DeeperCall(std::shared_ptr<ActiveRequest> aActive,
                                           std::string aTarget,
                                           std::string aCallToken);
-  boost::asio::awaitable<bool> WriteAnswer(Socket& aSocket, Response& aResponse, bool aDrop);
-  std::optional<Response> Refusal(const Request& aRequest);
-  Response OwnAnswer(const Request& aRequest);
+  boost::asio::awaitable<bool> WriteAnswer(Socket& aSocket, Response& aResponse, bool aTruncate);
+  std::optional<Response> CheckAdmission(const Request& aRequest);
+  Response HandleControlRequest(const Request& aRequest);
   Response PostFaults(const Request& aRequest);
-  TargetExecution& Log(const Request& aRequest, ExecutionStatus aEnd);
+  TargetExecution& LogExecution(const Request& aRequest, ExecutionStatus aEnd);
   Duration DrawServiceTime();
   std::string State() const;
-  void Sample();
-  const LoadSample& Reported();
-  std::shared_ptr<Socket> TakeIdle();
+  void RecordSample();
+  const LoadSample& ReportedSample();
+  std::shared_ptr<Socket> PopIdleConnection();
   void CloseIfDrained();
 
   boost::asio::io_context& context_;
   TargetSettings settings_;
   TargetFaults faults_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer thaw_; ///< Cancelled when a freeze ends.
+  boost::asio::steady_timer thawTimer_; ///< Cancelled when a freeze ends.
   std::mt19937_64 random_;
-  TimePoint started_{};
+  TimePoint startedAt_{};
   bool draining_ = false;
-  bool closing_ = false;         ///< Stops once unanswered_ is 0.
-  std::uint32_t unanswered_ = 0; ///< Requests read whole and not answered.
-  std::uint32_t inUse_ = 0;
+  bool closing_ = false;                 ///< Stops once unansweredRequests_ is 0.
+  std::uint32_t unansweredRequests_ = 0; ///< Requests read whole and not answered.
+  std::uint32_t slotsInUse_ = 0;
   std::uint64_t nextExecution_ = 1;
   std::uint64_t droppedExecutions_ = 0;
-  std::deque<std::shared_ptr<Running>> waiting_; ///< First come, first served.
-  std::list<TargetExecution> executions_;        ///< A list, so that entries keep their address.
+  std::deque<std::shared_ptr<ActiveRequest>> waiting_; ///< First come, first served.
+  std::list<TargetExecution> executions_; ///< A list, so that entries keep their address.
   std::list<std::shared_ptr<Socket>> connections_;
-  std::vector<std::shared_ptr<Socket>> idle_; ///< Open connections to outbound_.
+  std::vector<std::shared_ptr<Socket>> idleConnections_; ///< Open connections to outbound_.
   std::deque<LoadSample> samples_; ///< Newest last; only those needed for the report lag.
 };
 
--- a/standins/lib/TargetSettings.cpp
+++ b/standins/lib/TargetSettings.cpp
@@ -5,16 +5,16 @@
 
 namespace peridotquay::standins {
 
-std::optional<ServiceTimes> ParseServiceTimes(std::string_view aText)
+std::optional<ServiceTimeDistribution> ParseServiceTimeDistribution(std::string_view aText)
 {
   if (aText == "fixed") {
-    return ServiceTimes::kFixed;
+    return ServiceTimeDistribution::kFixed;
   }
   if (aText == "exponential") {
-    return ServiceTimes::kExponential;
+    return ServiceTimeDistribution::kExponential;
   }
   if (aText == "lognormal") {
-    return ServiceTimes::kLogNormal;
+    return ServiceTimeDistribution::kLogNormal;
   }
   return std::nullopt;
 }
@@ -40,12 +40,13 @@
       if (!value.is_boolean()) {
         return Fail(ErrorCode::kWrongType, name, "true or false");
       }
-      next.freeze_ = value.get<bool>();
+      next.frozen_ = value.get<bool>();
     } else if (name == "drop_answers" || name == "refuse") {
       if (!count) {
         return Fail(ErrorCode::kWrongType, name, "a count");
       }
-      (name == "refuse" ? next.refuse_ : next.dropAnswers_) = value.get<std::uint32_t>();
+      (name == "refuse" ? next.refuseRequests_ : next.truncateAnswers_) =
+        value.get<std::uint32_t>();
     } else if (name == "outbound_port") {
       if (!count || value > 65535 || value == 0) {
         return Fail(ErrorCode::kOutOfRange, name, "1 to 65535");
--- a/standins/lib/UserStore.cpp
+++ b/standins/lib/UserStore.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr Duration kWatchCheck = milliseconds(5);
+constexpr Duration kWatchCheckInterval = milliseconds(5);
 
 std::string QueryValue(const std::string& aPath, const std::string& aName)
 {
-  const std::string mark = aName + "=";
-  std::size_t place = aPath.find('?');
-  while (place != std::string::npos) {
-    if (aPath.compare(place + 1, mark.size(), mark) == 0) {
-      const std::size_t begin = place + 1 + mark.size();
+  const std::string prefix = aName + "=";
+  std::size_t position = aPath.find('?');
+  while (position != std::string::npos) {
+    if (aPath.compare(position + 1, prefix.size(), prefix) == 0) {
+      const std::size_t begin = position + 1 + prefix.size();
       return aPath.substr(begin, aPath.find('&', begin) - begin);
     }
-    place = aPath.find('&', place + 1);
+    position = aPath.find('&', position + 1);
   }
   return {};
 }
@@ -66,7 +66,7 @@
 void UserStore::Compact()
 {
   const std::lock_guard lock(mutex_);
-  compacted_ = ++version_;
+  compactedVersion_ = ++version_;
 }
 
 std::size_t UserStore::RowCount(const std::string& aTable)
@@ -134,18 +134,18 @@
   }
   const std::lock_guard lock(mutex_);
   nlohmann::json present = nlohmann::json::array();
-  bool holds = true;
+  bool conditionsHold = true;
   for (const auto& entry : json.value("expected", nlohmann::json::array())) {
     const auto found = rows_.find({ entry.at("table"), entry.at("key") });
     const bool exists = found != rows_.end() && !found->second.removed_;
     const std::uint64_t version = exists ? found->second.version_ : 0;
-    holds = holds && version == entry.at("ver").get<std::uint64_t>();
+    conditionsHold = conditionsHold && version == entry.at("ver").get<std::uint64_t>();
     if (exists) {
       present.push_back(
         { { "key", entry.at("key") }, { "value", found->second.value_ }, { "ver", version } });
     }
   }
-  if (!holds) {
+  if (!conditionsHold) {
     aExchange->Respond(
       JsonResponse(412, nlohmann::json{ { "rows", present }, { "ver", version_ } }.dump()));
     return;
@@ -169,13 +169,13 @@
   {
     const std::lock_guard lock(mutex_);
     std::erase_if(watches_, [this](const Watch& aWatch) {
-      if (aWatch.after_ < compacted_) {
+      if (aWatch.afterVersion_ < compactedVersion_) {
         aWatch.exchange_->Respond({ 410, {}, "", std::nullopt });
         return true;
       }
       nlohmann::json rows = nlohmann::json::array();
       for (const auto& [key, row] : rows_) {
-        if (key.first == aWatch.table_ && row.version_ > aWatch.after_) {
+        if (key.first == aWatch.table_ && row.version_ > aWatch.afterVersion_) {
           nlohmann::json entry = { { "key", key.second },
                                    { "value", row.value_ },
                                    { "ver", row.version_ } };
@@ -185,7 +185,7 @@
           rows.push_back(std::move(entry));
         }
       }
-      if (rows.empty() && loop_.Now() < aWatch.due_) {
+      if (rows.empty() && loop_.Now() < aWatch.answerAt_) {
         return false;
       }
       const nlohmann::json body = { { "rows", rows }, { "ver", version_ } };
@@ -193,7 +193,7 @@
       return true;
     });
   }
-  loop_.After(kWatchCheck, [this] { AnswerWatches(); });
+  loop_.After(kWatchCheckInterval, [this] { AnswerWatches(); });
 }
 
 } // namespace peridotquay::standins
--- a/standins/lib/UserStore.h
+++ b/standins/lib/UserStore.h
@@ -59,8 +59,8 @@
   {
     std::shared_ptr<HttpExchange> exchange_;
     std::string table_;
-    std::uint64_t after_ = 0;
-    TimePoint due_{};
+    std::uint64_t afterVersion_ = 0;
+    TimePoint answerAt_{};
   };
 
   void OnCall(const std::shared_ptr<HttpExchange>& aExchange);
@@ -74,7 +74,7 @@
   std::mutex mutex_;                                        ///< Guards the rows, which tests write.
   std::map<std::pair<std::string, std::string>, Row> rows_; ///< By table and key.
   std::uint64_t version_ = 0;
-  std::uint64_t compacted_ = 0; ///< Watches can't begin before this version.
+  std::uint64_t compactedVersion_ = 0; ///< Watches can't begin before this version.
   std::list<Watch> watches_;
   std::list<std::shared_ptr<HttpExchange>> unanswered_;
   std::atomic<UserStoreFault> fault_{ UserStoreFault::kNone };
--- a/standins/lib/UserTarget.cpp
+++ b/standins/lib/UserTarget.cpp
@@ -17,10 +17,10 @@
 
 } // namespace
 
-UserTarget::UserTarget(std::string aId, std::string aService, std::uint16_t aReports)
+UserTarget::UserTarget(std::string aId, std::string aService, std::uint16_t aHeartbeatPort)
   : id_(std::move(aId))
   , service_(std::move(aService))
-  , reports_(aReports)
+  , heartbeatPort_(aHeartbeatPort)
 {
   auto front = HttpFront::Listen(
     loop_, {}, [this](const std::shared_ptr<HttpExchange>& aExchange) { OnRequest(aExchange); });
@@ -29,13 +29,13 @@
   }
   front_ = std::move(front.assume_value());
   thread_ = std::thread([this] { loop_.Run(); });
-  reporter_ = std::thread([this] { Report(); });
+  heartbeatThread_ = std::thread([this] { SendHeartbeats(); });
 }
 
 UserTarget::~UserTarget()
 {
-  ending_ = true;
-  reporter_.join();
+  stopping_ = true;
+  heartbeatThread_.join();
   loop_.Stop();
   thread_.join();
 }
@@ -48,7 +48,7 @@
 std::vector<HttpRequest> UserTarget::StartedRequests()
 {
   const std::lock_guard lock(mutex_);
-  return ran_;
+  return startedRequests_;
 }
 
 void UserTarget::OnRequest(const std::shared_ptr<HttpExchange>& aExchange)
@@ -62,16 +62,16 @@
   std::size_t count = 0;
   {
     const std::lock_guard lock(mutex_);
-    ran_.push_back(request);
-    count = ran_.size();
+    startedRequests_.push_back(request);
+    count = startedRequests_.size();
   }
-  const unsigned loseOneIn = loseOneIn_;
-  if (loseOneIn != 0 && count % loseOneIn == 0) {
-    lost_.push_back(aExchange);
+  const unsigned loseOneAnswerIn = loseOneAnswerIn_;
+  if (loseOneAnswerIn != 0 && count % loseOneAnswerIn == 0) {
+    lostExchanges_.push_back(aExchange);
     return;
   }
   const std::string requestId(FindHeader(request.headers_, "X-Request-Id").value_or(""));
-  loop_.After(work_, [this, aExchange, requestId] {
+  loop_.After(serviceTime_, [this, aExchange, requestId] {
     aExchange->Respond({ 200,
                          { { "X-Request-Id", requestId },
                            { "X-Response-Signature", id_ + "." + requestId },
@@ -81,9 +81,9 @@
   });
 }
 
-void UserTarget::Report()
+void UserTarget::SendHeartbeats()
 {
-  for (std::uint64_t sequence = 1; !ending_; ++sequence) {
+  for (std::uint64_t sequence = 1; !stopping_; ++sequence) {
     const nlohmann::json body = { { "service", service_ },
                                   { "address", "127.0.0.1:" + std::to_string(Port()) },
                                   { "capacity", kSlots },
@@ -92,7 +92,7 @@
                                   { "sequence", sequence },
                                   { "born", 1 } };
     // A host that is down gets the next report.
-    static_cast<void>(FetchHttp({ "127.0.0.1", reports_ },
+    static_cast<void>(FetchHttp({ "127.0.0.1", heartbeatPort_ },
                                 { "POST",
                                   "/-/Instances.Heartbeat/" + id_,
                                   { { "Content-Type", "application/json" } },
--- a/standins/standin_platform.cpp
+++ b/standins/standin_platform.cpp
@@ -48,10 +48,10 @@
   PlatformServer::Settings settings;
   settings.listen_ = { absl::GetFlag(FLAGS_ip), absl::GetFlag(FLAGS_port) };
   settings.seed_ = absl::GetFlag(FLAGS_seed);
-  settings.faults_.writesPerSecond_ = absl::GetFlag(FLAGS_writes_per_second);
-  settings.faults_.readsPerSecond_ = absl::GetFlag(FLAGS_reads_per_second);
+  settings.faults_.maxWritesPerSecond_ = absl::GetFlag(FLAGS_writes_per_second);
+  settings.faults_.maxReadsPerSecond_ = absl::GetFlag(FLAGS_reads_per_second);
   settings.faults_.delayMs_ = absl::GetFlag(FLAGS_delay_ms);
-  settings.faults_.loseAnswers_ = absl::GetFlag(FLAGS_lose_answers);
+  settings.faults_.lostAnswerFraction_ = absl::GetFlag(FLAGS_lose_answers);
   const auto outage = "{\"outage\":\"" + absl::GetFlag(FLAGS_outage) + "\"}";
   const auto updated = UpdatePlatformFaults(settings.faults_, outage);
   if (updated.has_error()) {
--- a/standins/standin_target.cpp
+++ b/standins/standin_target.cpp
@@ -51,24 +51,24 @@
   settings.listen_.port_ = static_cast<std::uint16_t>(absl::GetFlag(FLAGS_port));
   settings.name_ = absl::GetFlag(FLAGS_name);
   settings.slots_ = static_cast<std::uint32_t>(absl::GetFlag(FLAGS_slots));
-  settings.queue_ = static_cast<std::uint32_t>(absl::GetFlag(FLAGS_queue));
-  settings.connections_ = static_cast<std::uint32_t>(absl::GetFlag(FLAGS_connections));
+  settings.maxQueueLength_ = static_cast<std::uint32_t>(absl::GetFlag(FLAGS_queue));
+  settings.maxConnections_ = static_cast<std::uint32_t>(absl::GetFlag(FLAGS_connections));
   settings.serviceTime_ = FromSeconds(absl::GetFlag(FLAGS_service_ms) / 1000);
-  const auto times = ParseServiceTimes(absl::GetFlag(FLAGS_distribution));
+  const auto times = ParseServiceTimeDistribution(absl::GetFlag(FLAGS_distribution));
   if (!times) {
     std::cerr << "--distribution: fixed, exponential or lognormal\n";
     return 2;
   }
-  settings.serviceTimes_ = *times;
+  settings.distribution_ = *times;
   settings.seed_ = absl::GetFlag(FLAGS_seed);
-  settings.coldFor_ = FromSeconds(absl::GetFlag(FLAGS_cold_s));
+  settings.coldPeriod_ = FromSeconds(absl::GetFlag(FLAGS_cold_s));
   settings.coldFactor_ = absl::GetFlag(FLAGS_cold_factor);
   if (absl::GetFlag(FLAGS_outbound_port) != 0) {
     settings.outbound_ = { "127.0.0.1",
                            static_cast<std::uint16_t>(absl::GetFlag(FLAGS_outbound_port)) };
   }
   settings.deeperPaths_ = absl::GetFlag(FLAGS_deeper);
-  settings.parallel_ = absl::GetFlag(FLAGS_parallel);
+  settings.parallelDeeperCalls_ = absl::GetFlag(FLAGS_parallel);
   settings.reportLag_ = FromSeconds(absl::GetFlag(FLAGS_report_lag_s));
 
   boost::asio::io_context context(1);
--- a/tests/standins/LinkTest.cpp
+++ b/tests/standins/LinkTest.cpp
@@ -51,7 +51,7 @@
     thread_.join();
   }
 
-  void Set(const std::string& aJson) const
+  void SetFaults(const std::string& aJson) const
   {
     const auto reply = FetchHttp(control_, { "POST", "/link", {}, aJson });
     REQUIRE(reply.has_value());
@@ -84,11 +84,11 @@
   const std::string big = "/a?length=100000";
   const auto direct = linked.Get(big).assume_value().body_;
   CHECK(direct.size() == 100000);
-  linked.Set(R"({"delay_ms":20})");
+  linked.SetFaults(R"({"delay_ms":20})");
   auto before = Clock::now();
   CHECK(linked.Get(big).assume_value().body_ == direct);
   CHECK(Clock::now() - before >= milliseconds(40));
-  linked.Set(R"({"delay_ms":0,"bandwidth":500000})");
+  linked.SetFaults(R"({"delay_ms":0,"bandwidth":500000})");
   before = Clock::now();
   CHECK(linked.Get(big).assume_value().body_ == direct);
   CHECK(Clock::now() - before >= milliseconds(190));
@@ -98,9 +98,9 @@
 TEST_CASE("link cut stalls connections until it ends", "[link]")
 {
   LinkedTarget linked;
-  linked.Set(R"({"cut":true})");
+  linked.SetFaults(R"({"cut":true})");
   CHECK_FALSE(linked.Get("/a", milliseconds(100)).has_value());
-  linked.Set(R"({"cut":false})");
+  linked.SetFaults(R"({"cut":false})");
   CHECK(linked.Get("/a").has_value());
 }
 
@@ -108,9 +108,9 @@
 TEST_CASE("a one-way cut holds back only the answers", "[link]")
 {
   LinkedTarget linked;
-  linked.Set(R"({"cut_answers":true})");
+  linked.SetFaults(R"({"cut_answers":true})");
   CHECK_FALSE(linked.Get("/a?length=7", milliseconds(200)).has_value());
-  linked.Set(R"({"cut_answers":false})");
+  linked.SetFaults(R"({"cut_answers":false})");
   CHECK(linked.Get("/a").has_value());
 }
 
@@ -121,7 +121,7 @@
   HttpSession session(linked.address_);
   REQUIRE(session.Fetch({ "GET", "/a", {}, "" }).has_value());
   REQUIRE(session.Fetch({ "GET", "/b", {}, "" }).has_value());
-  linked.Set(R"({"reset_existing":true})");
+  linked.SetFaults(R"({"reset_existing":true})");
   CHECK_FALSE(session.Fetch({ "GET", "/c", {}, "" }).has_value());
   CHECK(session.Fetch({ "GET", "/d", {}, "" }).has_value());
 }
@@ -131,21 +131,21 @@
 {
   LinkedTarget linked;
   asio::io_context context;
-  asio::ip::tcp::socket old(context);
-  old.connect({ asio::ip::make_address("127.0.0.1"), linked.address_.port_ });
+  asio::ip::tcp::socket existing(context);
+  existing.connect({ asio::ip::make_address("127.0.0.1"), linked.address_.port_ });
   http::request<http::string_body> request(http::verb::get, "/a", 11);
   http::response<http::string_body> response;
   boost::beast::flat_buffer buffer;
-  http::write(old, request);
-  http::read(old, buffer, response);
+  http::write(existing, request);
+  http::read(existing, buffer, response);
   CHECK(response.result_int() == 200);
 
-  linked.Set(R"({"silence_existing":true})");
+  linked.SetFaults(R"({"silence_existing":true})");
   const timeval timeout{ 0, 100'000 };
-  ::setsockopt(old.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
-  http::write(old, request);
+  ::setsockopt(existing.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  http::write(existing, request);
   char byte = 0;
-  CHECK(::recv(old.native_handle(), &byte, 1, 0) < 0);
+  CHECK(::recv(existing.native_handle(), &byte, 1, 0) < 0);
   CHECK(errno == EAGAIN);
   CHECK(linked.Get("/a").has_value());
   CHECK(FetchHttp(linked.control_, { "GET", "/link", {}, "" })
@@ -185,10 +185,10 @@
 
   REQUIRE(FetchHttp(control, { "POST", "/link", {}, R"({"cut":true})" }).has_value());
   sender.send_to(asio::buffer("lost", 4), linkEnd);
-  const auto end = Clock::now() + seconds(5);
+  const auto giveUpAt = Clock::now() + seconds(5);
   std::string report;
   while (report.find("\"lost_datagrams\":1") == std::string::npos) {
-    REQUIRE(Clock::now() < end);
+    REQUIRE(Clock::now() < giveUpAt);
     report = FetchHttp(control, { "GET", "/link", {}, "" }).assume_value().body_;
   }
   asio::post(linkContext, [&] {
--- a/tests/standins/TargetTest.cpp
+++ b/tests/standins/TargetTest.cpp
@@ -43,7 +43,7 @@
 
   HttpReply Get(const std::string& aTarget) const { return Fetch({ "GET", aTarget, {}, "" }); }
 
-  void Fault(const std::string& aJson) const
+  void SetFaults(const std::string& aJson) const
   {
     REQUIRE(Fetch({ "POST", "/faults", {}, aJson }).status_ == 200);
   }
@@ -56,9 +56,9 @@
   // Waits for a number of slots in use; fails the test after 5 s.
   void AwaitInUse(std::uint32_t aCount) const
   {
-    const auto end = Clock::now() + seconds(5);
+    const auto giveUpAt = Clock::now() + seconds(5);
     while (InUse() != aCount) {
-      REQUIRE(Clock::now() < end);
+      REQUIRE(Clock::now() < giveUpAt);
       std::this_thread::yield();
     }
   }
@@ -76,7 +76,7 @@
   std::thread thread_;
 };
 
-TargetSettings Quick()
+TargetSettings FastTargetSettings()
 {
   TargetSettings settings;
   settings.serviceTime_ = milliseconds(1);
@@ -101,7 +101,7 @@
 // Guards against a log that lacks what the history checks need.
 TEST_CASE("target answers and logs a request", "[target]")
 {
-  RunningTarget target(Quick());
+  RunningTarget target(FastTargetSettings());
   const auto reply = target.Fetch({ "POST",
                                     "/stock?length=200&tag=7",
                                     { { "Quay-Request-Id", "id-1" },
@@ -128,7 +128,7 @@
 // left.
 TEST_CASE("full slots refuse without starting and a closed connection frees its slot", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.slots_ = 1;
   settings.serviceTime_ = seconds(60);
   RunningTarget target(settings);
@@ -151,9 +151,9 @@
 // Guards against a queue that runs requests out of turn, after their deadline or without a limit.
 TEST_CASE("requests wait for a slot in a bounded queue", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.slots_ = 1;
-  settings.queue_ = 2;
+  settings.maxQueueLength_ = 2;
   settings.serviceTime_ = milliseconds(150);
   RunningTarget target(settings);
   const auto fetch = [&target](const std::string& aTarget) {
@@ -191,7 +191,7 @@
 // Guards against work that goes on after its deadline.
 TEST_CASE("deadlines end the work", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = seconds(60);
   RunningTarget target(settings);
   CHECK(target.Fetch({ "GET", "/a", { { "Quay-Deadline-Ms", "30" } }, "" }).status_ == 504);
@@ -203,11 +203,11 @@
 TEST_CASE("deeper calls carry the call token and their origin", "[target]")
 {
   for (const bool parallel : { false, true }) {
-    RunningTarget deep(Quick());
-    TargetSettings settings = Quick();
+    RunningTarget deep(FastTargetSettings());
+    TargetSettings settings = FastTargetSettings();
     settings.outbound_ = deep.address_;
     settings.deeperPaths_ = { "/deep/a?length=32", "/deep/b" };
-    settings.parallel_ = parallel;
+    settings.parallelDeeperCalls_ = parallel;
     RunningTarget target(settings);
     const auto reply = target.Fetch({ "GET", "/top?tag=9", { { "Quay-Call", "token" } }, "" });
     CHECK(reply.status_ == 200);
@@ -217,7 +217,7 @@
     CHECK(QueryValue(log[0].path_, "tag") == "9");
     CHECK(QueryValue(log[0].path_, "from") == own.at(0).id_);
     CHECK(log[0].hasCallHeader_);
-    deep.Fault(R"({"refuse":1})");
+    deep.SetFaults(R"({"refuse":1})");
     CHECK(target.Get("/top").status_ == 502);
     CHECK(target.Executions().back().executionStatus_ == ExecutionStatus::kDeeperCallFailed);
   }
@@ -226,29 +226,29 @@
 // Guards against faults that change nothing: each experiment relies on them.
 TEST_CASE("faults are in force at once and end at once", "[target]")
 {
-  RunningTarget target(Quick());
-  target.Fault(R"({"drop_answers":1})");
+  RunningTarget target(FastTargetSettings());
+  target.SetFaults(R"({"drop_answers":1})");
   const auto cut = FetchHttp(target.address_, { "GET", "/a?length=1000", {}, "" });
   REQUIRE_FALSE(cut.has_value());
   CHECK(cut.assume_error().code_ == ErrorCode::kTruncatedAnswer);
   CHECK(target.Get("/a").status_ == 200);
 
-  target.Fault(R"({"freeze":true})");
+  target.SetFaults(R"({"freeze":true})");
   HttpQuery brief{ "GET", "/a", {}, "" };
   brief.timeout_ = milliseconds(100);
   const auto frozen = FetchHttp(target.address_, brief);
   REQUIRE_FALSE(frozen.has_value());
   CHECK(frozen.assume_error().code_ == ErrorCode::kDeadlineExceeded);
-  target.Fault(R"({"freeze":false})");
+  target.SetFaults(R"({"freeze":false})");
   CHECK(target.Get("/a").status_ == 200);
 
-  target.Fault(R"({"false_slots":999,"false_in_use":0,"state":"cold"})");
+  target.SetFaults(R"({"false_slots":999,"false_in_use":0,"state":"cold"})");
   CHECK(nlohmann::json::parse(target.Get("/load").body_).at("slots") == 999);
   CHECK(nlohmann::json::parse(target.Get("/health").body_).at("state") == "cold");
-  target.Fault(R"({"false_slots":null,"state":""})");
+  target.SetFaults(R"({"false_slots":null,"state":""})");
   CHECK(nlohmann::json::parse(target.Get("/load").body_).at("slots") == 50);
 
-  target.Fault(R"({"slow_factor":100})");
+  target.SetFaults(R"({"slow_factor":100})");
   const auto before = Clock::now();
   CHECK(target.Get("/a").status_ == 200);
   CHECK(Clock::now() - before >= milliseconds(100));
@@ -259,7 +259,7 @@
 // Guards against a draining target that takes new work or cuts running work.
 TEST_CASE("drain refuses new work and finishes the old", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = milliseconds(200);
   RunningTarget target(settings);
   auto first = std::async(std::launch::async, [&] {
@@ -277,16 +277,16 @@
 // Guards against a report without lag, which would make stale load look fresh in experiments.
 TEST_CASE("load reports lag", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = milliseconds(400);
   settings.reportLag_ = seconds(60);
   RunningTarget target(settings);
   auto first = std::async(std::launch::async, [&] {
     return FetchHttp(target.address_, { "GET", "/a", {}, "" });
   });
-  const auto end = Clock::now() + seconds(5);
+  const auto giveUpAt = Clock::now() + seconds(5);
   while (target.Executions().empty()) {
-    REQUIRE(Clock::now() < end);
+    REQUIRE(Clock::now() < giveUpAt);
   }
   CHECK(target.InUse() == 0);
   CHECK(first.get().has_value());
@@ -295,8 +295,8 @@
 // Guards against more open connections than the bound.
 TEST_CASE("connections beyond the bound are closed", "[target]")
 {
-  TargetSettings settings = Quick();
-  settings.connections_ = 0;
+  TargetSettings settings = FastTargetSettings();
+  settings.maxConnections_ = 0;
   RunningTarget target(settings);
   CHECK_FALSE(FetchHttp(target.address_, { "GET", "/a", {}, "" }).has_value());
   CHECK(target.Get("/health").status_ == 200);
@@ -305,9 +305,9 @@
 // Guards against a cold start that is as fast as a warm target.
 TEST_CASE("a cold target is slower and says so", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = milliseconds(20);
-  settings.coldFor_ = seconds(60);
+  settings.coldPeriod_ = seconds(60);
   settings.coldFactor_ = 5;
   RunningTarget target(settings);
   const auto before = Clock::now();
