--- a/standins/lib/LinkRelay.cpp
+++ b/standins/lib/LinkRelay.cpp
@@ -1,4 +1,4 @@
-// Stand-in link on Asio coroutines.
+// Stand-in link: relay and HTTP control interface as Asio coroutines.
 #include "standins/lib/LinkRelay.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -22,10 +22,11 @@
 
 constexpr std::size_t kChunkBytes = 16 * 1024;
 
-// Bounds the memory of one direction; a full queue stops reading, as a full TCP window does.
+// Bounds the memory of one direction. Reading pauses while the queue is full, which gives the
+// sender TCP back-pressure.
 constexpr std::size_t kMaxQueuedBytes = std::size_t{ 4 } << 20U;
 
-// Each return path costs one socket.
+// Each path holds one socket.
 constexpr std::size_t kMaxDatagramPaths = 256;
 
 template<typename Acceptor>
@@ -77,7 +78,7 @@
 Result<void> LinkRelay::Start()
 {
   error_code failure;
-  // A port that is free for TCP may be taken for UDP, so a kernel-chosen port is tried a few times.
+  // A port that the kernel chose for TCP may be in use for UDP, so several ports are tried.
   for (int attempt = 0; attempt < 16; ++attempt) {
     failure.clear();
     Listen(acceptor_, settings_.listen_, failure);
@@ -253,7 +254,7 @@
     }
   }
   if (failure) {
-    // The other side broke: this side sees its connection close as well.
+    // The destination failed, so the source's connection is closed too.
     aConnection->sockets_[aSide].close(failure);
   }
 }
@@ -320,7 +321,8 @@
     error_code failure;
     const std::size_t received = co_await aPath->socket_.async_receive(
       asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, failure));
-    // A refused datagram is reported here; the remote may come back later.
+    // A datagram that the remote's host refused is reported here as an error. The remote may start
+    // to listen again.
     if (failure) {
       continue;
     }
@@ -340,7 +342,7 @@
     }
     if (connection->resetAtOpen_ != settings_.faults_.resetGeneration_) {
       for (auto& socket : connection->sockets_) {
-        // Closing with a linger time of 0 sends a reset.
+        // Closing with a linger time of 0 sends a TCP reset.
         error_code ignored;
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
         socket.close(ignored);
--- a/standins/lib/LinkRelay.h
+++ b/standins/lib/LinkRelay.h
@@ -21,54 +21,55 @@
 
 namespace peridotquay::standins {
 
-/// Runs on one thread of the io_context it is given. A connection that fell silent stays open and
-/// swallows every byte, in both directions, for the rest of its life.
+/// All handlers run on the single thread of the given io_context. A silenced connection stays open
+/// and discards every byte in both directions until it is closed.
 class LinkRelay : public std::enable_shared_from_this<LinkRelay>
 {
 public:
   LinkRelay(boost::asio::io_context& aContext, LinkSettings aSettings);
 
-  /// Opens all sockets. Errors: kAddressInUse.
+  /// Opens all sockets and starts to relay. Errors: kAddressInUse.
   Result<void> Start();
 
+  /// Closes all sockets.
   void Stop();
 
-  /// Bound port for TCP and UDP.
+  /// Bound port for TCP and UDP traffic.
   std::uint16_t Port() const;
 
-  /// Bound port of the HTTP control.
+  /// Bound port of the HTTP control interface.
   std::uint16_t ControlPort() const;
 
 private:
   using Tcp = boost::asio::ip::tcp;
   using Udp = boost::asio::ip::udp;
 
-  /// Bytes on the way. An empty chunk is the end of the stream.
+  /// Bytes in transit. An empty chunk marks the end of the stream.
   struct Chunk
   {
     TimePoint arrivesAt_;
     std::string bytes_;
   };
 
-  /// One direction of a connection.
+  /// Queue of one direction of a connection.
   struct Flow
   {
     explicit Flow(boost::asio::io_context& aContext);
     std::deque<Chunk> chunks_;
     std::size_t queuedBytes_ = 0;         ///< Invariant: sum of the sizes in chunks_.
-    boost::asio::steady_timer wakeTimer_; ///< Cancelled when chunks_ or the faults change.
+    boost::asio::steady_timer wakeTimer_; ///< Cancelled to wake the writer on any change.
   };
 
   struct Connection
   {
     explicit Connection(boost::asio::io_context& aContext);
-    std::array<Tcp::socket, 2> sockets_; ///< The caller's and the remote's.
-    std::array<Flow, 2> flows_;          ///< flows_[i] is read from sockets_[i].
-    std::uint64_t silenceAtOpen_ = 0;    ///< Value of silenceGeneration_ when it was opened.
-    std::uint64_t resetAtOpen_ = 0;      ///< Value of resetGeneration_ when it was opened.
+    std::array<Tcp::socket, 2> sockets_; ///< Side 0: the caller; side 1: the remote.
+    std::array<Flow, 2> flows_;          ///< flows_[i] holds bytes read from sockets_[i].
+    std::uint64_t silenceAtOpen_ = 0;    ///< silenceGeneration_ when the connection was accepted.
+    std::uint64_t resetAtOpen_ = 0;      ///< resetGeneration_ when the connection was accepted.
   };
 
-  /// Return path of datagrams for one sender.
+  /// Forwards the datagrams of one sender and returns the answers to it.
   struct DatagramPath
   {
     explicit DatagramPath(boost::asio::io_context& aContext);
@@ -77,20 +78,27 @@
   };
 
   boost::asio::awaitable<void> Accept();
+  /// Connects to the remote, after a cut has ended, and starts both directions.
   boost::asio::awaitable<void> Open(std::shared_ptr<Connection> aConnection);
+  /// Queues what aSide sends.
   boost::asio::awaitable<void> Read(std::shared_ptr<Connection> aConnection, std::size_t aSide);
+  /// Delivers what aSide sent to the other side, once it is due.
   boost::asio::awaitable<void> Write(std::shared_ptr<Connection> aConnection, std::size_t aSide);
   boost::asio::awaitable<void> ReceiveDatagrams();
   boost::asio::awaitable<void> ReturnDatagrams(std::shared_ptr<DatagramPath> aPath);
   boost::asio::awaitable<void> AcceptControl();
   boost::asio::awaitable<void> ServeControl(std::shared_ptr<Tcp::socket> aSocket);
+  /// Calls aSend when the datagram arrives at the other end, or counts it as lost during a cut.
   void SendDelayed(std::size_t aDirection,
                    std::string aBytes,
                    std::function<void(std::string)> aSend);
+  /// Whether the connection was open when connections were last silenced.
   bool IsSilent(const Connection& aConnection) const;
-  /// Whether nothing passes that side aSide sends: 0 for the caller, 1 for the remote.
+  /// Whether a cut holds back what aSide sends (0: the caller, 1: the remote).
   bool IsStalled(std::size_t aSide) const;
+  /// Resets connections if requested and wakes all writers.
   void HandleFaultChange();
+  /// Body of GET /link.
   std::string StatusJson() const;
 
   boost::asio::io_context& context_;
@@ -98,12 +106,14 @@
   Tcp::acceptor acceptor_;
   Tcp::acceptor control_;
   Udp::socket datagrams_;
-  std::array<TimePoint, 2> freeAt_{}; ///< Per direction; all connections share the bandwidth.
-  std::array<std::uint64_t, 2> relayedBytes_{};
+  /// Per direction: when everything accepted so far has been sent. All connections share the
+  /// bandwidth.
+  std::array<TimePoint, 2> freeAt_{};
+  std::array<std::uint64_t, 2> relayedBytes_{}; ///< Per direction.
   std::uint64_t lostDatagrams_ = 0;
   std::list<std::weak_ptr<Connection>> connections_;
   std::map<Udp::endpoint, std::shared_ptr<DatagramPath>>
-    datagramPaths_; ///< At most kMaxDatagramPaths.
+    datagramPaths_; ///< By sender; at most kMaxDatagramPaths.
 };
 
 } // namespace peridotquay::standins
--- a/standins/lib/LinkSettings.cpp
+++ b/standins/lib/LinkSettings.cpp
@@ -1,4 +1,4 @@
-// Parsing of link faults and the timing of a link.
+// Parsing of link faults, and arrival times from delay and bandwidth.
 #include "standins/lib/LinkSettings.h"
 
 #include <nlohmann/json.hpp>
--- a/standins/lib/LinkSettings.h
+++ b/standins/lib/LinkSettings.h
@@ -1,4 +1,4 @@
-// Settings of the stand-in link, and its faults that can be changed at run time.
+// Settings of the stand-in link and the faults that can be changed at run time.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -10,33 +10,35 @@
 
 namespace peridotquay::standins {
 
-/// Properties of a link, equal in both directions. All defaults mean "no effect".
+/// Delay, bandwidth and faults of a link; both directions alike except for cutFromRemote_. The
+/// defaults have no effect.
 struct LinkFaults
 {
-  Duration delay_{};                    ///< One way.
-  std::uint64_t bandwidth_ = 0;         ///< Bytes a second in each direction; 0: unlimited.
-  bool cut_ = false;                    ///< TCP stalls, datagrams are lost.
-  bool cutFromRemote_ = false;          ///< Only what the remote sends stalls or is lost.
-  std::uint64_t silenceGeneration_ = 0; ///< Grows when open connections shall fall silent.
-  std::uint64_t resetGeneration_ = 0;   ///< Grows when open connections shall be reset.
+  Duration delay_{};            ///< One way.
+  std::uint64_t bandwidth_ = 0; ///< Bytes per second in each direction; 0: unlimited.
+  bool cut_ = false;            ///< TCP data is held back until the cut ends; datagrams are lost.
+  bool cutFromRemote_ = false;  ///< A cut of only what the remote sends.
+  std::uint64_t silenceGeneration_ = 0; ///< Incremented to silence the open connections.
+  std::uint64_t resetGeneration_ = 0;   ///< Incremented to reset the open connections.
   bool operator==(const LinkFaults&) const = default;
 };
 
 struct LinkSettings
 {
-  Address listen_{ "127.0.0.1", 0 };  ///< TCP and UDP on the same port.
-  Address control_{ "127.0.0.1", 0 }; ///< HTTP: GET and POST /link.
-  Address remote_;                    ///< Where everything is passed on to.
+  Address listen_{ "127.0.0.1", 0 };  ///< TCP and UDP use the same port; 0: chosen by the kernel.
+  Address control_{ "127.0.0.1", 0 }; ///< HTTP control interface: GET and POST /link.
+  Address remote_;                    ///< Where connections and datagrams are forwarded to.
   LinkFaults faults_;
 };
 
-/// Applies a JSON object with members delay_ms, bandwidth, cut, cut_answers, and silence_existing
-/// and reset_existing (true silences or resets the connections that are open now). Errors: kSyntax,
+/// Applies a JSON object with the members delay_ms, bandwidth, cut, cut_answers, silence_existing
+/// and reset_existing; absent members stay. True in silence_existing or reset_existing silences or
+/// resets the connections that are open now. aFaults is unchanged on an error. Errors: kSyntax,
 /// kUnknownSetting, kWrongType, kOutOfRange.
 Result<void> ApplyLinkFaults(LinkFaults& aFaults, std::string_view aJson);
 
-/// When a chunk that is sent now arrives at the other end. aFreeAt is the time at which the
-/// direction has sent everything before; it is moved on.
+/// Time at which aBytes that are sent at aNow arrive at the other end. aFreeAt is the time at which
+/// the direction finishes sending earlier bytes; it advances by the sending time of aBytes.
 TimePoint ArrivalTime(const LinkFaults& aFaults,
                       std::size_t aBytes,
                       TimePoint& aFreeAt,
--- a/standins/lib/PlatformFaults.cpp
+++ b/standins/lib/PlatformFaults.cpp
@@ -1,4 +1,4 @@
-// JSON of the platform stand-in's faults.
+// JSON form of the platform stand-in's faults.
 #include "standins/lib/PlatformFaults.h"
 
 #include "peridotquay/version/ConfigReader.h"
--- a/standins/lib/PlatformFaults.h
+++ b/standins/lib/PlatformFaults.h
@@ -1,4 +1,4 @@
-// Faults and ceilings of the platform stand-in, and their JSON.
+// Faults and rate limits of the platform stand-in, and their JSON form.
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -9,32 +9,35 @@
 
 namespace peridotquay {
 
-/// How the stand-in behaves during an outage.
+/// Behaviour of the stand-in during an outage.
 enum class PlatformOutage : std::uint8_t
 {
   kNone,
-  kRefuse, ///< Answers 503 at once and does nothing.
-  kSilent  ///< Accepts connections and requests, does nothing and never answers.
+  kRefuse, ///< Requests get 503 at once and have no effect.
+  kSilent  ///< Connections and requests are accepted, but have no effect and get no answer.
 };
 
-/// Faults of the platform stand-in.
+/// Faults of the platform stand-in. The defaults have no effect.
 struct PlatformFaults
 {
-  double maxWritesPerSecond_ = 0; ///< Ceiling; writes above it get 503 and do nothing. 0: none.
-  double maxReadsPerSecond_ = 0;  ///< Ceiling of reads, likewise.
-  std::uint32_t delayMs_ = 0;     ///< Added to each request, half before it takes effect.
+  double maxWritesPerSecond_ =
+    0;                           ///< Writes over the limit get 503 and have no effect. 0: no limit.
+  double maxReadsPerSecond_ = 0; ///< Reads over the limit get 503. 0: no limit.
+  std::uint32_t delayMs_ = 0; ///< Of each request, one half before and one after it takes effect.
   PlatformOutage outage_ = PlatformOutage::kNone;
-  double lostAnswerFraction_ = 0; ///< Part of writes that take effect and get no answer, 0 to 1.
-  std::uint32_t loseNextAnswers_ = 0; ///< The next writes that take effect get no answer.
+  double lostAnswerFraction_ =
+    0; ///< Fraction of writes that take effect and get no answer, 0 to 1.
+  std::uint32_t loseNextAnswers_ =
+    0; ///< Number of further writes that take effect and get no answer.
   bool operator==(const PlatformFaults&) const = default;
 };
 
-/// JSON object with writes_per_second, reads_per_second, delay_ms, outage ("none", "refuse",
-/// "silent"), lose_answers and lose_next.
+/// Returns a JSON object with the members writes_per_second, reads_per_second, delay_ms, outage
+/// ("none", "refuse" or "silent"), lose_answers and lose_next.
 std::string EncodePlatformFaults(const PlatformFaults& aFaults);
 
-/// Sets the faults that the JSON names and leaves the others. Errors: kSyntax, kUnknownSetting,
-/// kWrongType, kOutOfRange; the faults are untouched then.
+/// Sets the faults that the JSON object contains; the others stay. aFaults is unchanged on an
+/// error. Errors: kSyntax, kUnknownSetting, kWrongType, kOutOfRange.
 Result<void> UpdatePlatformFaults(PlatformFaults& aFaults, std::string_view aText);
 
 } // namespace peridotquay
--- a/standins/lib/PlatformServer.cpp
+++ b/standins/lib/PlatformServer.cpp
@@ -1,4 +1,4 @@
-// HTTP server of the platform stand-in: one coroutine for each connection.
+// HTTP server of the platform stand-in with one coroutine for each connection.
 // Boost.Asio 1.74 uses declarations of these two headers without including them.
 // clang-format off
 #include <utility>
@@ -29,7 +29,7 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-/// Largest request body: a snapshot of 8 MiB with JSON escapes.
+/// Fits a snapshot of 8 MiB with JSON escapes.
 constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{ 32 } << 20U;
 
 asio::awaitable<void> Sleep(Duration aTime)
@@ -42,12 +42,13 @@
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, code));
 }
 
-/// Handles one request with its delays. Empty if no answer is to be sent.
+/// Handles one request with the configured delay and silence. Returns nothing if the connection is
+/// to be closed without an answer.
 asio::awaitable<std::optional<PlatformReply>> HandleWithFaults(PlatformService& aService,
                                                                PlatformRequest aRequest)
 {
   const bool isControl = aRequest.target_ == "/faults" || aRequest.target_ == "/stats";
-  // Keeps the connection open without an answer until the outage ends; the request is lost.
+  // The connection stays open until the silence ends; the request is discarded.
   if (!isControl && aService.Faults().outage_ == PlatformOutage::kSilent) {
     while (aService.Faults().outage_ == PlatformOutage::kSilent) {
       co_await Sleep(milliseconds(50));
@@ -80,7 +81,7 @@
     }
     auto request = parser.release();
     const bool keepAlive = request.keep_alive();
-    // Named, because g++ 12 destroys temporaries in co_await arguments twice.
+    // Named variable, because g++ 12 destroys temporaries in co_await arguments twice.
     PlatformRequest call{ std::string(request.method_string()),
                           std::string(request.target()),
                           std::move(request.body()) };
@@ -125,7 +126,7 @@
   {
   }
 
-  /// Runs a function on the server's thread and returns its result.
+  /// Runs a function on the server's thread, waits for it and returns its result.
   template<typename Function>
   auto OnThread(Function aFunction)
   {
--- a/standins/lib/PlatformServer.h
+++ b/standins/lib/PlatformServer.h
@@ -1,4 +1,4 @@
-// HTTP server of the platform stand-in, on one thread.
+// HTTP server of the platform stand-in.
 #pragma once
 
 #include "peridotquay/version/Ids.h"
@@ -10,29 +10,28 @@
 
 namespace peridotquay {
 
-/// Serves a PlatformService over HTTP on its own thread until it is destroyed. Tests and programs
-/// use it alike.
+/// Serves a PlatformService over HTTP on its own thread until it is destroyed. Used by tests and by
+/// the program standin_platform.
 class PlatformServer
 {
 public:
-  /// Settings of the server.
   struct Settings
   {
     Address listen_{ "127.0.0.1", 0 };
     PlatformFaults faults_;
-    std::uint64_t seed_ = 1;
+    std::uint64_t seed_ = 1; ///< Decides which answers are lost.
   };
 
-  /// Binds and starts. Errors: kAddressInUse.
+  /// Binds the listening socket and starts the thread. Errors: kAddressInUse.
   static Result<std::unique_ptr<PlatformServer>> Start(const Settings& aSettings);
 
   PlatformServer(const PlatformServer&) = delete;
   PlatformServer& operator=(const PlatformServer&) = delete;
   ~PlatformServer();
 
-  /// The address that it is bound to.
+  /// Address of the listening socket, with the port that the kernel chose.
   Address BoundAddress() const;
-  /// Replaces the faults; in force when it returns.
+  /// Replaces the faults, which are in force when the call returns.
   void SetFaults(const PlatformFaults& aFaults);
   PlatformFaults Faults() const;
   PlatformCounts Counts() const;
--- a/standins/lib/PlatformService.cpp
+++ b/standins/lib/PlatformService.cpp
@@ -1,4 +1,4 @@
-// Table service and object store of the platform stand-in.
+// Request handling of the platform stand-in.
 #include "standins/lib/PlatformService.h"
 
 #include <nlohmann/json.hpp>
@@ -11,9 +11,11 @@
 
 namespace {
 
-/// How long a repeat of a transaction is answered like the first.
+/// For this long, a transaction with the operation id of a committed one gets that one's revision
+/// again and isn't applied.
 constexpr Duration kOperationLifetime = seconds(600);
 
+/// Per answer.
 constexpr std::uint32_t kMaxRows = 1000;
 
 PlatformReply ErrorReply(unsigned aStatus, const std::string& aType)
@@ -21,6 +23,7 @@
   return { aStatus, nlohmann::json{ { "error", { { "type", aType } } } }.dump(), false };
 }
 
+/// Decodes percent escapes. Empty optional if one is malformed.
 std::optional<std::string> UnescapeUrl(std::string_view aText)
 {
   std::string text;
@@ -41,7 +44,7 @@
   return text;
 }
 
-/// Value of a query parameter; empty text if it is absent.
+/// Value of a query parameter; empty text if it is absent, empty optional if it is malformed.
 std::optional<std::string> QueryValue(std::string_view aQuery, std::string_view aName)
 {
   while (!aQuery.empty()) {
@@ -121,7 +124,6 @@
                 : !readLimit_.TryConsume(faults_.maxReadsPerSecond_, aNow);
 }
 
-/// Decides whether the answer to a write that took effect is lost.
 bool PlatformService::ShouldLoseAnswer()
 {
   bool lose = std::uniform_real_distribution<double>(0, 1)(random_) < faults_.lostAnswerFraction_;
--- a/standins/lib/TargetBody.cpp
+++ b/standins/lib/TargetBody.cpp
@@ -1,4 +1,4 @@
-// Answer bodies from a hash of the request.
+// Answer bodies, generated from a hash of the request.
 #include "standins/lib/TargetBody.h"
 
 #include <algorithm>
@@ -9,6 +9,7 @@
 
 namespace {
 
+// FNV-1a.
 std::uint64_t Hash(std::string_view aText, std::uint64_t aSeed)
 {
   std::uint64_t hash = aSeed;
@@ -18,7 +19,7 @@
   return hash;
 }
 
-// Splitmix64: each block of the body depends on its position, so that shifted bodies are noticed.
+// Splitmix64. Each block of a body depends on its position, so a shifted body differs.
 std::uint64_t Mix(std::uint64_t aValue)
 {
   aValue += 0x9E3779B97F4A7C15ULL;
--- a/standins/lib/TargetBody.h
+++ b/standins/lib/TargetBody.h
@@ -1,4 +1,5 @@
-// Answer bodies of the stand-in target, computable from the request alone, and query parameters.
+// Answer bodies of the stand-in target, which clients can compute from the request to check
+// answers, and query parameters.
 #pragma once
 
 #include <cstddef>
@@ -7,20 +8,22 @@
 
 namespace peridotquay::standins {
 
-/// Largest body that a request can ask for.
+/// Largest answer body that a request can ask for.
 inline constexpr std::size_t kMaxTargetBodyBytes = std::size_t{ 512 } * 1024;
 
-/// Body for a request target (path with query) and request body: printable, aLength bytes long. Two
-/// different requests get different bodies with near certainty from 16 bytes on.
+/// Answer body for a request target (path with query) and request body: printable, aLength bytes
+/// long, but at most kMaxTargetBodyBytes. From 16 bytes on, different requests almost certainly get
+/// different bodies.
 std::string TargetBody(std::string_view aTarget, std::string_view aBody, std::size_t aLength);
 
-/// Value of a query parameter in a request target; empty if absent. No percent decoding.
+/// Value of a query parameter in a request target, without percent decoding; empty if absent.
 std::string_view QueryValue(std::string_view aTarget, std::string_view aName);
 
-/// Length that the request target asks for with "length=N", bounded by kMaxTargetBodyBytes.
+/// Body length that a request target asks for with "length=N", or aDefault without that parameter;
+/// at most kMaxTargetBodyBytes.
 std::size_t RequestedBodyLength(std::string_view aTarget, std::size_t aDefault);
 
-/// Adds "name=value" to the query of a request target.
+/// Returns the request target with "name=value" added to its query.
 std::string WithQueryParameter(std::string_view aTarget,
                                std::string_view aName,
                                std::string_view aValue);
--- a/standins/lib/TargetExecution.cpp
+++ b/standins/lib/TargetExecution.cpp
@@ -1,4 +1,4 @@
-// JSON form of execution logs.
+// JSON form of the execution log.
 #include "standins/lib/TargetExecution.h"
 
 #include <nlohmann/json.hpp>
--- a/standins/lib/TargetServer.cpp
+++ b/standins/lib/TargetServer.cpp
@@ -1,4 +1,4 @@
-// Stand-in target on Boost.Beast coroutines.
+// Stand-in target: HTTP handling as Boost.Beast coroutines.
 #include "standins/lib/TargetServer.h"
 
 #include "standins/lib/TargetBody.h"
@@ -30,7 +30,7 @@
 
 namespace {
 
-// Connections beyond the bound that still reach the target's own paths, so that a saturated target
+// Connections over maxConnections_ that may use the control paths only, so that a saturated target
 // can be inspected.
 constexpr std::size_t kReservedConnections = 16;
 
@@ -81,7 +81,7 @@
   return response;
 }
 
-// True if the peer has closed or reset the connection. Unread data means that it is still there.
+// True if the peer closed or reset the connection. With unread data it counts as open.
 bool PeerClosed(tcp::socket& aSocket)
 {
   char byte = 0;
@@ -236,7 +236,7 @@
     if (isControl) {
       outcome.response_ = HandleControlRequest(request);
     } else {
-      // A connection beyond the bound may only use the target's own paths.
+      // Connections over maxConnections_ may use the control paths only.
       if (connections_.size() > settings_.maxConnections_) {
         --unansweredRequests_;
         break;
@@ -321,7 +321,7 @@
   entry.executionStatus_ = aEnd;
   entry.startUs_ = NowUs();
   executions_.push_back(std::move(entry));
-  // Entries of running requests stay: their coroutines hold a pointer.
+  // The entry of an active request stays, because ActiveRequest::logEntry_ points to it.
   while (executions_.size() > settings_.maxLoggedExecutions_ &&
          executions_.front().executionStatus_ != ExecutionStatus::kRunning) {
     executions_.pop_front();
@@ -336,7 +336,7 @@
   if (settings_.distribution_ == ServiceTimeDistribution::kExponential) {
     factor = std::exponential_distribution<double>(1)(random_);
   } else if (settings_.distribution_ == ServiceTimeDistribution::kLogNormal) {
-    // exp(-sigma^2 / 2) keeps the mean at 1.
+    // A location of -sigma^2 / 2 makes the mean 1.
     constexpr double kSigma = 0.25;
     factor = std::lognormal_distribution<double>(-kSigma * kSigma / 2, kSigma)(random_);
   }
@@ -371,7 +371,7 @@
       }
     });
   }
-  // A closed connection cancels the request.
+  // Cancels the request if the caller closes the connection.
   aSocket->async_wait(tcp::socket::wait_read, [active, aSocket](error_code aFailure) {
     if (!aFailure && !active->finished_ && PeerClosed(*aSocket)) {
       active->cancelled_ = true;
@@ -388,8 +388,8 @@
   co_await active->workTimer_.async_wait(asio::redirect_error(asio::use_awaitable, failure));
   if (settings_.outbound_) {
     const std::string call = HeaderValue(aRequest, "Quay-Call");
-    const std::string_view own(aRequest.target().data(), aRequest.target().size());
-    const std::string tag(QueryValue(own, "tag"));
+    const std::string_view requestTarget(aRequest.target().data(), aRequest.target().size());
+    const std::string tag(QueryValue(requestTarget, "tag"));
     for (const std::string& path : settings_.deeperPaths_) {
       if (active->cancelled_ || active->expired_ || active->worstDeeperStatus_ != 200) {
         break;
@@ -401,7 +401,7 @@
       target = WithQueryParameter(target, "from", active->logEntry_->id_);
       ++active->pendingDeeperCalls_;
       if (!settings_.parallelDeeperCalls_) {
-        // Named, because g++ 12 destroys temporaries in co_await arguments twice.
+        // Named variable, because g++ 12 destroys temporaries in co_await arguments twice.
         auto deeper = DeeperCall(active, target, call);
         co_await std::move(deeper);
       } else {
@@ -471,7 +471,7 @@
     }
     std::erase(waiting_, aActive);
   }
-  // Waiting isn't running.
+  // The logged execution time excludes the wait in the queue.
   aActive->logEntry_->startUs_ = NowUs();
 }
 
@@ -481,7 +481,7 @@
     const auto next = waiting_.front();
     waiting_.pop_front();
     if (!next->cancelled_ && !next->expired_) {
-      // The slot passes on without being free in between.
+      // The slot stays in use, so slotsInUse_ doesn't change.
       next->hasSlot_ = true;
       next->workTimer_.cancel();
       return;
@@ -597,7 +597,7 @@
     samples_.clear();
   }
   samples_.push_back({ Clock::now(), slotsInUse_, State() });
-  // The report needs the newest sample that is older than the lag, and all later ones.
+  // ReportedSample needs the newest sample that is at least reportLag_ old, and all later ones.
   while (samples_.size() > 1 && samples_[1].takenAt_ <= Clock::now() - settings_.reportLag_) {
     samples_.pop_front();
   }
--- a/standins/lib/TargetServer.h
+++ b/standins/lib/TargetServer.h
@@ -1,4 +1,4 @@
-// Stand-in target: an HTTP/1.1 server with slots, faults and an execution log.
+// Stand-in target: an HTTP/1.1 server with a concurrency limit, faults and an execution log.
 #pragma once
 
 #include "standins/lib/TargetExecution.h"
@@ -21,10 +21,13 @@
 
 namespace peridotquay::standins {
 
-/// Serves every path as work of the service, and GET /health, GET /load, GET /executions, GET and
-/// POST /faults, POST /drain as its own. Runs on one thread of the io_context it is given. Requests
-/// with query parameter "tag" pass it on in their deeper calls, with "from" naming their own
-/// execution, so that the call tree of one request can be rebuilt from the logs.
+/// Handles GET /health, GET /load, GET /executions, POST /faults and POST /drain itself (its
+/// control paths); requests for any other path occupy a slot for the service time. All handlers run
+/// on the single thread of the given io_context.
+///
+/// A deeper call is a call that the target makes through its node while it handles a request. It
+/// carries the request's query parameter "tag", and the request's execution id in "from", so that
+/// the call tree of a request can be rebuilt from the logs.
 class TargetServer : public std::enable_shared_from_this<TargetServer>
 {
 public:
@@ -33,17 +36,17 @@
   /// Opens the listening socket and starts to accept. Errors: kAddressInUse.
   Result<void> Start();
 
-  /// Port that is listened on.
+  /// Bound port.
   std::uint16_t Port() const;
 
-  /// Refuses new work, finishes the calls that run, then closes the listening socket and all
+  /// Refuses new requests, finishes the current ones, then closes the listening socket and all
   /// connections.
   void Drain();
 
-  /// Closes everything at once.
+  /// Closes the listening socket and all connections at once.
   void Stop();
 
-  /// The log so far, oldest first.
+  /// Execution log, oldest entry first.
   std::vector<TargetExecution> Executions() const;
 
 private:
@@ -51,34 +54,35 @@
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
   using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
-  /// A request that holds a slot.
+  /// A request that holds a slot or waits for one.
   struct ActiveRequest
   {
     explicit ActiveRequest(boost::asio::io_context& aContext);
-    /// Stops its work: ends its timers and closes its deeper connections.
+    /// Cancels its timers and closes the connections of its deeper calls.
     void Interrupt();
 
-    bool cancelled_ = false;
-    bool expired_ = false;
+    bool cancelled_ = false; ///< The caller closed the connection.
+    bool expired_ = false;   ///< The deadline passed.
     bool finished_ = false;
     bool hasSlot_ = false; ///< False while it waits in the queue.
     TimePoint deadline_ = TimePoint::max();
-    boost::asio::steady_timer workTimer_;
+    boost::asio::steady_timer workTimer_; ///< Also wakes the request when a slot or answer comes.
     boost::asio::steady_timer deadlineTimer_;
     std::vector<std::shared_ptr<Socket>> deeperSockets_;
     std::uint32_t pendingDeeperCalls_ = 0;
-    unsigned worstDeeperStatus_ = 200; ///< Worst status of the deeper calls.
+    unsigned worstDeeperStatus_ = 200; ///< HTTP status; 504 is worse than other errors.
     TargetExecution* logEntry_ = nullptr;
   };
 
-  /// Result of Work.
+  /// Result of HandleRequest.
   struct RequestResult
   {
     Response response_;
-    bool cancelled_ = false; ///< Nothing is answered.
+    bool cancelled_ = false; ///< No answer is sent.
     bool truncate_ = false;  ///< The answer is cut in the middle.
   };
 
+  /// Reported load and state at one time.
   struct LoadSample
   {
     TimePoint takenAt_;
@@ -87,12 +91,17 @@
   };
 
   boost::asio::awaitable<void> Accept();
+  /// Serves one connection until it closes.
   boost::asio::awaitable<void> Serve(std::shared_ptr<Socket> aSocket);
+  /// Waits until the fault frozen_ ends.
   boost::asio::awaitable<void> AwaitThaw();
   boost::asio::awaitable<RequestResult> HandleRequest(std::shared_ptr<Socket> aSocket,
                                                       const Request& aRequest);
+  /// Waits for a slot, unless the request is cancelled or expires first; see hasSlot_.
   boost::asio::awaitable<void> AcquireSlot(std::shared_ptr<ActiveRequest> aActive);
+  /// Passes the slot to the next waiting request or frees it.
   void ReleaseSlot();
+  /// Refuses a request that was cancelled or expired in the queue.
   static RequestResult LeaveQueue(const std::shared_ptr<Socket>& aSocket,
                                   const Request& aRequest,
                                   ActiveRequest& aActive);
@@ -100,6 +109,7 @@
                                           std::string aTarget,
                                           std::string aCallToken);
   boost::asio::awaitable<bool> WriteAnswer(Socket& aSocket, Response& aResponse, bool aTruncate);
+  /// Refuses the request if it can't start: returns the answer and logs it. Empty if admitted.
   std::optional<Response> CheckAdmission(const Request& aRequest);
   Response HandleControlRequest(const Request& aRequest);
   Response PostFaults(const Request& aRequest);
@@ -107,7 +117,9 @@
   Duration DrawServiceTime();
   std::string State() const;
   void RecordSample();
+  /// The sample of reportLag_ ago.
   const LoadSample& ReportedSample();
+  /// An open idle connection to outbound_; null if there is none.
   std::shared_ptr<Socket> PopIdleConnection();
   void CloseIfDrained();
 
@@ -115,20 +127,20 @@
   TargetSettings settings_;
   TargetFaults faults_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer thawTimer_; ///< Cancelled when a freeze ends.
+  boost::asio::steady_timer thawTimer_; ///< Cancelled when the faults change.
   std::mt19937_64 random_;
   TimePoint startedAt_{};
   bool draining_ = false;
-  bool closing_ = false;                 ///< Stops once unansweredRequests_ is 0.
-  std::uint32_t unansweredRequests_ = 0; ///< Requests read whole and not answered.
+  bool closing_ = false;                 ///< Drain was called: stops once unansweredRequests_ is 0.
+  std::uint32_t unansweredRequests_ = 0; ///< Requests that were read and not yet answered.
   std::uint32_t slotsInUse_ = 0;
   std::uint64_t nextExecution_ = 1;
   std::uint64_t droppedExecutions_ = 0;
-  std::deque<std::shared_ptr<ActiveRequest>> waiting_; ///< First come, first served.
-  std::list<TargetExecution> executions_; ///< A list, so that entries keep their address.
+  std::deque<std::shared_ptr<ActiveRequest>> waiting_; ///< For a slot, in order of arrival.
+  std::list<TargetExecution> executions_; ///< ActiveRequest::logEntry_ points into the list.
   std::list<std::shared_ptr<Socket>> connections_;
-  std::vector<std::shared_ptr<Socket>> idleConnections_; ///< Open connections to outbound_.
-  std::deque<LoadSample> samples_; ///< Newest last; only those needed for the report lag.
+  std::vector<std::shared_ptr<Socket>> idleConnections_; ///< To outbound_.
+  std::deque<LoadSample> samples_; ///< Newest last; as far back as reportLag_ needs.
 };
 
 } // namespace peridotquay::standins
