--- a/standins/lib/TargetServer.cpp
+++ b/standins/lib/TargetServer.cpp
@@ -270,9 +270,9 @@
     std::ostringstream text;
     text << aResponse;
     const std::string whole = text.str();
-    const std::size_t half = whole.size() - aResponse.body().size() / 2 - 1;
+    const std::size_t cutLength = whole.size() - aResponse.body().size() / 2 - 1;
     co_await asio::async_write(aSocket,
-                               asio::buffer(whole.data(), half),
+                               asio::buffer(whole.data(), cutLength),
                                asio::redirect_error(asio::use_awaitable, failure));
     co_return false;
   }
--- a/standins/lib/TargetServer.h
+++ b/standins/lib/TargetServer.h
@@ -82,7 +82,7 @@
     bool truncate_ = false;  ///< The answer is cut in the middle.
   };
 
-  /// Reported load and state at one time.
+  /// Load and state at a point in time.
   struct LoadSample
   {
     TimePoint takenAt_;
--- a/standins/lib/UserStore.cpp
+++ b/standins/lib/UserStore.cpp
@@ -1,4 +1,4 @@
-// The store's calls on the product's HTTP front.
+// Stand-in for the row store: its calls, served by the product's HttpFront.
 #include "standins/lib/UserStore.h"
 
 #include "platform/StoreClient.h"
@@ -39,7 +39,7 @@
   auto front = HttpFront::Listen(
     loop_, {}, [this](const std::shared_ptr<HttpExchange>& aExchange) { OnCall(aExchange); });
   if (front.has_error()) {
-    throw std::runtime_error("the store can't listen");
+    throw std::runtime_error("store stand-in: cannot listen on 127.0.0.1");
   }
   front_ = std::move(front.assume_value());
   AnswerWatches();
--- a/standins/lib/UserStore.h
+++ b/standins/lib/UserStore.h
@@ -1,5 +1,5 @@
-// Stand-in for the store of the users' platform: rows with versions, conditional transactions and
-// watches, with faults that can be switched on.
+// Stand-in for the row store of the users' platform, the platform that the product is deployed on:
+// versioned rows, conditional transactions and watches, with faults that tests switch on.
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
@@ -17,16 +17,16 @@
 
 namespace peridotquay::standins {
 
-/// Faults of the store.
+/// Fault of the store; one at a time.
 enum class UserStoreFault : std::uint8_t
 {
   kNone,
-  kUnavailable,      ///< Answers 503; nothing is done.
-  kLoseWriteAnswers, ///< Writes are done and not answered.
-  kSilent            ///< Nothing is answered.
+  kUnavailable,      ///< Calls get 503 and have no effect.
+  kLoseWriteAnswers, ///< Transactions take effect but get no answer.
+  kSilent            ///< Calls have no effect and get no answer.
 };
 
-/// Serves on its own thread from construction to destruction.
+/// Serves on a free port of 127.0.0.1, on its own thread, from construction to destruction.
 class UserStore
 {
 public:
@@ -35,48 +35,53 @@
   UserStore& operator=(const UserStore&) = delete;
   ~UserStore();
 
+  /// Bound port.
   std::uint16_t Port() const;
-  /// Writes a row as the operator does.
+  /// Writes a row unconditionally, as an operator does.
   void Put(const std::string& aTable, const std::string& aKey, const std::string& aValue);
   void SetFault(UserStoreFault aFault) { fault_ = aFault; }
-  /// Drops the history of watches.
+  /// Makes watches from any earlier version fail with 410, as if its history were dropped.
   void Compact();
-  /// Calls so far.
+  /// Number of calls received.
   std::uint64_t CallCount() const { return calls_; }
-  /// Reads of the operator's document so far.
+  /// Number of reads of the operator's document, the rows of table "op" without an upper bound.
   std::uint64_t DocumentReads() const { return documentReads_; }
-  /// Rows of a table that exist.
+  /// Number of rows in a table, without removed ones.
   std::size_t RowCount(const std::string& aTable);
 
 private:
   struct Row
   {
-    std::string value_; ///< Base64.
-    std::uint64_t version_ = 0;
-    bool removed_ = false;
+    std::string value_;         ///< Base64.
+    std::uint64_t version_ = 0; ///< Of its last change.
+    bool removed_ = false;      ///< Tombstone, which watches report.
   };
+  /// A call that waits for changes of a table.
   struct Watch
   {
     std::shared_ptr<HttpExchange> exchange_;
     std::string table_;
-    std::uint64_t afterVersion_ = 0;
-    TimePoint answerAt_{};
+    std::uint64_t afterVersion_ = 0; ///< Waits for rows that changed after this version.
+    TimePoint answerAt_{};           ///< Answered without rows at this time.
   };
 
   void OnCall(const std::shared_ptr<HttpExchange>& aExchange);
+  /// Returns the rows of a table in a key range.
   void Read(const std::shared_ptr<HttpExchange>& aExchange);
   void BeginWatch(const std::shared_ptr<HttpExchange>& aExchange);
+  /// Applies the writes if all expected versions match.
   void Transact(const std::shared_ptr<HttpExchange>& aExchange);
+  /// Answers the watches that have changes or whose time is up. Called every kWatchCheckInterval.
   void AnswerWatches();
 
   EventLoop loop_;
   std::unique_ptr<HttpFront> front_;
-  std::mutex mutex_;                                        ///< Guards the rows, which tests write.
+  std::mutex mutex_; ///< Guards rows_, version_ and compactedVersion_.
   std::map<std::pair<std::string, std::string>, Row> rows_; ///< By table and key.
-  std::uint64_t version_ = 0;
-  std::uint64_t compactedVersion_ = 0; ///< Watches can't begin before this version.
+  std::uint64_t version_ = 0;                               ///< Of the last change.
+  std::uint64_t compactedVersion_ = 0;                      ///< Watches from earlier versions fail.
   std::list<Watch> watches_;
-  std::list<std::shared_ptr<HttpExchange>> unanswered_;
+  std::list<std::shared_ptr<HttpExchange>> unanswered_; ///< Kept open without an answer.
   std::atomic<UserStoreFault> fault_{ UserStoreFault::kNone };
   std::atomic<std::uint64_t> calls_{ 0 };
   std::atomic<std::uint64_t> documentReads_{ 0 };
--- a/standins/lib/UserTarget.cpp
+++ b/standins/lib/UserTarget.cpp
@@ -1,4 +1,5 @@
-// Target on the product's HTTP front; heartbeats are blocking calls of a second thread.
+// Stand-in for a target, served by the product's HttpFront. Heartbeats are blocking calls on a
+// second thread.
 #include "standins/lib/UserTarget.h"
 
 #include "standins/lib/FleetHttp.h"
@@ -25,7 +26,7 @@
   auto front = HttpFront::Listen(
     loop_, {}, [this](const std::shared_ptr<HttpExchange>& aExchange) { OnRequest(aExchange); });
   if (front.has_error()) {
-    throw std::runtime_error("the target can't listen");
+    throw std::runtime_error("target stand-in: cannot listen on 127.0.0.1");
   }
   front_ = std::move(front.assume_value());
   thread_ = std::thread([this] { loop_.Run(); });
@@ -91,7 +92,7 @@
                                   { "cold_remaining_ms", 0 },
                                   { "sequence", sequence },
                                   { "born", 1 } };
-    // A host that is down gets the next report.
+    // Errors are ignored: a host that is down receives a later heartbeat.
     static_cast<void>(FetchHttp({ "127.0.0.1", heartbeatPort_ },
                                 { "POST",
                                   "/-/Instances.Heartbeat/" + id_,
--- a/standins/lib/UserTarget.h
+++ b/standins/lib/UserTarget.h
@@ -1,5 +1,5 @@
-// Stand-in for a target on the users' platform: runs requests, reports to its host, and checks that
-// a request was meant for it.
+// Stand-in for a target on the users' platform: answers requests, sends heartbeats to its host, and
+// rejects requests that are addressed to another target.
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
@@ -15,27 +15,32 @@
 
 namespace peridotquay::standins {
 
-/// Serves and reports on its own threads from construction to destruction.
+/// Serves on a free port of 127.0.0.1 and sends heartbeats from construction to destruction, each
+/// on its own thread.
 class UserTarget
 {
 public:
-  /// aHeartbeatPort is the port on this machine at which the target's host takes heartbeats.
+  /// aId is the target's instance id. aHeartbeatPort is the port on 127.0.0.1 at which the target's
+  /// host receives heartbeats.
   UserTarget(std::string aId, std::string aService, std::uint16_t aHeartbeatPort);
   UserTarget(const UserTarget&) = delete;
   UserTarget& operator=(const UserTarget&) = delete;
   ~UserTarget();
 
+  /// Bound port.
   std::uint16_t Port() const;
-  /// Each request takes so long.
+  /// Sets the time from a request to its answer.
   void SetServiceTime(Duration aServiceTime) { serviceTime_ = aServiceTime; }
-  /// Part of answers that are lost after the request ran: one in so many; 0 for none.
+  /// Leaves every aCount-th request without an answer, although it counts as started; 0 for none.
   void LoseOneAnswerIn(unsigned aCount) { loseOneAnswerIn_ = aCount; }
+  /// Reports the state "draining" from the next heartbeat on.
   void SetDraining() { draining_ = true; }
-  /// Requests that it began to run, in order.
+  /// Requests that the target started, in order.
   std::vector<HttpRequest> StartedRequests();
 
 private:
   void OnRequest(const std::shared_ptr<HttpExchange>& aExchange);
+  /// Main function of heartbeatThread_.
   void SendHeartbeats();
 
   std::string id_;
@@ -43,14 +48,14 @@
   std::uint16_t heartbeatPort_;
   EventLoop loop_;
   std::unique_ptr<HttpFront> front_;
-  std::mutex mutex_; ///< Guards startedRequests_.
+  std::mutex mutex_; ///< Guards startedRequests_, which tests read.
   std::vector<HttpRequest> startedRequests_;
-  std::vector<std::shared_ptr<HttpExchange>> lostExchanges_;
+  std::vector<std::shared_ptr<HttpExchange>> lostExchanges_; ///< Kept open without an answer.
   std::atomic<Duration> serviceTime_{ milliseconds(5) };
   std::atomic<unsigned> loseOneAnswerIn_{ 0 };
   std::atomic<bool> draining_{ false };
   std::atomic<bool> stopping_{ false };
-  std::thread thread_;
+  std::thread thread_; ///< Runs loop_.
   std::thread heartbeatThread_;
 };
 
--- a/standins/standin_link.cpp
+++ b/standins/standin_link.cpp
@@ -1,4 +1,4 @@
-// Stand-in link process: one relay with HTTP control. Ends on SIGTERM with status 0.
+// Stand-in link process: one LinkRelay. Exits with status 0 on SIGTERM or SIGINT.
 #include "standins/lib/LinkRelay.h"
 
 #include <absl/flags/flag.h>
@@ -10,12 +10,15 @@
 #include <fstream>
 #include <iostream>
 
-ABSL_FLAG(int, port, 0, "TCP and UDP port on 127.0.0.1; 0 lets the kernel choose");
-ABSL_FLAG(int, control_port, 0, "port of GET and POST /link on 127.0.0.1");
-ABSL_FLAG(std::string, port_file, "", "JSON file that gets the bound ports");
-ABSL_FLAG(int, remote_port, 0, "port on 127.0.0.1 that everything is passed on to");
+ABSL_FLAG(int, port, 0, "TCP and UDP port on 127.0.0.1; 0: chosen by the kernel");
+ABSL_FLAG(int,
+          control_port,
+          0,
+          "port of the HTTP control interface on 127.0.0.1; 0: chosen by the kernel");
+ABSL_FLAG(std::string, port_file, "", "JSON file that the bound ports are written to");
+ABSL_FLAG(int, remote_port, 0, "port on 127.0.0.1 that connections and datagrams are forwarded to");
 ABSL_FLAG(double, delay_ms, 0, "one-way delay in milliseconds");
-ABSL_FLAG(uint64_t, bandwidth, 0, "bytes a second in each direction; 0 for unlimited");
+ABSL_FLAG(uint64_t, bandwidth, 0, "bytes per second in each direction; 0: unlimited");
 
 int main(int aCount, char** aArguments)
 {
@@ -44,7 +47,7 @@
                                                 { "control", relay->ControlPort() } }
                              << "\n";
     if (std::rename(temporary.c_str(), portFile.c_str()) != 0) {
-      std::cerr << "cannot write " << portFile << "\n";
+      std::cerr << "cannot write the port file " << portFile << "\n";
       return 1;
     }
   }
--- a/standins/standin_platform.cpp
+++ b/standins/standin_platform.cpp
@@ -1,4 +1,4 @@
-// Stand-in of the platform: table service and object store over HTTP, in memory, with faults.
+// Platform stand-in process: table service and object store over HTTP, in memory, with faults.
 #include "peridotquay/process/Error.h"
 
 #include "standins/lib/PlatformServer.h"
@@ -14,21 +14,21 @@
 #include <iostream>
 #include <string>
 
-ABSL_FLAG(std::string, ip, "127.0.0.1", "IP number to listen on");
-ABSL_FLAG(std::uint16_t, port, 0, "port to listen on; 0 lets the kernel choose");
-ABSL_FLAG(std::string, port_file, "", "file that gets the port once it is open");
-ABSL_FLAG(double, writes_per_second, 0, "ceiling of writes; 0 means none");
-ABSL_FLAG(double, reads_per_second, 0, "ceiling of reads; 0 means none");
+ABSL_FLAG(std::string, ip, "127.0.0.1", "IP address to listen on");
+ABSL_FLAG(std::uint16_t, port, 0, "port to listen on; 0: chosen by the kernel");
+ABSL_FLAG(std::string, port_file, "", "file that the bound port is written to");
+ABSL_FLAG(double, writes_per_second, 0, "max writes per second; 0: no limit");
+ABSL_FLAG(double, reads_per_second, 0, "max reads per second; 0: no limit");
 ABSL_FLAG(std::uint32_t, delay_ms, 0, "delay of each request in milliseconds");
-ABSL_FLAG(std::string, outage, "none", "none, refuse or silent");
-ABSL_FLAG(double, lose_answers, 0, "part of writes that take effect and get no answer, 0 to 1");
-ABSL_FLAG(std::uint64_t, seed, 1, "seed of the choice of lost answers");
+ABSL_FLAG(std::string, outage, "none", "initial outage: none, refuse or silent");
+ABSL_FLAG(double, lose_answers, 0, "fraction of writes that take effect and get no answer, 0 to 1");
+ABSL_FLAG(std::uint64_t, seed, 1, "random seed that decides which answers are lost");
 
 using namespace peridotquay;
 
 namespace {
 
-/// Writes the port file under another name first, so that a reader never sees part of it.
+/// Writes to a temporary file and renames it, so that a reader never sees a partial port file.
 bool WritePortFile(const std::string& aFile, std::uint16_t aPort)
 {
   if (aFile.empty()) {
@@ -71,10 +71,10 @@
   }
   const auto bound = server.assume_value()->BoundAddress();
   if (!WritePortFile(absl::GetFlag(FLAGS_port_file), bound.port_)) {
-    std::cerr << "can't write " << absl::GetFlag(FLAGS_port_file) << "\n";
+    std::cerr << "cannot write the port file " << absl::GetFlag(FLAGS_port_file) << "\n";
     return 1;
   }
-  std::cerr << "platform stand-in on " << bound.ip_ << ":" << bound.port_ << "\n";
+  std::cerr << "platform stand-in listens on " << bound.ip_ << ":" << bound.port_ << "\n";
   int signal = 0;
   sigwait(&signals, &signal);
   return 0;
--- a/standins/standin_target.cpp
+++ b/standins/standin_target.cpp
@@ -1,4 +1,5 @@
-// Stand-in target process. Drains on SIGTERM and then exits with status 0.
+// Stand-in target process: one TargetServer. On SIGTERM or SIGINT it drains and exits with status
+// 0.
 #include "standins/lib/TargetServer.h"
 
 #include <absl/flags/flag.h>
@@ -10,19 +11,22 @@
 #include <fstream>
 #include <iostream>
 
-ABSL_FLAG(int, port, 0, "port on 127.0.0.1; 0 lets the kernel choose");
-ABSL_FLAG(std::string, port_file, "", "JSON file that gets the bound port");
-ABSL_FLAG(std::string, name, "target", "prefix of execution ids, unique in the fleet");
-ABSL_FLAG(int, slots, 50, "requests at a time; more are refused without starting");
-ABSL_FLAG(int, queue, 0, "requests that may wait for a slot; more are refused");
-ABSL_FLAG(int, connections, 400, "most open connections");
+ABSL_FLAG(int, port, 0, "port on 127.0.0.1; 0: chosen by the kernel");
+ABSL_FLAG(std::string, port_file, "", "JSON file that the bound port is written to");
+ABSL_FLAG(std::string, name, "target", "prefix of the execution ids, unique in the fleet");
+ABSL_FLAG(int, slots, 50, "max requests that run at the same time; more wait or are refused");
+ABSL_FLAG(int, queue, 0, "max requests that wait for a slot; more are refused");
+ABSL_FLAG(int, connections, 400, "max open connections");
 ABSL_FLAG(double, service_ms, 10, "mean service time in milliseconds");
-ABSL_FLAG(std::string, distribution, "fixed", "fixed, exponential or lognormal");
-ABSL_FLAG(uint64_t, seed, 1, "seed of the service times");
+ABSL_FLAG(std::string, distribution, "fixed", "service times: fixed, exponential or lognormal");
+ABSL_FLAG(uint64_t, seed, 1, "random seed of the service times");
 ABSL_FLAG(double, cold_s, 0, "seconds in state cold after the start");
-ABSL_FLAG(double, cold_factor, 3, "service time factor at the start, falling to 1");
-ABSL_FLAG(int, outbound_port, 0, "port of the node's outbound address on 127.0.0.1; 0 for none");
-ABSL_FLAG(std::vector<std::string>, deeper, {}, "paths called through the outbound address");
+ABSL_FLAG(double, cold_factor, 3, "service time factor at the start; falls to 1 in cold_s");
+ABSL_FLAG(int, outbound_port, 0, "port on 127.0.0.1 at which the node takes deeper calls; 0: none");
+ABSL_FLAG(std::vector<std::string>,
+          deeper,
+          {},
+          "paths that every request calls through outbound_port");
 ABSL_FLAG(bool, parallel, false, "make the deeper calls at the same time");
 ABSL_FLAG(double, report_lag_s, 0, "age of what /health and /load report, in seconds");
 
@@ -33,7 +37,7 @@
   return std::chrono::duration_cast<peridotquay::Duration>(std::chrono::duration<double>(aSeconds));
 }
 
-// Writes to a temporary name first, so that a reader never sees half a file.
+// Writes to a temporary file and renames it, so that a reader never sees a partial port file.
 bool WritePortFile(const std::string& aName, std::uint16_t aPort)
 {
   const std::string temporary = aName + ".tmp";
@@ -56,7 +60,7 @@
   settings.serviceTime_ = FromSeconds(absl::GetFlag(FLAGS_service_ms) / 1000);
   const auto times = ParseServiceTimeDistribution(absl::GetFlag(FLAGS_distribution));
   if (!times) {
-    std::cerr << "--distribution: fixed, exponential or lognormal\n";
+    std::cerr << "--distribution must be fixed, exponential or lognormal\n";
     return 2;
   }
   settings.distribution_ = *times;
@@ -80,7 +84,7 @@
   }
   const std::string portFile = absl::GetFlag(FLAGS_port_file);
   if (!portFile.empty() && !WritePortFile(portFile, server->Port())) {
-    std::cerr << "cannot write " << portFile << "\n";
+    std::cerr << "cannot write the port file " << portFile << "\n";
     return 1;
   }
   boost::asio::signal_set signals(context, SIGTERM, SIGINT);
--- a/tests/standins/LinkTest.cpp
+++ b/tests/standins/LinkTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the stand-in link before a stand-in target, in process.
+// Tests of the stand-in link in front of a stand-in target, both in the test process.
 #include "standins/lib/FleetHttp.h"
 #include "standins/lib/LinkRelay.h"
 #include "standins/lib/TargetServer.h"
@@ -21,7 +21,7 @@
 
 namespace {
 
-// A target with a link before it; both run on a thread of their own until the end of the test.
+// A target behind a link. Both run on one thread until the end of the test.
 class LinkedTarget
 {
 public:
@@ -77,8 +77,8 @@
 
 } // namespace
 
-// Guards against a link that changes bytes, or whose delay and bandwidth have no effect.
-TEST_CASE("link passes bytes unchanged with delay and bandwidth", "[link]")
+// Guards against a link that changes bytes or whose delay or bandwidth setting has no effect.
+TEST_CASE("a link forwards bytes unchanged and applies delay and bandwidth", "[link]")
 {
   LinkedTarget linked;
   const std::string big = "/a?length=100000";
@@ -94,8 +94,8 @@
   CHECK(Clock::now() - before >= milliseconds(190));
 }
 
-// Guards against a cut that still passes bytes, or that never heals.
-TEST_CASE("link cut stalls connections until it ends", "[link]")
+// Guards against a cut that lets bytes through or whose end doesn't restore the link.
+TEST_CASE("a cut stalls connections until it ends", "[link]")
 {
   LinkedTarget linked;
   linked.SetFaults(R"({"cut":true})");
@@ -104,8 +104,8 @@
   CHECK(linked.Get("/a").has_value());
 }
 
-// Guards against a one-way cut that stops both ways, and against one that never heals.
-TEST_CASE("a one-way cut holds back only the answers", "[link]")
+// Guards against a one-way cut that lets answers through or whose end doesn't restore the link.
+TEST_CASE("a one-way cut holds back answers until it ends", "[link]")
 {
   LinkedTarget linked;
   linked.SetFaults(R"({"cut_answers":true})");
@@ -114,8 +114,8 @@
   CHECK(linked.Get("/a").has_value());
 }
 
-// Guards against a reset that misses open connections or hits new ones.
-TEST_CASE("open connections are reset and new ones work", "[link]")
+// Guards against a reset that leaves open connections intact or also resets later ones.
+TEST_CASE("a reset closes open connections and later ones work", "[link]")
 {
   LinkedTarget linked;
   HttpSession session(linked.address_);
@@ -126,8 +126,9 @@
   CHECK(session.Fetch({ "GET", "/d", {}, "" }).has_value());
 }
 
-// Guards against silence that also hits new connections, or that ends for old ones.
-TEST_CASE("existing connections fall silent and new ones work", "[link]")
+// Guards against silenced connections that still carry bytes, and against new connections that are
+// silenced too.
+TEST_CASE("silenced connections carry nothing and later ones work", "[link]")
 {
   LinkedTarget linked;
   asio::io_context context;
@@ -153,8 +154,9 @@
           .body_.find("\"silent_connections\":1") != std::string::npos);
 }
 
-// Guards against datagrams that get lost or can't be answered through the link.
-TEST_CASE("datagrams go both ways and are lost in a cut", "[link]")
+// Guards against datagrams that are lost or can't be answered through the link, and against a cut
+// that lets them through.
+TEST_CASE("datagrams pass in both directions and are lost during a cut", "[link]")
 {
   asio::io_context context;
   using Udp = asio::ip::udp;
--- a/tests/standins/TargetTest.cpp
+++ b/tests/standins/TargetTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the stand-in target over real sockets, in process.
+// Tests of the stand-in target over real sockets, in the test process.
 #include "standins/lib/FleetHttp.h"
 #include "standins/lib/TargetBody.h"
 #include "standins/lib/TargetServer.h"
@@ -15,7 +15,7 @@
 
 namespace {
 
-// A target that runs on a thread of its own until the end of the test.
+// A target that runs on its own thread until the end of the test.
 class RunningTarget
 {
 public:
@@ -53,7 +53,7 @@
     return nlohmann::json::parse(Get("/load").body_).at("in_use").get<std::uint32_t>();
   }
 
-  // Waits for a number of slots in use; fails the test after 5 s.
+  // Waits until aCount slots are in use; fails the test after 5 s.
   void AwaitInUse(std::uint32_t aCount) const
   {
     const auto giveUpAt = Clock::now() + seconds(5);
@@ -85,8 +85,8 @@
 
 } // namespace
 
-// Guards against answers that can't be told apart, which would hide mixed-up answers.
-TEST_CASE("answer bodies depend on path, body and length", "[target]")
+// Guards against equal bodies for different requests, which would hide that answers were swapped.
+TEST_CASE("answer bodies depend on request target, body and length", "[target]")
 {
   CHECK(TargetBody("/a?tag=1", "", 64) != TargetBody("/a?tag=2", "", 64));
   CHECK(TargetBody("/a", "x", 64) != TargetBody("/a", "y", 64));
@@ -98,8 +98,8 @@
   CHECK(WithQueryParameter(WithQueryParameter("/a", "b", "c"), "d", "e") == "/a?b=c&d=e");
 }
 
-// Guards against a log that lacks what the history checks need.
-TEST_CASE("target answers and logs a request", "[target]")
+// Guards against log entries without the fields that HistoryCheck needs.
+TEST_CASE("a target answers and logs a request", "[target]")
 {
   RunningTarget target(FastTargetSettings());
   const auto reply = target.Fetch({ "POST",
@@ -124,9 +124,9 @@
   CHECK(ParseExecutions(WriteExecutions(log)).assume_value() == log);
 }
 
-// Guards against a target that runs more than its slots, or that keeps a slot after its caller
-// left.
-TEST_CASE("full slots refuse without starting and a closed connection frees its slot", "[target]")
+// Guards against a target that runs more requests than it has slots, or that holds a slot after the
+// caller closed the connection.
+TEST_CASE("a target without free slots refuses and a closed connection frees its slot", "[target]")
 {
   TargetSettings settings = FastTargetSettings();
   settings.slots_ = 1;
@@ -148,7 +148,8 @@
   CHECK_FALSE(log[1].Started());
 }
 
-// Guards against a queue that runs requests out of turn, after their deadline or without a limit.
+// Guards against a queue that starts requests before a slot is free or after their deadline, or
+// that exceeds its max length.
 TEST_CASE("requests wait for a slot in a bounded queue", "[target]")
 {
   TargetSettings settings = FastTargetSettings();
@@ -188,8 +189,8 @@
   CHECK(target.InUse() == 0);
 }
 
-// Guards against work that goes on after its deadline.
-TEST_CASE("deadlines end the work", "[target]")
+// Guards against requests that hold their slot or start after their deadline.
+TEST_CASE("requests end at their deadline and don't start after it", "[target]")
 {
   TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = seconds(60);
@@ -199,8 +200,9 @@
   CHECK(target.InUse() == 0);
 }
 
-// Guards against deeper calls that lose the call token or accept another request's answer.
-TEST_CASE("deeper calls carry the call token and their origin", "[target]")
+// Guards against deeper calls that lose the call token, the tag or the id of the calling execution,
+// and against failed deeper calls that are answered as success.
+TEST_CASE("deeper calls carry the call token, the tag and the calling execution", "[target]")
 {
   for (const bool parallel : { false, true }) {
     RunningTarget deep(FastTargetSettings());
@@ -211,11 +213,11 @@
     RunningTarget target(settings);
     const auto reply = target.Fetch({ "GET", "/top?tag=9", { { "Quay-Call", "token" } }, "" });
     CHECK(reply.status_ == 200);
-    const auto own = target.Executions();
+    const auto targetLog = target.Executions();
     const auto log = deep.Executions();
     REQUIRE(log.size() == 2);
     CHECK(QueryValue(log[0].path_, "tag") == "9");
-    CHECK(QueryValue(log[0].path_, "from") == own.at(0).id_);
+    CHECK(QueryValue(log[0].path_, "from") == targetLog.at(0).id_);
     CHECK(log[0].hasCallHeader_);
     deep.SetFaults(R"({"refuse":1})");
     CHECK(target.Get("/top").status_ == 502);
@@ -223,8 +225,8 @@
   }
 }
 
-// Guards against faults that change nothing: each experiment relies on them.
-TEST_CASE("faults are in force at once and end at once", "[target]")
+// Guards against faults without effect, which would make load experiments test nothing.
+TEST_CASE("faults start and end when they are set", "[target]")
 {
   RunningTarget target(FastTargetSettings());
   target.SetFaults(R"({"drop_answers":1})");
@@ -256,8 +258,8 @@
   CHECK(target.Fetch({ "POST", "/faults", {}, R"({"slow_factor":0})" }).status_ == 400);
 }
 
-// Guards against a draining target that takes new work or cuts running work.
-TEST_CASE("drain refuses new work and finishes the old", "[target]")
+// Guards against a draining target that accepts new requests or aborts current ones.
+TEST_CASE("a draining target refuses new requests and finishes current ones", "[target]")
 {
   TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = milliseconds(200);
@@ -274,8 +276,8 @@
   CHECK(first.get().assume_value().status_ == 200);
 }
 
-// Guards against a report without lag, which would make stale load look fresh in experiments.
-TEST_CASE("load reports lag", "[target]")
+// Guards against a report lag without effect: experiments with stale load would get fresh load.
+TEST_CASE("the reported load is as old as the report lag", "[target]")
 {
   TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = milliseconds(400);
@@ -292,8 +294,8 @@
   CHECK(first.get().has_value());
 }
 
-// Guards against more open connections than the bound.
-TEST_CASE("connections beyond the bound are closed", "[target]")
+// Guards against a connection limit without effect, and against one that blocks the control paths.
+TEST_CASE("connections over the limit may use the control paths only", "[target]")
 {
   TargetSettings settings = FastTargetSettings();
   settings.maxConnections_ = 0;
@@ -302,8 +304,8 @@
   CHECK(target.Get("/health").status_ == 200);
 }
 
-// Guards against a cold start that is as fast as a warm target.
-TEST_CASE("a cold target is slower and says so", "[target]")
+// Guards against a cold target that is as fast as a warm one or reports another state.
+TEST_CASE("a cold target is slower and reports the state cold", "[target]")
 {
   TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = milliseconds(20);
