--- a/standins/lib/LinkRelay.cpp
+++ b/standins/lib/LinkRelay.cpp
@@ -115,8 +115,8 @@
   acceptor_.close(ignored);
   control_.close(ignored);
   datagrams_.close(ignored);
-  for (const auto& weak : connections_) {
-    if (const auto connection = weak.lock()) {
+  for (const auto& weakConnection : connections_) {
+    if (const auto connection = weakConnection.lock()) {
       for (std::size_t side : { 0U, 1U }) {
         connection->sockets_[side].close(ignored);
         connection->flows_[side].wakeTimer_.cancel();
@@ -335,8 +335,8 @@
 
 void LinkRelay::HandleFaultChange()
 {
-  for (const auto& weak : connections_) {
-    const auto connection = weak.lock();
+  for (const auto& weakConnection : connections_) {
+    const auto connection = weakConnection.lock();
     if (!connection) {
       continue;
     }
@@ -357,8 +357,8 @@
 {
   std::size_t open = 0;
   std::size_t silent = 0;
-  for (const auto& weak : connections_) {
-    const auto connection = weak.lock();
+  for (const auto& weakConnection : connections_) {
+    const auto connection = weakConnection.lock();
     if (connection) {
       ++(IsSilent(*connection) ? silent : open);
     }
--- a/standins/lib/LinkRelay.h
+++ b/standins/lib/LinkRelay.h
@@ -112,8 +112,8 @@
   std::array<std::uint64_t, 2> relayedBytes_{}; ///< Per direction.
   std::uint64_t lostDatagrams_ = 0;
   std::list<std::weak_ptr<Connection>> connections_;
-  std::map<Udp::endpoint, std::shared_ptr<DatagramPath>>
-    datagramPaths_; ///< By sender; at most kMaxDatagramPaths.
+  /// By sender; at most kMaxDatagramPaths.
+  std::map<Udp::endpoint, std::shared_ptr<DatagramPath>> datagramPaths_;
 };
 
 } // namespace peridotquay::standins
--- a/standins/lib/PlatformFaults.h
+++ b/standins/lib/PlatformFaults.h
@@ -20,15 +20,12 @@
 /// Faults of the platform stand-in. The defaults have no effect.
 struct PlatformFaults
 {
-  double maxWritesPerSecond_ =
-    0;                           ///< Writes over the limit get 503 and have no effect. 0: no limit.
-  double maxReadsPerSecond_ = 0; ///< Reads over the limit get 503. 0: no limit.
-  std::uint32_t delayMs_ = 0; ///< Of each request, one half before and one after it takes effect.
+  double maxWritesPerSecond_ = 0; ///< Excess writes get 503 and have no effect. 0: no limit.
+  double maxReadsPerSecond_ = 0;  ///< Excess reads get 503. 0: no limit.
+  std::uint32_t delayMs_ = 0;     ///< Half before a request takes effect, half after.
   PlatformOutage outage_ = PlatformOutage::kNone;
-  double lostAnswerFraction_ =
-    0; ///< Fraction of writes that take effect and get no answer, 0 to 1.
-  std::uint32_t loseNextAnswers_ =
-    0; ///< Number of further writes that take effect and get no answer.
+  double lostAnswerFraction_ = 0;     ///< Of the writes that take effect, 0 to 1.
+  std::uint32_t loseNextAnswers_ = 0; ///< Number of further writes whose answers are lost.
   bool operator==(const PlatformFaults&) const = default;
 };
 
--- a/standins/lib/PlatformService.h
+++ b/standins/lib/PlatformService.h
@@ -59,7 +59,7 @@
   const PlatformCounts& Counts() const { return counts_; }
 
 private:
-  /// Token bucket for a tenth of a second, at least one token.
+  /// Token bucket that holds the tokens of a tenth of a second, but at least one.
   struct RateLimit
   {
     double tokens_ = 1;
--- a/standins/lib/TargetExecution.h
+++ b/standins/lib/TargetExecution.h
@@ -13,7 +13,7 @@
 /// Status of a request at a target; stored as a number in the JSON form.
 enum class ExecutionStatus : std::uint8_t
 {
-  kRunning,
+  kRunning,          ///< Runs or waits for a slot.
   kAnswered,         ///< Ran to its end with a whole answer.
   kRefused,          ///< Answered 503 with "Quay-Outcome: not-run"; never started.
   kCancelled,        ///< The caller closed the connection while it ran.
@@ -36,7 +36,7 @@
   bool hasCallHeader_ = false;           ///< Whether the request had a header Quay-Call.
   std::uint32_t wrongDeeperAnswers_ = 0; ///< Answers to its deeper calls with 200 and a wrong body.
   ExecutionStatus executionStatus_ = ExecutionStatus::kRunning;
-  std::int64_t startUs_ = 0; ///< After the wait for a slot.
+  std::int64_t startUs_ = 0; ///< When it got its slot or was refused.
   std::int64_t endUs_ = 0;   ///< 0 while it runs.
   bool operator==(const TargetExecution&) const = default;
 
--- a/standins/lib/TargetServer.cpp
+++ b/standins/lib/TargetServer.cpp
@@ -307,10 +307,11 @@
   return response;
 }
 
-TargetExecution& TargetServer::LogExecution(const Request& aRequest, ExecutionStatus aEnd)
+TargetExecution& TargetServer::LogExecution(const Request& aRequest,
+                                            ExecutionStatus aExecutionStatus)
 {
   TargetExecution entry;
-  entry.id_ = settings_.name_ + "-" + std::to_string(nextExecution_++);
+  entry.id_ = settings_.name_ + "-" + std::to_string(nextExecutionNumber_++);
   entry.requestId_ = HeaderValue(aRequest, "Quay-Request-Id");
   entry.path_ = std::string(aRequest.target());
   entry.clientAccount_ = HeaderValue(aRequest, "Quay-Client-Account");
@@ -318,7 +319,7 @@
   entry.retryBudget_ = HeaderValue(aRequest, "Quay-Retry-Budget");
   entry.hasKeyHeader_ = aRequest.find("Quay-Key") != aRequest.end();
   entry.hasCallHeader_ = aRequest.find("Quay-Call") != aRequest.end();
-  entry.executionStatus_ = aEnd;
+  entry.executionStatus_ = aExecutionStatus;
   entry.startUs_ = NowUs();
   executions_.push_back(std::move(entry));
   // The entry of an active request stays, because ActiveRequest::logEntry_ points to it.
@@ -345,8 +346,8 @@
   if (age < cold) {
     factor *= 1 + (settings_.coldFactor_ - 1) * (1 - age / cold);
   }
-  const double wanted = ToSeconds(settings_.serviceTime_) * factor * faults_.slowFactor_;
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wanted));
+  const double serviceSeconds = ToSeconds(settings_.serviceTime_) * factor * faults_.slowFactor_;
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(serviceSeconds));
 }
 
 asio::awaitable<TargetServer::RequestResult> TargetServer::HandleRequest(
@@ -545,9 +546,9 @@
       request.set("Quay-Call", aCallToken);
     }
     if (aActive->deadline_ != TimePoint::max()) {
-      const auto left =
+      const auto remainingMs =
         std::chrono::duration_cast<milliseconds>(aActive->deadline_ - Clock::now()).count();
-      request.set("Quay-Deadline-Ms", std::to_string(std::max<std::int64_t>(left, 0)));
+      request.set("Quay-Deadline-Ms", std::to_string(std::max<std::int64_t>(remainingMs, 0)));
     }
     co_await http::async_write(
       *socket, request, asio::redirect_error(asio::use_awaitable, failure));
--- a/standins/lib/TargetServer.h
+++ b/standins/lib/TargetServer.h
@@ -66,7 +66,7 @@
     bool finished_ = false;
     bool hasSlot_ = false; ///< False while it waits in the queue.
     TimePoint deadline_ = TimePoint::max();
-    boost::asio::steady_timer workTimer_; ///< Also wakes the request when a slot or answer comes.
+    boost::asio::steady_timer workTimer_; ///< Service time; cancelled to wake the request.
     boost::asio::steady_timer deadlineTimer_;
     std::vector<std::shared_ptr<Socket>> deeperSockets_;
     std::uint32_t pendingDeeperCalls_ = 0;
@@ -113,7 +113,7 @@
   std::optional<Response> CheckAdmission(const Request& aRequest);
   Response HandleControlRequest(const Request& aRequest);
   Response PostFaults(const Request& aRequest);
-  TargetExecution& LogExecution(const Request& aRequest, ExecutionStatus aEnd);
+  TargetExecution& LogExecution(const Request& aRequest, ExecutionStatus aExecutionStatus);
   Duration DrawServiceTime();
   std::string State() const;
   void RecordSample();
@@ -134,7 +134,7 @@
   bool closing_ = false;                 ///< Drain was called: stops once unansweredRequests_ is 0.
   std::uint32_t unansweredRequests_ = 0; ///< Requests that were read and not yet answered.
   std::uint32_t slotsInUse_ = 0;
-  std::uint64_t nextExecution_ = 1;
+  std::uint64_t nextExecutionNumber_ = 1;
   std::uint64_t droppedExecutions_ = 0;
   std::deque<std::shared_ptr<ActiveRequest>> waiting_; ///< For a slot, in order of arrival.
   std::list<TargetExecution> executions_; ///< ActiveRequest::logEntry_ points into the list.
--- a/standins/lib/TargetSettings.h
+++ b/standins/lib/TargetSettings.h
@@ -30,22 +30,19 @@
   std::string name_ = "target";        ///< Prefix of the execution ids; unique in the fleet.
   std::uint32_t slots_ = 50;           ///< Max requests that run at the same time.
   std::uint32_t maxQueueLength_ = 0;   ///< Max requests that wait for a slot; more are refused.
-  std::uint32_t maxConnections_ = 400; ///< Further connections are closed at once.
-  Duration serviceTime_ =
-    milliseconds(10); ///< Mean time that a request works, without its deeper calls.
+  std::uint32_t maxConnections_ = 400; ///< Max connections that may send requests.
+  Duration serviceTime_ = milliseconds(10); ///< Mean, without the time of deeper calls.
   ServiceTimeDistribution distribution_ = ServiceTimeDistribution::kFixed;
   std::uint64_t seed_ = 1;
   Duration coldPeriod_{}; ///< Time in state "cold" after the start.
   double coldFactor_ = 3; ///< Service time factor at the start; falls linearly to 1 in coldPeriod_.
-  std::optional<Address>
-    outbound_; ///< The node's address for deeper calls; none are made without it.
-  std::vector<std::string> deeperPaths_; ///< Paths that every request calls through outbound_.
-  bool parallelDeeperCalls_ =
-    false;               ///< Makes deeper calls at the same time instead of in sequence.
-  Duration reportLag_{}; ///< Age of the state that /health and /load report.
-  std::size_t defaultAnswerBytes_ = 64; ///< Answer body length if the query has no "length".
-  std::size_t maxLoggedExecutions_ =
-    500'000; ///< Log size; the oldest entries are removed and counted.
+  /// The node's address for deeper calls; none are made without it.
+  std::optional<Address> outbound_;
+  std::vector<std::string> deeperPaths_;      ///< Paths that every request calls through outbound_.
+  bool parallelDeeperCalls_ = false;          ///< In parallel instead of in sequence.
+  Duration reportLag_{};                      ///< Age of the state that /health and /load report.
+  std::size_t defaultAnswerBytes_ = 64;       ///< Answer body length if the query has no "length".
+  std::size_t maxLoggedExecutions_ = 500'000; ///< Older log entries are removed and counted.
 };
 
 /// Faults that can be changed while the target runs. The defaults have no effect.
--- a/standins/standin_platform.cpp
+++ b/standins/standin_platform.cpp
@@ -29,14 +29,14 @@
 namespace {
 
 /// Writes to a temporary file and renames it, so that a reader never sees a partial port file.
-bool WritePortFile(const std::string& aFile, std::uint16_t aPort)
+bool WritePortFile(const std::string& aFileName, std::uint16_t aPort)
 {
-  if (aFile.empty()) {
+  if (aFileName.empty()) {
     return true;
   }
-  const auto unfinished = aFile + ".part";
-  std::ofstream(unfinished) << aPort << "\n";
-  return std::rename(unfinished.c_str(), aFile.c_str()) == 0;
+  const auto temporary = aFileName + ".part";
+  std::ofstream(temporary) << aPort << "\n";
+  return std::rename(temporary.c_str(), aFileName.c_str()) == 0;
 }
 
 } // namespace
--- a/standins/standin_target.cpp
+++ b/standins/standin_target.cpp
@@ -1,5 +1,4 @@
-// Stand-in target process: one TargetServer. On SIGTERM or SIGINT it drains and exits with status
-// 0.
+// Stand-in target process: one TargetServer. Drains on SIGTERM or SIGINT and exits with status 0.
 #include "standins/lib/TargetServer.h"
 
 #include <absl/flags/flag.h>
@@ -38,11 +37,11 @@
 }
 
 // Writes to a temporary file and renames it, so that a reader never sees a partial port file.
-bool WritePortFile(const std::string& aName, std::uint16_t aPort)
+bool WritePortFile(const std::string& aFileName, std::uint16_t aPort)
 {
-  const std::string temporary = aName + ".tmp";
+  const std::string temporary = aFileName + ".tmp";
   std::ofstream(temporary) << nlohmann::json{ { "port", aPort } } << "\n";
-  return std::rename(temporary.c_str(), aName.c_str()) == 0;
+  return std::rename(temporary.c_str(), aFileName.c_str()) == 0;
 }
 
 } // namespace
