--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -153,8 +153,8 @@
       }
     }
     tableBytes_ = EncodePeerMessage(MemberTable{ true, entries }).size() + kFrameOverhead;
-    tableSeconds_ = std::max(ToSeconds(membership_.settings_.tableInterval_),
-                             ToSeconds(membership_.settings_.tableIntervalPerMember_) *
+    tableSeconds_ = std::max(ToSeconds(membership_.settings_.antiEntropyInterval_),
+                             ToSeconds(membership_.settings_.antiEntropyIntervalPerMember_) *
                                static_cast<double>(entries.size()));
     MembershipEffects ignored;
     HandleMembershipMessage(
@@ -185,7 +185,7 @@
       centre.pending_.clear();
       centre.pendingSet_.clear();
     }
-    membership_.nextTable_ = now_ + std::chrono::hours(1);
+    membership_.nextAntiEntropyAt_ = now_ + std::chrono::hours(1);
     sent_.clear();
     received_.clear();
     cpu_ = 0;
@@ -280,7 +280,7 @@
       }
     }
     for (auto& message : aEffects.summaries_) {
-      FillSummary(versions_, std::get<Summary>(message.message_), now_);
+      FillSummary(versions_, std::get<DataCentreSummary>(message.message_), now_);
       Sent(message);
     }
   }
@@ -299,12 +299,12 @@
     }
     if (aEffects.call_) {
       PlatformAnswer answer;
-      answer.started_ = now_;
-      answer.finished_ = now_;
+      answer.startedAt_ = now_;
+      answer.finishedAt_ = now_;
       std::holds_alternative<TransactCall>(*aEffects.call_) ? ++platformWrites_ : ++platformReads_;
       const auto started = CpuSeconds();
       DisseminationEffects effects;
-      HandleVersionAnswer(versions_, answer, now_, effects);
+      HandlePlatformAnswer(versions_, answer, now_, effects);
       cpu_ += CpuSeconds() - started;
       Answer(effects);
     }
@@ -325,7 +325,7 @@
     }
     if (position_ < 2) {
       for (std::size_t centre = 1; centre < fleet_.centres_; ++centre) {
-        Summary summary;
+        DataCentreSummary summary;
         summary.dataCentre_.value_ = "dc" + std::to_string(centre);
         summary.platformReachable_ = true;
         summary.members_ = { MakeEntry(centre, 0), MakeEntry(centre, 1), MakeEntry(centre, 2) };
@@ -528,7 +528,7 @@
     for (int i = 0; i < kRequests; ++i) {
       time += microseconds(20);
       const auto& id = ids[static_cast<std::size_t>(i) % accounts];
-      last = GrantTokens(ledger, { "h" }, { 1, id, 0, 0, 3 }, kGrantLifetime, time).grant_;
+      last = GrantTokens(ledger, { "h" }, { 1, id, 0, 0, 3 }, kMaxGrantLifetime, time).grant_;
     }
     const auto grantSeconds = (CpuSeconds() - grantsStarted) / kRequests;
     std::printf(
--- a/peridotquay/connection/HttpFront.cpp
+++ b/peridotquay/connection/HttpFront.cpp
@@ -1,5 +1,6 @@
-// HTTP front on Boost.Beast's parser. The head of a request is checked as raw bytes before it is
-// parsed, because the parser folds lines and merges repeated headers.
+// Implementation of HttpFront on Boost.Asio and Boost.Beast's parser. The head of a request is
+// checked as raw bytes before it is parsed, because the parser joins folded lines and merges
+// repeated headers.
 #include "peridotquay/connection/HttpFront.h"
 
 #include "peridotquay/connection/KeepAlive.h"
@@ -26,7 +27,7 @@
 
 class Session;
 
-// Bytes read at once.
+// Size of the read buffer in bytes.
 constexpr std::size_t kReadBytes = std::size_t{ 16 } * 1024;
 
 std::string ToLower(std::string_view aText)
@@ -38,14 +39,16 @@
   return text;
 }
 
-// Headers that must not appear twice, because different readers would take different values.
+// True for headers that must not be repeated, because HTTP implementations differ in which value
+// they use.
 bool MustBeUnique(const std::string& aLowerName)
 {
   return aLowerName == "content-length" || aLowerName == "transfer-encoding" ||
          aLowerName == "host" || aLowerName == "expect" || aLowerName.starts_with("quay-");
 }
 
-// Checks a raw request head including its final empty line.
+// Checks a raw request head including its final empty line. Returns the error, or none if it is
+// valid.
 std::optional<ErrorCode> CheckHead(std::string_view aHead)
 {
   std::set<std::string> seen;
@@ -57,7 +60,7 @@
     }
     const std::string_view line = aHead.substr(0, end);
     aHead.remove_prefix(end + 2);
-    // A lone CR, LF or NUL ends a line for some readers and not for others.
+    // HTTP implementations differ in whether a single CR, LF or NUL ends a line.
     if (line.find_first_of(std::string_view("\r\n\0", 3)) != std::string_view::npos) {
       return ErrorCode::kMalformedRequest;
     }
@@ -66,7 +69,7 @@
       continue;
     }
     const std::size_t colon = line.find(':');
-    // A line that begins with a space continues the line before it; that form is obsolete.
+    // A line that begins with a space would continue the previous line (obsolete line folding).
     if (colon == std::string_view::npos || colon == 0 ||
         line.substr(0, colon).find_first_of(" \t") != std::string_view::npos) {
       return ErrorCode::kMalformedRequest;
@@ -75,10 +78,10 @@
     if (MustBeUnique(name) && !seen.insert(name).second) {
       return ErrorCode::kConflictingHeaders;
     }
-    // The parser also takes a list of equal lengths, which other readers refuse or misread.
-    const std::size_t value = std::min(line.find_first_not_of(" \t", colon + 1), line.size());
+    // The parser accepts a list of equal lengths, which other implementations reject or misread.
+    const std::size_t valueStart = std::min(line.find_first_not_of(" \t", colon + 1), line.size());
     if (name == "content-length" &&
-        line.find_first_not_of("0123456789", value) != std::string_view::npos) {
+        line.find_first_not_of("0123456789", valueStart) != std::string_view::npos) {
       return ErrorCode::kConflictingHeaders;
     }
   }
@@ -97,7 +100,7 @@
   Handler handler_;
   tcp::acceptor acceptor_;
   std::set<std::shared_ptr<Session>> sessions_;
-  std::uint64_t rejected_ = 0;
+  std::uint64_t rejectedRequests_ = 0;
   std::size_t pendingAnswers_ = 0;
   bool closeAfterAnswers_ = false;
 
@@ -112,6 +115,7 @@
 
 namespace {
 
+// The exchange that a Session passes to the handler.
 class Exchange final : public HttpExchange
 {
 public:
@@ -126,6 +130,7 @@
   bool answered_ = false;
 };
 
+// One accepted connection.
 class Session final : public std::enable_shared_from_this<Session>
 {
 public:
@@ -137,11 +142,11 @@
 
   void Start()
   {
-    Restart(front_.settings_.idleTimeout_, false);
+    RestartTimer(front_.settings_.idleTimeout_, false);
     Read();
   }
 
-  // Ends the connection and tells the handler of a request that isn't answered yet.
+  // Closes the connection and calls onClosed_ of a request that has no answer yet.
   void Close()
   {
     if (closed_) {
@@ -173,58 +178,60 @@
     exchange_.reset();
     const bool keep = keepAlive_ && !front_.closeAfterAnswers_;
     keepAlive_ = keep;
-    output_ = "HTTP/1.1 " + std::to_string(aResponse.status_) + " ";
-    output_ += http::obsolete_reason(http::int_to_status(aResponse.status_));
-    output_ += "\r\n";
+    writeBuffer_ = "HTTP/1.1 " + std::to_string(aResponse.status_) + " ";
+    writeBuffer_ += http::obsolete_reason(http::int_to_status(aResponse.status_));
+    writeBuffer_ += "\r\n";
     for (const auto& [name, value] : aResponse.headers_) {
-      output_ += name;
-      output_ += ": ";
-      output_ += value;
-      output_ += "\r\n";
+      writeBuffer_ += name;
+      writeBuffer_ += ": ";
+      writeBuffer_ += value;
+      writeBuffer_ += "\r\n";
     }
     const bool bodiless = aResponse.status_ == 204 || aResponse.status_ == 304;
     if (!bodiless || aResponse.declaredLength_) {
-      output_ += "Content-Length: " +
-                 std::to_string(aResponse.declaredLength_.value_or(aResponse.body_.size())) +
-                 "\r\n";
+      writeBuffer_ += "Content-Length: " +
+                      std::to_string(aResponse.declaredLength_.value_or(aResponse.body_.size())) +
+                      "\r\n";
     }
-    output_ += keep ? "\r\n" : "Connection: close\r\n\r\n";
-    if (!head_ && !bodiless) {
-      output_ += aResponse.body_;
+    writeBuffer_ += keep ? "\r\n" : "Connection: close\r\n\r\n";
+    if (!isHead_ && !bodiless) {
+      writeBuffer_ += aResponse.body_;
     }
-    Restart(front_.settings_.writeTimeout_, false);
+    RestartTimer(front_.settings_.writeTimeout_, false);
     writing_ = true;
     ++front_.pendingAnswers_;
     boost::asio::async_write(
       socket_,
-      boost::asio::buffer(output_),
+      boost::asio::buffer(writeBuffer_),
       [self = shared_from_this()](const error_code& aError, std::size_t /*aBytes*/) {
         self->OnWritten(aError);
       });
   }
 
+  // Answers an invalid request with an error and discards further input.
   void Reject(ErrorCode aCode)
   {
-    ++front_.rejected_;
+    ++front_.rejectedRequests_;
     keepAlive_ = false;
-    rejected_ = true;
+    discardsInput_ = true;
     Answer(ErrorResponse(aCode, Outcome::kNotRun, "request was not accepted"));
   }
 
-  std::shared_ptr<Exchange> exchange_; ///< The request that is being handled.
+  std::shared_ptr<Exchange> exchange_; ///< The request being handled; null if none.
 
 private:
   using Parser = http::request_parser<http::string_body>;
 
-  void Restart(Duration aTimeout, bool aSlowRequest)
+  // After aTimeout, closes the connection or, if aRejectsRequest, rejects the request as too slow.
+  void RestartTimer(Duration aTimeout, bool aRejectsRequest)
   {
     front_.loop_.CancelTimer(timer_);
-    timer_ = front_.loop_.After(aTimeout, [weak = weak_from_this(), aSlowRequest] {
+    timer_ = front_.loop_.After(aTimeout, [weak = weak_from_this(), aRejectsRequest] {
       const auto self = weak.lock();
       if (!self || self->closed_) {
         return;
       }
-      if (aSlowRequest) {
+      if (aRejectsRequest) {
         self->Reject(ErrorCode::kRequestTooSlow);
       } else {
         self->Close();
@@ -234,21 +241,21 @@
 
   void Read()
   {
-    // While a request is handled, reading goes on to notice that the caller closed; requests sent
-    // ahead are kept up to one request's size.
-    if (reading_ || closed_ || input_.size() > Limit()) {
+    // Reading continues while a request is handled, to detect that the caller closes the
+    // connection. Pipelined requests are buffered up to the maximum size of one request.
+    if (reading_ || closed_ || unparsed_.size() > MaxInputBytes()) {
       return;
     }
     reading_ = true;
     socket_.async_read_some(
-      boost::asio::buffer(chunk_),
+      boost::asio::buffer(readBuffer_),
       [self = shared_from_this()](const error_code& aError, std::size_t aBytes) {
         self->reading_ = false;
         self->OnRead(aError, aBytes);
       });
   }
 
-  std::size_t Limit() const
+  std::size_t MaxInputBytes() const
   {
     return front_.settings_.maxBodyBytes_ + front_.settings_.maxHeaderBytes_;
   }
@@ -259,7 +266,7 @@
       return;
     }
     if (aError) {
-      // An answer that is being written is still delivered if only the sending side was closed.
+      // If the caller closed only its sending side, the current answer can still be delivered.
       if (writing_ && aError == boost::asio::error::eof) {
         keepAlive_ = false;
         return;
@@ -267,33 +274,33 @@
       Close();
       return;
     }
-    if (rejected_) {
+    if (discardsInput_) {
       Read();
       return;
     }
-    input_.append(chunk_.data(), aBytes);
+    unparsed_.append(readBuffer_.data(), aBytes);
     Parse();
     Read();
   }
 
   void Parse()
   {
-    if (closed_ || exchange_ || writing_ || input_.empty()) {
+    if (closed_ || exchange_ || writing_ || unparsed_.empty()) {
       return;
     }
     if (!parser_) {
-      // Empty lines before a request line are ignored, as RFC 9112 asks for.
-      const std::size_t start = std::min(input_.find_first_not_of("\r\n"), input_.size());
-      input_.erase(0, start);
-      if (input_.empty()) {
+      // Empty lines before a request line are ignored, as RFC 9112 recommends.
+      const std::size_t start = std::min(unparsed_.find_first_not_of("\r\n"), unparsed_.size());
+      unparsed_.erase(0, start);
+      if (unparsed_.empty()) {
         return;
       }
-      if (!arriving_) {
-        arriving_ = true;
-        Restart(front_.settings_.readTimeout_, true);
+      if (!requestBegan_) {
+        requestBegan_ = true;
+        RestartTimer(front_.settings_.readTimeout_, true);
       }
-      const std::size_t end = input_.find("\r\n\r\n");
-      const std::size_t headBytes = end == std::string::npos ? input_.size() : end + 4;
+      const std::size_t end = unparsed_.find("\r\n\r\n");
+      const std::size_t headBytes = end == std::string::npos ? unparsed_.size() : end + 4;
       if (headBytes > front_.settings_.maxHeaderBytes_) {
         Reject(ErrorCode::kHeadersTooLarge);
         return;
@@ -301,18 +308,18 @@
       if (end == std::string::npos) {
         return;
       }
-      if (!ParseHead(std::string_view(input_).substr(0, headBytes))) {
+      if (!ParseHead(std::string_view(unparsed_).substr(0, headBytes))) {
         return;
       }
-      input_.erase(0, headBytes);
+      unparsed_.erase(0, headBytes);
     }
     ParseBody();
   }
 
   bool ParseHead(std::string_view aHead)
   {
-    if (const auto fault = CheckHead(aHead)) {
-      Reject(*fault);
+    if (const auto errorCode = CheckHead(aHead)) {
+      Reject(*errorCode);
       return false;
     }
     parser_.emplace();
@@ -330,16 +337,17 @@
     }
     const auto& message = parser_->get();
     const auto target = message.target();
-    const auto coding = message.find(http::field::transfer_encoding);
-    const bool badCoding =
-      coding != message.end() &&
-      ToLower(std::string_view(coding->value().data(), coding->value().size())) != "chunked";
+    const auto transferEncoding = message.find(http::field::transfer_encoding);
+    const bool unsupportedEncoding =
+      transferEncoding != message.end() &&
+      ToLower(std::string_view(transferEncoding->value().data(),
+                               transferEncoding->value().size())) != "chunked";
     const bool http10 = message.version() == 10;
     const auto version = message.version();
-    const std::size_t hosts = message.count(http::field::host);
-    if (target.empty() || target.front() != '/' || badCoding ||
-        (http10 && coding != message.end()) || (version != 10 && version != 11) ||
-        (version == 11 && hosts != 1) || message.method() == http::verb::connect) {
+    const std::size_t hostCount = message.count(http::field::host);
+    if (target.empty() || target.front() != '/' || unsupportedEncoding ||
+        (http10 && transferEncoding != message.end()) || (version != 10 && version != 11) ||
+        (version == 11 && hostCount != 1) || message.method() == http::verb::connect) {
       Reject(ErrorCode::kMalformedRequest);
       return false;
     }
@@ -359,7 +367,8 @@
         SendContinue();
       }
     }
-    // Only the head counts: the parser adds trailers of a chunked body to the same list later.
+    // Headers are copied before the body is parsed, because the parser later adds the trailers of a
+    // chunked body to the same list.
     headers_.clear();
     for (const auto& field : message) {
       headers_.emplace_back(std::string(field.name_string()), std::string(field.value()));
@@ -370,7 +379,7 @@
 
   void SendContinue()
   {
-    // Nothing else is being written while a request arrives, so this can't interleave.
+    // No other write is running while a request arrives, so the bytes can't interleave.
     static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
     boost::asio::async_write(socket_,
                              boost::asio::buffer(kContinue.data(), kContinue.size()),
@@ -379,12 +388,12 @@
 
   void ParseBody()
   {
-    std::size_t used = 0;
-    while (!parser_->is_done() && used < input_.size()) {
+    std::size_t offset = 0;
+    while (!parser_->is_done() && offset < unparsed_.size()) {
       error_code error;
-      const std::size_t taken =
-        parser_->put(boost::asio::buffer(input_.data() + used, input_.size() - used), error);
-      used += taken;
+      const std::size_t parsed = parser_->put(
+        boost::asio::buffer(unparsed_.data() + offset, unparsed_.size() - offset), error);
+      offset += parsed;
       if (error == http::error::need_more) {
         break;
       }
@@ -393,15 +402,15 @@
                                                 : ErrorCode::kMalformedRequest);
         return;
       }
-      if (taken == 0) {
+      if (parsed == 0) {
         break;
       }
     }
-    input_.erase(0, used);
+    unparsed_.erase(0, offset);
     if (parser_->is_done()) {
       Dispatch();
-    } else if (input_.size() > front_.settings_.maxHeaderBytes_) {
-      // The parser holds back an incomplete chunk header only.
+    } else if (unparsed_.size() > front_.settings_.maxHeaderBytes_) {
+      // The parser leaves only an incomplete chunk header unparsed, and this one is too long.
       Reject(ErrorCode::kMalformedRequest);
     }
   }
@@ -410,11 +419,11 @@
   {
     auto message = parser_->release();
     parser_.reset();
-    arriving_ = false;
+    requestBegan_ = false;
     front_.loop_.CancelTimer(timer_);
     timer_ = 0;
     keepAlive_ = message.keep_alive();
-    head_ = message.method() == http::verb::head;
+    isHead_ = message.method() == http::verb::head;
     exchange_ = std::make_shared<Exchange>(shared_from_this());
     HttpRequest& request = exchange_->request_;
     request.method_ = std::string(message.method_string());
@@ -438,35 +447,36 @@
       return;
     }
     if (!keepAlive_) {
-      // The sending side closes first and what still arrives is read away for a moment. A full
-      // close with unread input resets the connection, and the caller can lose the answer.
+      // Closes the sending side and discards input for a short time before closing the
+      // connection.
+      // Closing with unread input would reset the connection, and the caller could lose the answer.
       error_code ignored;
       socket_.shutdown(tcp::socket::shutdown_send, ignored);
-      rejected_ = true;
-      input_.clear();
-      Restart(milliseconds(500), false);
+      discardsInput_ = true;
+      unparsed_.clear();
+      RestartTimer(milliseconds(500), false);
       Read();
       return;
     }
-    Restart(front_.settings_.idleTimeout_, false);
+    RestartTimer(front_.settings_.idleTimeout_, false);
     Parse();
     Read();
   }
 
   HttpFront::State& front_;
   tcp::socket socket_;
-  std::array<char, kReadBytes> chunk_;
-  std::string input_;
-  std::string output_;
-  std::optional<Parser> parser_; ///< Set while the body of a request arrives.
-  HeaderList headers_;           ///< Of the request whose body arrives.
+  std::array<char, kReadBytes> readBuffer_;
+  std::string unparsed_;
+  std::string writeBuffer_;
+  std::optional<Parser> parser_; ///< Set while the body of a request is being received.
+  HeaderList headers_;           ///< Headers of the request in parser_.
   std::uint64_t timer_ = 0;
-  bool arriving_ = false; ///< The first byte of a request is here.
+  bool requestBegan_ = false; ///< The first byte of a request has arrived.
   bool reading_ = false;
   bool writing_ = false;
   bool keepAlive_ = true;
-  bool head_ = false;     ///< The request in hand has method HEAD.
-  bool rejected_ = false; ///< Further input is read and thrown away.
+  bool isHead_ = false;        ///< The current request has method HEAD.
+  bool discardsInput_ = false; ///< Further input is read and discarded.
   bool closed_ = false;
 };
 
@@ -490,10 +500,10 @@
         return;
       }
       if (aError) {
-        // Out of descriptors: accepting again at once would spin.
+        // Without file descriptors left, accepting again immediately would loop.
         state->loop_.After(milliseconds(20), [weak] {
-          if (const auto again = weak.lock()) {
-            Accept(again);
+          if (const auto owner = weak.lock()) {
+            Accept(owner);
           }
         });
         return;
@@ -522,7 +532,7 @@
   error_code error;
   const auto ip = boost::asio::ip::make_address(aSettings.listen_.ip_, error);
   if (error) {
-    return Fail(ErrorCode::kOutOfRange, text, "an IP number");
+    return Fail(ErrorCode::kOutOfRange, text, "IP address");
   }
   const tcp::endpoint endpoint(ip, aSettings.listen_.port_);
   state->acceptor_.open(endpoint.protocol(), error);
@@ -559,17 +569,17 @@
   return state_->acceptor_.local_endpoint().port();
 }
 
-std::size_t HttpFront::Connections() const
+std::size_t HttpFront::ConnectionCount() const
 {
   return state_->sessions_.size();
 }
 
-std::uint64_t HttpFront::Rejected() const
+std::uint64_t HttpFront::RejectedRequests() const
 {
-  return state_->rejected_;
+  return state_->rejectedRequests_;
 }
 
-std::size_t HttpFront::PendingAnswers() const
+std::size_t HttpFront::PendingAnswerCount() const
 {
   return state_->pendingAnswers_;
 }
