--- a/tests/standins/LinkTest.cpp
+++ b/tests/standins/LinkTest.cpp
@@ -60,9 +60,9 @@
 
   Result<FetchResponse> Get(const std::string& aTarget, Duration aTimeout = seconds(5)) const
   {
-    FetchRequest query{ "GET", aTarget, {}, "" };
-    query.timeout_ = aTimeout;
-    return FetchHttp(address_, query);
+    FetchRequest fetchRequest{ "GET", aTarget, {}, "" };
+    fetchRequest.timeout_ = aTimeout;
+    return FetchHttp(address_, fetchRequest);
   }
 
   Address address_;
--- a/tests/standins/TargetTest.cpp
+++ b/tests/standins/TargetTest.cpp
@@ -34,9 +34,9 @@
     thread_.join();
   }
 
-  FetchResponse Fetch(FetchRequest aQuery) const
+  FetchResponse Fetch(FetchRequest aRequest) const
   {
-    const auto reply = FetchHttp(address_, aQuery);
+    const auto reply = FetchHttp(address_, aRequest);
     REQUIRE(reply.has_value());
     return reply.assume_value();
   }
@@ -132,9 +132,10 @@
   settings.slots_ = 1;
   settings.serviceTime_ = seconds(60);
   RunningTarget target(settings);
-  FetchRequest slow{ "GET", "/slow", {}, "" };
-  slow.timeout_ = milliseconds(300);
-  auto first = std::async(std::launch::async, [&] { return FetchHttp(target.address_, slow); });
+  FetchRequest slowRequest{ "GET", "/slow", {}, "" };
+  slowRequest.timeout_ = milliseconds(300);
+  auto first =
+    std::async(std::launch::async, [&] { return FetchHttp(target.address_, slowRequest); });
   target.AwaitInUse(1);
   const auto refused = target.Get("/other");
   CHECK(refused.status_ == 503);
@@ -236,9 +237,9 @@
   CHECK(target.Get("/a").status_ == 200);
 
   target.SetFaults(R"({"freeze":true})");
-  FetchRequest brief{ "GET", "/a", {}, "" };
-  brief.timeout_ = milliseconds(100);
-  const auto frozen = FetchHttp(target.address_, brief);
+  FetchRequest shortRequest{ "GET", "/a", {}, "" };
+  shortRequest.timeout_ = milliseconds(100);
+  const auto frozen = FetchHttp(target.address_, shortRequest);
   REQUIRE_FALSE(frozen.has_value());
   CHECK(frozen.assume_error().code_ == ErrorCode::kDeadlineExceeded);
   target.SetFaults(R"({"freeze":false})");
