--- a/standins/lib/LinkSettings.cpp
+++ b/standins/lib/LinkSettings.cpp
@@ -1,4 +1,4 @@
-// Parsing of link faults and the timing of a link.
+// Parsing of link faults, and arrival times from delay and bandwidth.
 #include "standins/lib/LinkSettings.h"
 
 #include <nlohmann/json.hpp>
@@ -38,11 +38,11 @@
       if (name == "cut") {
         next.cut_ = flag;
       } else if (name == "cut_answers") {
-        next.cutAnswers_ = flag;
+        next.cutFromRemote_ = flag;
       } else if (name == "silence_existing") {
-        next.silenceExisting_ += flag ? 1 : 0;
+        next.silenceGeneration_ += flag ? 1 : 0;
       } else {
-        next.resetExisting_ += flag ? 1 : 0;
+        next.resetGeneration_ += flag ? 1 : 0;
       }
     } else {
       return Fail(ErrorCode::kUnknownSetting, name);
--- a/tests/standins/LinkTest.cpp
+++ b/tests/standins/LinkTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the stand-in link before a stand-in target, in process.
+// Tests of the stand-in link in front of a stand-in target, both in the test process.
 #include "standins/lib/FleetHttp.h"
 #include "standins/lib/LinkRelay.h"
 #include "standins/lib/TargetServer.h"
@@ -21,7 +21,7 @@
 
 namespace {
 
-// A target with a link before it; both run on a thread of their own until the end of the test.
+// A target behind a link. Both run on one thread until the end of the test.
 class LinkedTarget
 {
 public:
@@ -51,7 +51,7 @@
     thread_.join();
   }
 
-  void Set(const std::string& aJson) const
+  void SetFaults(const std::string& aJson) const
   {
     const auto reply = FetchHttp(control_, { "POST", "/link", {}, aJson });
     REQUIRE(reply.has_value());
@@ -60,9 +60,9 @@
 
   Result<FetchResponse> Get(const std::string& aTarget, Duration aTimeout = seconds(5)) const
   {
-    FetchRequest query{ "GET", aTarget, {}, "" };
-    query.timeout_ = aTimeout;
-    return FetchHttp(address_, query);
+    FetchRequest fetchRequest{ "GET", aTarget, {}, "" };
+    fetchRequest.timeout_ = aTimeout;
+    return FetchHttp(address_, fetchRequest);
   }
 
   Address address_;
@@ -77,75 +77,76 @@
 
 } // namespace
 
-// Guards against a link that changes bytes, or whose delay and bandwidth have no effect.
-TEST_CASE("link passes bytes unchanged with delay and bandwidth", "[link]")
+// Guards against a link that changes bytes or whose delay or bandwidth setting has no effect.
+TEST_CASE("a link forwards bytes unchanged and applies delay and bandwidth", "[link]")
 {
   LinkedTarget linked;
   const std::string big = "/a?length=100000";
   const auto direct = linked.Get(big).assume_value().body_;
   CHECK(direct.size() == 100000);
-  linked.Set(R"({"delay_ms":20})");
+  linked.SetFaults(R"({"delay_ms":20})");
   auto before = Clock::now();
   CHECK(linked.Get(big).assume_value().body_ == direct);
   CHECK(Clock::now() - before >= milliseconds(40));
-  linked.Set(R"({"delay_ms":0,"bandwidth":500000})");
+  linked.SetFaults(R"({"delay_ms":0,"bandwidth":500000})");
   before = Clock::now();
   CHECK(linked.Get(big).assume_value().body_ == direct);
   CHECK(Clock::now() - before >= milliseconds(190));
 }
 
-// Guards against a cut that still passes bytes, or that never heals.
-TEST_CASE("link cut stalls connections until it ends", "[link]")
+// Guards against a cut that lets bytes through or whose end doesn't restore the link.
+TEST_CASE("a cut stalls connections until it ends", "[link]")
 {
   LinkedTarget linked;
-  linked.Set(R"({"cut":true})");
+  linked.SetFaults(R"({"cut":true})");
   CHECK_FALSE(linked.Get("/a", milliseconds(100)).has_value());
-  linked.Set(R"({"cut":false})");
+  linked.SetFaults(R"({"cut":false})");
   CHECK(linked.Get("/a").has_value());
 }
 
-// Guards against a one-way cut that stops both ways, and against one that never heals.
-TEST_CASE("a one-way cut holds back only the answers", "[link]")
+// Guards against a one-way cut that lets answers through or whose end doesn't restore the link.
+TEST_CASE("a one-way cut holds back answers until it ends", "[link]")
 {
   LinkedTarget linked;
-  linked.Set(R"({"cut_answers":true})");
+  linked.SetFaults(R"({"cut_answers":true})");
   CHECK_FALSE(linked.Get("/a?length=7", milliseconds(200)).has_value());
-  linked.Set(R"({"cut_answers":false})");
+  linked.SetFaults(R"({"cut_answers":false})");
   CHECK(linked.Get("/a").has_value());
 }
 
-// Guards against a reset that misses open connections or hits new ones.
-TEST_CASE("open connections are reset and new ones work", "[link]")
+// Guards against a reset that leaves open connections intact or also resets later ones.
+TEST_CASE("a reset closes open connections and later ones work", "[link]")
 {
   LinkedTarget linked;
   HttpSession session(linked.address_);
   REQUIRE(session.Fetch({ "GET", "/a", {}, "" }).has_value());
   REQUIRE(session.Fetch({ "GET", "/b", {}, "" }).has_value());
-  linked.Set(R"({"reset_existing":true})");
+  linked.SetFaults(R"({"reset_existing":true})");
   CHECK_FALSE(session.Fetch({ "GET", "/c", {}, "" }).has_value());
   CHECK(session.Fetch({ "GET", "/d", {}, "" }).has_value());
 }
 
-// Guards against silence that also hits new connections, or that ends for old ones.
-TEST_CASE("existing connections fall silent and new ones work", "[link]")
+// Guards against silenced connections that still carry bytes, and against new connections that are
+// silenced too.
+TEST_CASE("silenced connections carry nothing and later ones work", "[link]")
 {
   LinkedTarget linked;
   asio::io_context context;
-  asio::ip::tcp::socket old(context);
-  old.connect({ asio::ip::make_address("127.0.0.1"), linked.address_.port_ });
+  asio::ip::tcp::socket existing(context);
+  existing.connect({ asio::ip::make_address("127.0.0.1"), linked.address_.port_ });
   http::request<http::string_body> request(http::verb::get, "/a", 11);
   http::response<http::string_body> response;
   boost::beast::flat_buffer buffer;
-  http::write(old, request);
-  http::read(old, buffer, response);
+  http::write(existing, request);
+  http::read(existing, buffer, response);
   CHECK(response.result_int() == 200);
 
-  linked.Set(R"({"silence_existing":true})");
+  linked.SetFaults(R"({"silence_existing":true})");
   const timeval timeout{ 0, 100'000 };
-  ::setsockopt(old.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
-  http::write(old, request);
+  ::setsockopt(existing.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  http::write(existing, request);
   char byte = 0;
-  CHECK(::recv(old.native_handle(), &byte, 1, 0) < 0);
+  CHECK(::recv(existing.native_handle(), &byte, 1, 0) < 0);
   CHECK(errno == EAGAIN);
   CHECK(linked.Get("/a").has_value());
   CHECK(FetchHttp(linked.control_, { "GET", "/link", {}, "" })
@@ -153,8 +154,9 @@
           .body_.find("\"silent_connections\":1") != std::string::npos);
 }
 
-// Guards against datagrams that get lost or can't be answered through the link.
-TEST_CASE("datagrams go both ways and are lost in a cut", "[link]")
+// Guards against datagrams that are lost or can't be answered through the link, and against a cut
+// that lets them through.
+TEST_CASE("datagrams pass in both directions and are lost during a cut", "[link]")
 {
   asio::io_context context;
   using Udp = asio::ip::udp;
@@ -185,10 +187,10 @@
 
   REQUIRE(FetchHttp(control, { "POST", "/link", {}, R"({"cut":true})" }).has_value());
   sender.send_to(asio::buffer("lost", 4), linkEnd);
-  const auto end = Clock::now() + seconds(5);
+  const auto giveUpAt = Clock::now() + seconds(5);
   std::string report;
   while (report.find("\"lost_datagrams\":1") == std::string::npos) {
-    REQUIRE(Clock::now() < end);
+    REQUIRE(Clock::now() < giveUpAt);
     report = FetchHttp(control, { "GET", "/link", {}, "" }).assume_value().body_;
   }
   asio::post(linkContext, [&] {
--- a/tests/standins/TargetTest.cpp
+++ b/tests/standins/TargetTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the stand-in target over real sockets, in process.
+// Tests of the stand-in target over real sockets, in the test process.
 #include "standins/lib/FleetHttp.h"
 #include "standins/lib/TargetBody.h"
 #include "standins/lib/TargetServer.h"
@@ -15,7 +15,7 @@
 
 namespace {
 
-// A target that runs on a thread of its own until the end of the test.
+// A target that runs on its own thread until the end of the test.
 class RunningTarget
 {
 public:
@@ -34,16 +34,16 @@
     thread_.join();
   }
 
-  FetchResponse Fetch(FetchRequest aQuery) const
+  FetchResponse Fetch(FetchRequest aRequest) const
   {
-    const auto reply = FetchHttp(address_, aQuery);
+    const auto reply = FetchHttp(address_, aRequest);
     REQUIRE(reply.has_value());
     return reply.assume_value();
   }
 
   FetchResponse Get(const std::string& aTarget) const { return Fetch({ "GET", aTarget, {}, "" }); }
 
-  void Fault(const std::string& aJson) const
+  void SetFaults(const std::string& aJson) const
   {
     REQUIRE(Fetch({ "POST", "/faults", {}, aJson }).status_ == 200);
   }
@@ -53,12 +53,12 @@
     return nlohmann::json::parse(Get("/load").body_).at("in_use").get<std::uint32_t>();
   }
 
-  // Waits for a number of slots in use; fails the test after 5 s.
+  // Waits until aCount slots are in use; fails the test after 5 s.
   void AwaitInUse(std::uint32_t aCount) const
   {
-    const auto end = Clock::now() + seconds(5);
+    const auto giveUpAt = Clock::now() + seconds(5);
     while (InUse() != aCount) {
-      REQUIRE(Clock::now() < end);
+      REQUIRE(Clock::now() < giveUpAt);
       std::this_thread::yield();
     }
   }
@@ -76,7 +76,7 @@
   std::thread thread_;
 };
 
-TargetSettings Quick()
+TargetSettings FastTargetSettings()
 {
   TargetSettings settings;
   settings.serviceTime_ = milliseconds(1);
@@ -85,8 +85,8 @@
 
 } // namespace
 
-// Guards against answers that can't be told apart, which would hide mixed-up answers.
-TEST_CASE("answer bodies depend on path, body and length", "[target]")
+// Guards against equal bodies for different requests, which would hide that answers were swapped.
+TEST_CASE("answer bodies depend on request target, body and length", "[target]")
 {
   CHECK(TargetBody("/a?tag=1", "", 64) != TargetBody("/a?tag=2", "", 64));
   CHECK(TargetBody("/a", "x", 64) != TargetBody("/a", "y", 64));
@@ -98,10 +98,10 @@
   CHECK(WithQueryParameter(WithQueryParameter("/a", "b", "c"), "d", "e") == "/a?b=c&d=e");
 }
 
-// Guards against a log that lacks what the history checks need.
-TEST_CASE("target answers and logs a request", "[target]")
+// Guards against log entries without the fields that HistoryCheck needs.
+TEST_CASE("a target answers and logs a request", "[target]")
 {
-  RunningTarget target(Quick());
+  RunningTarget target(FastTargetSettings());
   const auto reply = target.Fetch({ "POST",
                                     "/stock?length=200&tag=7",
                                     { { "Quay-Request-Id", "id-1" },
@@ -124,17 +124,18 @@
   CHECK(ParseExecutions(WriteExecutions(log)).assume_value() == log);
 }
 
-// Guards against a target that runs more than its slots, or that keeps a slot after its caller
-// left.
-TEST_CASE("full slots refuse without starting and a closed connection frees its slot", "[target]")
+// Guards against a target that runs more requests than it has slots, or that holds a slot after the
+// caller closed the connection.
+TEST_CASE("a target without free slots refuses and a closed connection frees its slot", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.slots_ = 1;
   settings.serviceTime_ = seconds(60);
   RunningTarget target(settings);
-  FetchRequest slow{ "GET", "/slow", {}, "" };
-  slow.timeout_ = milliseconds(300);
-  auto first = std::async(std::launch::async, [&] { return FetchHttp(target.address_, slow); });
+  FetchRequest slowRequest{ "GET", "/slow", {}, "" };
+  slowRequest.timeout_ = milliseconds(300);
+  auto first =
+    std::async(std::launch::async, [&] { return FetchHttp(target.address_, slowRequest); });
   target.AwaitInUse(1);
   const auto refused = target.Get("/other");
   CHECK(refused.status_ == 503);
@@ -148,12 +149,13 @@
   CHECK_FALSE(log[1].Started());
 }
 
-// Guards against a queue that runs requests out of turn, after their deadline or without a limit.
+// Guards against a queue that starts requests before a slot is free or after their deadline, or
+// that exceeds its max length.
 TEST_CASE("requests wait for a slot in a bounded queue", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.slots_ = 1;
-  settings.queue_ = 2;
+  settings.maxQueueLength_ = 2;
   settings.serviceTime_ = milliseconds(150);
   RunningTarget target(settings);
   const auto fetch = [&target](const std::string& aTarget) {
@@ -188,10 +190,10 @@
   CHECK(target.InUse() == 0);
 }
 
-// Guards against work that goes on after its deadline.
-TEST_CASE("deadlines end the work", "[target]")
+// Guards against requests that hold their slot or start after their deadline.
+TEST_CASE("requests end at their deadline and don't start after it", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = seconds(60);
   RunningTarget target(settings);
   CHECK(target.Fetch({ "GET", "/a", { { "Quay-Deadline-Ms", "30" } }, "" }).status_ == 504);
@@ -199,56 +201,57 @@
   CHECK(target.InUse() == 0);
 }
 
-// Guards against deeper calls that lose the call token or accept another request's answer.
-TEST_CASE("deeper calls carry the call token and their origin", "[target]")
+// Guards against deeper calls that lose the call token, the tag or the id of the calling execution,
+// and against failed deeper calls that are answered as success.
+TEST_CASE("deeper calls carry the call token, the tag and the calling execution", "[target]")
 {
   for (const bool parallel : { false, true }) {
-    RunningTarget deep(Quick());
-    TargetSettings settings = Quick();
+    RunningTarget deep(FastTargetSettings());
+    TargetSettings settings = FastTargetSettings();
     settings.outbound_ = deep.address_;
     settings.deeperPaths_ = { "/deep/a?length=32", "/deep/b" };
-    settings.parallel_ = parallel;
+    settings.parallelDeeperCalls_ = parallel;
     RunningTarget target(settings);
     const auto reply = target.Fetch({ "GET", "/top?tag=9", { { "Quay-Call", "token" } }, "" });
     CHECK(reply.status_ == 200);
-    const auto own = target.Executions();
+    const auto targetLog = target.Executions();
     const auto log = deep.Executions();
     REQUIRE(log.size() == 2);
     CHECK(QueryValue(log[0].path_, "tag") == "9");
-    CHECK(QueryValue(log[0].path_, "from") == own.at(0).id_);
+    CHECK(QueryValue(log[0].path_, "from") == targetLog.at(0).id_);
     CHECK(log[0].hasCallHeader_);
-    deep.Fault(R"({"refuse":1})");
+    deep.SetFaults(R"({"refuse":1})");
     CHECK(target.Get("/top").status_ == 502);
     CHECK(target.Executions().back().executionStatus_ == ExecutionStatus::kDeeperCallFailed);
   }
 }
 
-// Guards against faults that change nothing: each experiment relies on them.
-TEST_CASE("faults are in force at once and end at once", "[target]")
+// Guards against faults without effect, which would make load experiments test nothing.
+TEST_CASE("faults start and end when they are set", "[target]")
 {
-  RunningTarget target(Quick());
-  target.Fault(R"({"drop_answers":1})");
+  RunningTarget target(FastTargetSettings());
+  target.SetFaults(R"({"drop_answers":1})");
   const auto cut = FetchHttp(target.address_, { "GET", "/a?length=1000", {}, "" });
   REQUIRE_FALSE(cut.has_value());
   CHECK(cut.assume_error().code_ == ErrorCode::kTruncatedAnswer);
   CHECK(target.Get("/a").status_ == 200);
 
-  target.Fault(R"({"freeze":true})");
-  FetchRequest brief{ "GET", "/a", {}, "" };
-  brief.timeout_ = milliseconds(100);
-  const auto frozen = FetchHttp(target.address_, brief);
+  target.SetFaults(R"({"freeze":true})");
+  FetchRequest shortRequest{ "GET", "/a", {}, "" };
+  shortRequest.timeout_ = milliseconds(100);
+  const auto frozen = FetchHttp(target.address_, shortRequest);
   REQUIRE_FALSE(frozen.has_value());
   CHECK(frozen.assume_error().code_ == ErrorCode::kDeadlineExceeded);
-  target.Fault(R"({"freeze":false})");
+  target.SetFaults(R"({"freeze":false})");
   CHECK(target.Get("/a").status_ == 200);
 
-  target.Fault(R"({"false_slots":999,"false_in_use":0,"state":"cold"})");
+  target.SetFaults(R"({"false_slots":999,"false_in_use":0,"state":"cold"})");
   CHECK(nlohmann::json::parse(target.Get("/load").body_).at("slots") == 999);
   CHECK(nlohmann::json::parse(target.Get("/health").body_).at("state") == "cold");
-  target.Fault(R"({"false_slots":null,"state":""})");
+  target.SetFaults(R"({"false_slots":null,"state":""})");
   CHECK(nlohmann::json::parse(target.Get("/load").body_).at("slots") == 50);
 
-  target.Fault(R"({"slow_factor":100})");
+  target.SetFaults(R"({"slow_factor":100})");
   const auto before = Clock::now();
   CHECK(target.Get("/a").status_ == 200);
   CHECK(Clock::now() - before >= milliseconds(100));
@@ -256,10 +259,10 @@
   CHECK(target.Fetch({ "POST", "/faults", {}, R"({"slow_factor":0})" }).status_ == 400);
 }
 
-// Guards against a draining target that takes new work or cuts running work.
-TEST_CASE("drain refuses new work and finishes the old", "[target]")
+// Guards against a draining target that accepts new requests or aborts current ones.
+TEST_CASE("a draining target refuses new requests and finishes current ones", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = milliseconds(200);
   RunningTarget target(settings);
   auto first = std::async(std::launch::async, [&] {
@@ -274,40 +277,40 @@
   CHECK(first.get().assume_value().status_ == 200);
 }
 
-// Guards against a report without lag, which would make stale load look fresh in experiments.
-TEST_CASE("load reports lag", "[target]")
+// Guards against a report lag without effect: experiments with stale load would get fresh load.
+TEST_CASE("the reported load is as old as the report lag", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = milliseconds(400);
   settings.reportLag_ = seconds(60);
   RunningTarget target(settings);
   auto first = std::async(std::launch::async, [&] {
     return FetchHttp(target.address_, { "GET", "/a", {}, "" });
   });
-  const auto end = Clock::now() + seconds(5);
+  const auto giveUpAt = Clock::now() + seconds(5);
   while (target.Executions().empty()) {
-    REQUIRE(Clock::now() < end);
+    REQUIRE(Clock::now() < giveUpAt);
   }
   CHECK(target.InUse() == 0);
   CHECK(first.get().has_value());
 }
 
-// Guards against more open connections than the bound.
-TEST_CASE("connections beyond the bound are closed", "[target]")
+// Guards against a connection limit without effect, and against one that blocks the control paths.
+TEST_CASE("connections over the limit may use the control paths only", "[target]")
 {
-  TargetSettings settings = Quick();
-  settings.connections_ = 0;
+  TargetSettings settings = FastTargetSettings();
+  settings.maxConnections_ = 0;
   RunningTarget target(settings);
   CHECK_FALSE(FetchHttp(target.address_, { "GET", "/a", {}, "" }).has_value());
   CHECK(target.Get("/health").status_ == 200);
 }
 
-// Guards against a cold start that is as fast as a warm target.
-TEST_CASE("a cold target is slower and says so", "[target]")
+// Guards against a cold target that is as fast as a warm one or reports another state.
+TEST_CASE("a cold target is slower and reports the state cold", "[target]")
 {
-  TargetSettings settings = Quick();
+  TargetSettings settings = FastTargetSettings();
   settings.serviceTime_ = milliseconds(20);
-  settings.coldFor_ = seconds(60);
+  settings.coldPeriod_ = seconds(60);
   settings.coldFactor_ = 5;
   RunningTarget target(settings);
   const auto before = Clock::now();
