--- a/tests/failure/ChainTest.cpp
+++ b/tests/failure/ChainTest.cpp
@@ -1,4 +1,5 @@
-// Chains of calls: attempts within the budget, the naive baseline, overload.
+// Tests of call chains: the retry budget over all levels, compared with a naive baseline, and load
+// shedding.
 #include "tests/failure/PathFleet.h"
 
 #include <catch2/catch.hpp>
@@ -10,8 +11,9 @@
 
 namespace {
 
-// A chain of services s0 to s3, each with two hosts. Each target calls the next service with the
-// context it was given and passes on the result; the targets of s3 refuse without starting.
+// A chain of services s0 to s3 with two hosts each. Each target calls the next service with the
+// call context that it received and passes on the result. The targets of s3 refuse every request as
+// not run.
 class Chain
 {
 public:
@@ -21,8 +23,8 @@
   {
     for (int i = 0; i < 2 * kDepth; ++i) {
       const int level = i / 2;
-      targets_.push_back(std::make_unique<ScriptTarget>(
-        [this, i, level](const SeenRequest& aRequest) { return Serve(i, level, aRequest); }));
+      targets_.push_back(std::make_unique<ScriptedTarget>(
+        [this, i, level](const ReceivedRequest& aRequest) { return Serve(i, level, aRequest); }));
       NodeSettings settings =
         TestSettings("h" + std::to_string(i), "s" + std::to_string(level), targets_.back()->Port());
       settings.naive_ = aNaive;
@@ -45,74 +47,74 @@
     Publish(all, all, config);
   }
 
-  SeenAnswer Ask()
+  ReceivedResponse SendRequest()
   {
     Caller caller(nodes_[0]->node_->Ports().callers_);
-    return caller.Ask("GET", "/s0");
+    return caller.SendRequest("GET", "/s0");
   }
-  std::size_t Attempts()
+  std::size_t AttemptCount()
   {
     std::size_t count = 0;
     for (const auto& target : targets_) {
-      count += target->Seen().size();
+      count += target->ReceivedRequests().size();
     }
     return count;
   }
 
 private:
-  std::string Serve(int aHost, int aLevel, const SeenRequest& aRequest)
+  std::string Serve(int aHost, int aLevel, const ReceivedRequest& aRequest)
   {
     if (aLevel == kDepth - 1) {
-      return HttpAnswer(503, "", "Quay-Outcome: not-run\r\n");
+      return MakeHttpResponse(503, "", "Quay-Outcome: not-run\r\n");
     }
-    Caller deeper(outbound_.at(static_cast<std::size_t>(aHost)));
-    const std::string token = HeadValue(aRequest.head_, "Quay-Call");
+    Caller next(outbound_.at(static_cast<std::size_t>(aHost)));
+    const std::string token = HeaderValue(aRequest.head_, "Quay-Call");
     const auto answer =
-      deeper.Ask("GET", "/s" + std::to_string(aLevel + 1), "Quay-Call: " + token + "\r\n");
-    // A target that can't do its work refuses it, which makes its callers try again.
-    return answer.status_ == 200 ? HttpAnswer(200, answer.body_)
-                                 : HttpAnswer(503, "", "Quay-Outcome: not-run\r\n");
+      next.SendRequest("GET", "/s" + std::to_string(aLevel + 1), "Quay-Call: " + token + "\r\n");
+    // Reports a failed call as not run, so that the callers retry at every level.
+    return answer.status_ == 200 ? MakeHttpResponse(200, answer.body_)
+                                 : MakeHttpResponse(503, "", "Quay-Outcome: not-run\r\n");
   }
 
   std::array<std::atomic<std::uint16_t>, 2 * kDepth> outbound_{};
-  std::vector<std::unique_ptr<ScriptTarget>> targets_;
+  std::vector<std::unique_ptr<ScriptedTarget>> targets_;
   std::vector<std::unique_ptr<RunningNode>> nodes_;
 };
 
 } // namespace
 
-// Guards against retries that multiply along a chain. The baseline shows that the chain does make
-// them multiply when nothing bounds them.
+// Guards against retries that multiply along a chain. The naive baseline shows that they do
+// multiply in this chain without a retry budget.
 TEST_CASE("attempts for one request stay within its budget over the whole chain", "[chain]")
 {
   Chain bounded(false);
-  const auto answer = bounded.Ask();
+  const auto answer = bounded.SendRequest();
   CHECK(answer.status_ == 503);
-  // First attempts at each of the 4 levels, and 3 retries at any level, each of which can lead to
-  // new first attempts below it.
-  const std::size_t attempts = bounded.Attempts();
+  // One first attempt at each of the 4 levels, and 3 retries, each of which can cause a new first
+  // attempt at every level below it.
+  const std::size_t attempts = bounded.AttemptCount();
   CHECK(attempts >= 4);
   CHECK(attempts <= 4 + 3 * 4);
 
   Chain naive(true);
-  CHECK(naive.Ask().status_ == 503);
-  CHECK(naive.Attempts() > 100);
+  CHECK(naive.SendRequest().status_ == 503);
+  CHECK(naive.AttemptCount() > 100);
 }
 
-// Guards against a guard that admits more than its target's slots, refuses with another status, or
-// claims "not run" for a request that ran.
-TEST_CASE("overload is shed as 'not run' and the target is never over its slots", "[chain]")
+// Guards against a host that admits more calls than its target has slots, refuses with an
+// undocumented status, or reports "not-run" for a request that ran.
+TEST_CASE("overload is shed as 'not run' and the target never exceeds its slots", "[chain]")
 {
   std::atomic<int> running{ 0 };
-  std::atomic<int> most{ 0 };
-  ScriptTarget target([&](const SeenRequest&) {
+  std::atomic<int> maxRunning{ 0 };
+  ScriptedTarget target([&](const ReceivedRequest&) {
     const int now = ++running;
-    int seen = most;
-    while (now > seen && !most.compare_exchange_weak(seen, now)) {
+    int seen = maxRunning;
+    while (now > seen && !maxRunning.compare_exchange_weak(seen, now)) {
     }
     std::this_thread::sleep_for(milliseconds(40));
     --running;
-    return HttpAnswer(200, "ok");
+    return MakeHttpResponse(200, "ok");
   });
   RunningNode first(TestSettings("first", "front", 1));
   RunningNode second(TestSettings("second", "bell", target.Port()));
@@ -125,8 +127,8 @@
     callers.emplace_back([&] {
       Caller caller(first.node_->Ports().callers_);
       for (int k = 0; k < 10; ++k) {
-        const auto answer =
-          caller.Ask("GET", "/bells", "Quay-Key: " + kTestKey + "\r\nQuay-Deadline-Ms: 100\r\n");
+        const auto answer = caller.SendRequest(
+          "GET", "/bells", "Quay-Key: " + kTestKey + "\r\nQuay-Deadline-Ms: 100\r\n");
         if (answer.status_ == 200 && answer.Outcome() == "ran") {
           ++ran;
         } else if (answer.status_ == 503 && answer.Outcome() == "not-run") {
@@ -141,10 +143,10 @@
     caller.join();
   }
   INFO("ran " << ran << " shed " << shed << " other " << other);
-  CHECK(most <= 50);
+  CHECK(maxRunning <= 50);
   CHECK(ran > 100);
   CHECK(shed > 0);
-  // The deadline can pass while a request runs; then its outcome is unknown.
+  // If the deadline passes while a request runs, its outcome is unknown.
   CHECK(other < 200);
-  CHECK(static_cast<int>(target.Seen().size()) <= ran + other);
+  CHECK(static_cast<int>(target.ReceivedRequests().size()) <= ran + other);
 }
--- a/tests/failure/PathFleet.h
+++ b/tests/failure/PathFleet.h
@@ -1,4 +1,4 @@
-// In-process nodes with scripted targets and a static control side, for tests of the call path.
+// In-process nodes with scripted targets and a static control plane, for tests of the call path.
 #pragma once
 
 #include "peridotquay/process/Node.h"
@@ -18,15 +18,15 @@
 
 namespace peridotquay::testing {
 
-/// One request as the target saw it.
-struct SeenRequest
+/// One request as the target received it.
+struct ReceivedRequest
 {
   std::string line_; ///< Method and path.
   std::string head_;
   std::string body_;
 };
 
-inline std::string HeadValue(const std::string& aHead, const std::string& aName)
+inline std::string HeaderValue(const std::string& aHead, const std::string& aName)
 {
   const auto start = aHead.find("\r\n" + aName + ": ");
   if (start == std::string::npos) {
@@ -36,44 +36,45 @@
   return aHead.substr(value, aHead.find("\r\n", value) - value);
 }
 
-inline std::string HttpAnswer(int aStatus,
-                              const std::string& aBody,
-                              const std::string& aHeaders = {})
+inline std::string MakeHttpResponse(int aStatus,
+                                    const std::string& aBody,
+                                    const std::string& aHeaders = {})
 {
   return "HTTP/1.1 " + std::to_string(aStatus) +
          " X\r\nContent-Length: " + std::to_string(aBody.size()) + "\r\n" + aHeaders + "\r\n" +
          aBody;
 }
 
-/// A target that answers each request with the bytes that a function returns; empty bytes close the
-/// connection.
-class ScriptTarget
+/// A target that answers each request with the bytes that its handler returns. An empty string
+/// closes the connection. Health and load queries are answered without the handler and aren't
+/// recorded.
+class ScriptedTarget
 {
 public:
-  using Script = std::function<std::string(const SeenRequest&)>;
+  using Handler = std::function<std::string(const ReceivedRequest&)>;
 
-  explicit ScriptTarget(Script aScript)
-    : script_(std::move(aScript))
-    , accepting_([this] { Accept(); })
+  explicit ScriptedTarget(Handler aHandler)
+    : handler_(std::move(aHandler))
+    , acceptThread_([this] { Accept(); })
   {
   }
-  ScriptTarget(const ScriptTarget&) = delete;
-  ScriptTarget& operator=(const ScriptTarget&) = delete;
-  ~ScriptTarget()
+  ScriptedTarget(const ScriptedTarget&) = delete;
+  ScriptedTarget& operator=(const ScriptedTarget&) = delete;
+  ~ScriptedTarget()
   {
     stopping_ = true;
     listener_.Close();
-    accepting_.join();
+    acceptThread_.join();
     for (auto& thread : threads_) {
       thread.join();
     }
   }
 
   std::uint16_t Port() const { return listener_.Port(); }
-  std::vector<SeenRequest> Seen()
+  std::vector<ReceivedRequest> ReceivedRequests()
   {
     const std::lock_guard lock(mutex_);
-    return seen_;
+    return requests_;
   }
 
 private:
@@ -91,49 +92,50 @@
   void Serve(RawSocket& aSocket)
   {
     while (!stopping_) {
-      SeenRequest request;
+      ReceivedRequest request;
       request.head_ = aSocket.ReadUntil("\r\n\r\n");
       if (request.head_.find("\r\n\r\n") == std::string::npos) {
         return;
       }
       request.line_ = request.head_.substr(0, request.head_.find(" HTTP/1.1"));
-      const std::string length = HeadValue(request.head_, "Content-Length");
+      const std::string length = HeaderValue(request.head_, "Content-Length");
       request.body_ = aSocket.ReadBytes(length.empty() ? 0 : std::stoul(length));
       if (request.line_ == "GET /health") {
-        aSocket.Write(HttpAnswer(200, R"({"state":"ready"})"));
+        aSocket.Write(MakeHttpResponse(200, R"({"state":"ready"})"));
         continue;
       }
       if (request.line_ == "GET /load") {
-        aSocket.Write(HttpAnswer(200, R"({"slots":50,"in_use":0})"));
+        aSocket.Write(MakeHttpResponse(200, R"({"slots":50,"in_use":0})"));
         continue;
       }
       {
         const std::lock_guard lock(mutex_);
-        seen_.push_back(request);
+        requests_.push_back(request);
       }
-      const std::string answer = script_(request);
-      if (answer.empty()) {
+      const std::string response = handler_(request);
+      if (response.empty()) {
         return;
       }
-      aSocket.Write(answer);
+      aSocket.Write(response);
     }
   }
 
-  Script script_;
+  Handler handler_;
   RawListener listener_;
   std::atomic<bool> stopping_{ false };
   std::mutex mutex_;
-  std::vector<SeenRequest> seen_;
+  std::vector<ReceivedRequest> requests_;
   std::vector<std::thread> threads_;
-  std::thread accepting_;
+  std::thread acceptThread_;
 };
 
-/// Control side that grants every request for tokens and publishes what the test gives it.
-class StaticControl final : public ControlPlane
+/// Control plane that grants every request for tokens unless grantsTokens_ is false. The test
+/// publishes configuration, targets and freshness through callbacks_.
+class StaticControlPlane final : public ControlPlane
 {
 public:
-  explicit StaticControl(DataPlaneCallbacks aPort)
-    : port_(std::move(aPort))
+  explicit StaticControlPlane(DataPlaneCallbacks aCallbacks)
+    : callbacks_(std::move(aCallbacks))
   {
   }
   void OnPeerMessage(const Hello&, const Address&, PeerMessage) override {}
@@ -143,42 +145,43 @@
     if (aRequest.wanted_ <= 0) {
       return;
     }
-    const double tokens = tokens_ ? std::min(aRequest.wanted_, 1000.0) : 0;
-    port_.deliverGrant_({ aRequest.nonce_, aRequest.clientAccount_, ++grant_, tokens, 1000, 100 },
-                        Clock::now());
+    const double tokens = grantsTokens_ ? std::min(aRequest.wanted_, 1000.0) : 0;
+    callbacks_.deliverGrant_(
+      { aRequest.nonce_, aRequest.clientAccount_, ++lastGrantId_, tokens, 1000, 100 },
+      Clock::now());
   }
   void AnnounceTarget(TargetState aState, std::uint32_t, double) override { state_ = aState; }
   void AnnounceLeft(const HostId& aSuccessor) override
   {
     successor_ = aSuccessor.value_;
-    left_ = true;
+    hasAnnouncedLeft_ = true;
   }
   ControlStatus Status() const override { return {}; }
 
-  DataPlaneCallbacks port_;
-  std::atomic<bool> tokens_{ true };
-  std::atomic<bool> left_{ false };
+  DataPlaneCallbacks callbacks_;
+  std::atomic<bool> grantsTokens_{ true };
+  std::atomic<bool> hasAnnouncedLeft_{ false };
   std::atomic<TargetState> state_{ TargetState::kCold };
-  std::string successor_; ///< Read it after left_.
+  std::string successor_; ///< Valid once hasAnnouncedLeft_ is set.
 
 private:
-  std::atomic<std::uint64_t> grant_{ 0 };
+  std::atomic<std::uint64_t> lastGrantId_{ 0 };
 };
 
-/// One node on its own thread.
+/// A node that runs on its own thread.
 struct RunningNode
 {
   NodeSettings settings_;
-  StaticControl* control_ = nullptr;
+  StaticControlPlane* control_ = nullptr;
   std::unique_ptr<Node> node_;
   std::thread thread_;
 
   explicit RunningNode(NodeSettings aSettings)
     : settings_(std::move(aSettings))
   {
-    auto node =
-      Node::Start(settings_, [this](const NodeSettings&, Incarnation, DataPlaneCallbacks aPort) {
-        auto control = std::make_unique<StaticControl>(std::move(aPort));
+    auto node = Node::Start(
+      settings_, [this](const NodeSettings&, Incarnation, DataPlaneCallbacks aCallbacks) {
+        auto control = std::make_unique<StaticControlPlane>(std::move(aCallbacks));
         control_ = control.get();
         return control;
       });
@@ -188,9 +191,9 @@
   }
   RunningNode(const RunningNode&) = delete;
   RunningNode& operator=(const RunningNode&) = delete;
-  ~RunningNode() { End(); }
-  /// Ends the node without a drain.
-  void End()
+  ~RunningNode() { StopWithoutDrain(); }
+  /// Stops the node without a drain and releases it.
+  void StopWithoutDrain()
   {
     if (node_) {
       node_->Stop();
@@ -198,6 +201,7 @@
       node_.reset();
     }
   }
+  /// Returns the target that other nodes see for this node.
   Target AsTarget() const
   {
     Target target;
@@ -214,8 +218,8 @@
 /// The key of client account "acc" in the test configuration.
 inline const std::string kTestKey = "secret-key-of-acc";
 
-/// Routes /bells (repeatable), /deposits (at most once), /open, /deep, /private (of another client
-/// account), all keyed but /open.
+/// Routes /bells (repeatable), /deposits (not repeatable), /deep (service "archive"), /private (of
+/// another client account) and /open. All routes except /open require a key.
 inline std::shared_ptr<Config> TestConfig()
 {
   auto config = std::make_shared<Config>();
@@ -240,20 +244,20 @@
 
 inline NodeSettings TestSettings(const std::string& aHost,
                                  const std::string& aService,
-                                 std::uint16_t aTarget)
+                                 std::uint16_t aTargetPort)
 {
   NodeSettings settings;
   settings.host_ = { aHost };
   settings.dataCentre_ = { "dc1" };
   settings.region_ = { "r1" };
   settings.service_ = { aService };
-  settings.target_ = { "127.0.0.1", aTarget };
+  settings.target_ = { "127.0.0.1", aTargetPort };
   settings.randomSeed_ = 42;
   settings.drainTimeout_ = seconds(3);
   return settings;
 }
 
-/// Publishes a configuration, the given nodes as targets, and freshness for an hour to all nodes.
+/// Publishes the configuration, aTargets as targets and a freshness of one hour to aNodes.
 inline void Publish(const std::vector<RunningNode*>& aNodes,
                     const std::vector<RunningNode*>& aTargets,
                     std::shared_ptr<const Config> aConfig = TestConfig())
@@ -266,22 +270,22 @@
     view->targets_[node->settings_.service_].push_back(node->AsTarget());
   }
   for (const auto* node : aNodes) {
-    node->control_->port_.publishConfig_(aConfig);
-    node->control_->port_.publishTargets_(view);
-    node->control_->port_.publishFreshness_(Clock::now() + std::chrono::hours(1));
+    node->control_->callbacks_.publishConfig_(aConfig);
+    node->control_->callbacks_.publishTargets_(view);
+    node->control_->callbacks_.publishFreshness_(Clock::now() + std::chrono::hours(1));
   }
 }
 
-/// Answer of a node as the caller sees it.
-struct SeenAnswer
+/// Response of a node as the caller received it.
+struct ReceivedResponse
 {
   int status_ = 0;
   std::string head_;
   std::string body_;
-  std::string Outcome() const { return HeadValue(head_, "Quay-Outcome"); }
+  std::string Outcome() const { return HeaderValue(head_, "Quay-Outcome"); }
 };
 
-/// A keep-alive caller.
+/// A client with one keep-alive connection.
 class Caller
 {
 public:
@@ -289,26 +293,26 @@
     : socket_(aPort)
   {
   }
-  SeenAnswer Ask(const std::string& aMethod,
-                 const std::string& aPath,
-                 const std::string& aHeaders = "Quay-Key: " + kTestKey + "\r\n",
-                 const std::string& aBody = {})
+  ReceivedResponse SendRequest(const std::string& aMethod,
+                               const std::string& aPath,
+                               const std::string& aHeaders = "Quay-Key: " + kTestKey + "\r\n",
+                               const std::string& aBody = {})
   {
     socket_.Write(aMethod + " " + aPath + " HTTP/1.1\r\nHost: h\r\n" + aHeaders +
                   "Content-Length: " + std::to_string(aBody.size()) + "\r\n\r\n" + aBody);
-    return Read();
+    return ReadResponse();
   }
-  SeenAnswer Read()
+  ReceivedResponse ReadResponse()
   {
-    SeenAnswer answer;
-    answer.head_ = socket_.ReadUntil("\r\n\r\n");
-    if (answer.head_.size() < 12) {
-      return answer;
+    ReceivedResponse response;
+    response.head_ = socket_.ReadUntil("\r\n\r\n");
+    if (response.head_.size() < 12) {
+      return response;
     }
-    answer.status_ = std::stoi(answer.head_.substr(9, 3));
-    const std::string length = HeadValue(answer.head_, "Content-Length");
-    answer.body_ = socket_.ReadBytes(length.empty() ? 0 : std::stoul(length));
-    return answer;
+    response.status_ = std::stoi(response.head_.substr(9, 3));
+    const std::string length = HeaderValue(response.head_, "Content-Length");
+    response.body_ = socket_.ReadBytes(length.empty() ? 0 : std::stoul(length));
+    return response;
   }
 
 private:
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -1,5 +1,5 @@
-// Tests of the version stream against the platform stand-in: races of operators, lost answers,
-// outages, ceilings.
+// Tests of configuration storage and operator commands against the platform stand-in: concurrent
+// operators, lost responses, outages, write limits.
 #include "peridotquay/process/Platform.h"
 
 #include "peridotquay/process/BlockingHttp.h"
@@ -27,17 +27,17 @@
 
 namespace {
 
-/// A stand-in with a client, and settings that keep the tests short.
-struct Bench
+/// A platform stand-in with a client, and short timeouts that keep the tests fast.
+struct PlatformFixture
 {
   std::unique_ptr<PlatformServer> server_ = Value(PlatformServer::Start({}));
   std::unique_ptr<Platform> client_ = NewClient();
   CommitSettings commit_{ seconds(3), milliseconds(20), milliseconds(300) };
 
-  std::unique_ptr<Platform> NewClient(std::vector<Address> aOthers = {}) const
+  std::unique_ptr<Platform> NewClient(std::vector<Address> aFirstAddresses = {}) const
   {
     PlatformClientSettings settings;
-    settings.addresses_ = std::move(aOthers);
+    settings.addresses_ = std::move(aFirstAddresses);
     settings.addresses_.push_back(server_->BoundAddress());
     settings.requestTimeout_ = milliseconds(400);
     return MakePlatformClient(settings);
@@ -51,7 +51,7 @@
   }
 };
 
-/// A change that puts one client account.
+/// Returns a change that creates or replaces one client account.
 Change PutAccount(const std::string& aId, const std::string& aOperation, int aRate = 1)
 {
   Change change;
@@ -61,7 +61,7 @@
   return change;
 }
 
-/// A port on loopback that nothing listens on.
+/// Returns a loopback address on which nothing listens.
 Address ClosedPort()
 {
   boost::asio::io_context context;
@@ -75,16 +75,17 @@
   return std::string(PQ_SOURCE_DIR) + "/examples/" + aName;
 }
 
-WriteOptions Options(const Bench& aBench, std::optional<Version> aAgainst = std::nullopt)
+WriteOptions MakeWriteOptions(const PlatformFixture& aFixture,
+                              std::optional<Version> aExpectedVersion = std::nullopt)
 {
   WriteOptions options;
   options.operator_ = "test";
-  options.expectedVersion_ = aAgainst;
-  options.commit_ = aBench.commit_;
+  options.expectedVersion_ = aExpectedVersion;
+  options.commit_ = aFixture.commit_;
   return options;
 }
 
-/// Runs a program and returns its output and exit code.
+/// Runs a shell command and returns its exit code and its output.
 std::pair<int, std::string> RunProgram(const std::string& aCommand)
 {
   std::string output;
@@ -100,34 +101,35 @@
 
 } // namespace
 
-// Guards against a table that applies part of a transaction or ignores a condition.
+// Guards against a stand-in that applies only a part of a transaction or ignores a condition.
 TEST_CASE("transactions take effect as a whole or not at all", "[platform]")
 {
-  Bench bench;
+  PlatformFixture fixture;
   const auto first =
-    Value(bench.client_->Transact({ "a", { { "x", 0 } }, { { "x", "1" }, { "y", "2" } } }));
+    Value(fixture.client_->Transact({ "a", { { "x", 0 } }, { { "x", "1" }, { "y", "2" } } }));
   const auto conflict =
-    Failure(bench.client_->Transact({ "b", { { "y", first }, { "x", 0 } }, { { "y", "3" } } }));
+    Failure(fixture.client_->Transact({ "b", { { "y", first }, { "x", 0 } }, { { "y", "3" } } }));
   CHECK(conflict.code_ == ErrorCode::kPlatformConflict);
   CHECK(conflict.subject_ == "x");
   CHECK(conflict.allowed_ == std::to_string(first));
-  CHECK(Value(bench.client_->ReadRow("y"))->value_ == "2");
-  // A repeat of an operation that took effect is answered alike and does nothing.
-  CHECK(Value(bench.client_->Transact({ "a", { { "x", 0 } }, { { "x", "9" } } })) == first);
-  CHECK(Value(bench.client_->ReadRow("x"))->value_ == "1");
-  Value(bench.client_->Transact({ "c", { { "y", first } }, { { "y", std::nullopt } } }));
-  CHECK_FALSE(Value(bench.client_->ReadRow("y")).has_value());
-  CHECK(Value(bench.client_->ReadRange("", "", 10)).size() == 1);
-  CHECK(Value(bench.client_->ReadRange("x", "x", 10)).empty());
-  CHECK_FALSE(Value(bench.client_->GetObject("a/b c")).has_value());
-  REQUIRE(bench.client_->PutObject("a/b c", "body").has_value());
-  CHECK(Value(bench.client_->GetObject("a/b c")) == "body");
+  CHECK(Value(fixture.client_->ReadRow("y"))->value_ == "2");
+  // Repeating an operation id that took effect returns the first result and changes nothing.
+  CHECK(Value(fixture.client_->Transact({ "a", { { "x", 0 } }, { { "x", "9" } } })) == first);
+  CHECK(Value(fixture.client_->ReadRow("x"))->value_ == "1");
+  Value(fixture.client_->Transact({ "c", { { "y", first } }, { { "y", std::nullopt } } }));
+  CHECK_FALSE(Value(fixture.client_->ReadRow("y")).has_value());
+  CHECK(Value(fixture.client_->ReadRange("", "", 10)).size() == 1);
+  CHECK(Value(fixture.client_->ReadRange("x", "x", 10)).empty());
+  CHECK_FALSE(Value(fixture.client_->GetObject("a/b c")).has_value());
+  REQUIRE(fixture.client_->PutObject("a/b c", "body").has_value());
+  CHECK(Value(fixture.client_->GetObject("a/b c")) == "body");
 }
 
-// Guards against a lost update: of operators who write at once, one wins and the others are told.
-TEST_CASE("in a race of operators each version has one winner", "[platform]")
+// Guards against lost updates: of operators who write concurrently, one succeeds and the others get
+// a version conflict.
+TEST_CASE("each version is written by exactly one of several concurrent operators", "[platform]")
 {
-  Bench bench;
+  PlatformFixture fixture;
   constexpr int kOperators = 8;
   constexpr int kRounds = 20;
   std::atomic<int> wins{ 0 };
@@ -135,14 +137,15 @@
   std::vector<std::thread> threads;
   for (int i = 0; i < kOperators; ++i) {
     threads.emplace_back([&, i] {
-      const auto client = bench.NewClient();
+      const auto client = fixture.NewClient();
       for (int round = 0; round < kRounds; ++round) {
         const auto base = LoadConfig(*client);
         const auto id = std::to_string(i) + "-" + std::to_string(round);
         const auto written =
           base.has_error()
             ? Result<Version>(base.assume_error())
-            : CommitChange(*client, base.assume_value(), PutAccount(id, "op-" + id), bench.commit_);
+            : CommitChange(
+                *client, base.assume_value(), PutAccount(id, "op-" + id), fixture.commit_);
         if (written.has_value()) {
           ++wins;
         } else if (written.assume_error().code_ != ErrorCode::kVersionConflict) {
@@ -154,120 +157,125 @@
   for (auto& thread : threads) {
     thread.join();
   }
-  const auto stored = Value(LoadConfig(*bench.client_));
+  const auto stored = Value(LoadConfig(*fixture.client_));
   CHECK(otherErrors == 0);
   CHECK(wins > 0);
   CHECK(stored.version_ == static_cast<Version>(wins));
   CHECK(stored.entities_.size() == static_cast<std::size_t>(wins));
 }
 
-// Guards against a change that is written twice, or reported as failed, when its answer is lost.
-TEST_CASE("lost answers are resolved by reading back", "[platform]")
+// Guards against a change that is written twice, or reported as failed, when its response is lost.
+TEST_CASE("the outcome of a lost response is resolved by reading the change back", "[platform]")
 {
-  Bench bench;
-  bench.SetFaults(R"({"lose_answers":0.5})");
+  PlatformFixture fixture;
+  fixture.SetFaults(R"({"lose_answers":0.5})");
   std::set<std::string> operations;
   for (int i = 0; i < 40; ++i) {
-    const auto base = Value(LoadConfig(*bench.client_));
+    const auto base = Value(LoadConfig(*fixture.client_));
     const auto operation = "op-" + std::to_string(i);
-    CHECK(
-      Value(CommitChange(*bench.client_, base, PutAccount("a", operation, i + 1), bench.commit_)) ==
-      base.version_ + 1);
+    CHECK(Value(CommitChange(
+            *fixture.client_, base, PutAccount("a", operation, i + 1), fixture.commit_)) ==
+          base.version_ + 1);
     operations.insert(operation);
   }
-  CHECK(bench.server_->Counts().lost_ > 5);
-  const auto history = Value(LoadHistory(*bench.client_, 0, 100));
+  CHECK(fixture.server_->Counts().lost_ > 5);
+  const auto history = Value(LoadHistory(*fixture.client_, 0, 100));
   REQUIRE(history.size() == 40);
   for (const auto& change : history) {
     CHECK(operations.erase(change.operationId_) == 1);
   }
 }
 
-// Guards against taking another operator's change for one's own after a lost answer.
-TEST_CASE("a lost answer behind another operator's change is a conflict", "[platform]")
+// Guards against a client that mistakes another operator's change for its own after a lost
+// response.
+TEST_CASE("a lost response is a conflict if another operator's change was written", "[platform]")
 {
-  Bench bench;
-  const auto base = Value(LoadConfig(*bench.client_));
-  Value(CommitChange(*bench.client_, base, PutAccount("a", "winner"), bench.commit_));
+  PlatformFixture fixture;
+  const auto base = Value(LoadConfig(*fixture.client_));
+  Value(CommitChange(*fixture.client_, base, PutAccount("a", "winner"), fixture.commit_));
   const auto checkLost = [&] {
     const auto error =
-      Failure(CommitChange(*bench.client_, base, PutAccount("b", "loser"), bench.commit_));
+      Failure(CommitChange(*fixture.client_, base, PutAccount("b", "loser"), fixture.commit_));
     CHECK(error.code_ == ErrorCode::kVersionConflict);
     CHECK(error.subject_ == "version 1");
-    const auto stored = Value(LoadConfig(*bench.client_));
+    const auto stored = Value(LoadConfig(*fixture.client_));
     CHECK(stored.version_ == 1);
     CHECK_FALSE(stored.entities_.contains("account/b"));
   };
   checkLost();
-  // The same without an answer: the change row shows another operation id.
-  bench.SetFaults(R"({"outage":"silent"})");
-  std::jthread repair([&bench] {
+  // Without any response, the operation id in the change row reveals the conflict.
+  fixture.SetFaults(R"({"outage":"silent"})");
+  std::jthread repair([&fixture] {
     std::this_thread::sleep_for(milliseconds(700));
-    bench.SetFaults("{}");
+    fixture.SetFaults("{}");
   });
   checkLost();
   repair.join();
 }
 
-// Guards against a transaction that arrives after its operator was told that it failed.
-TEST_CASE("a transaction without a trace is barred from taking effect later", "[platform]")
+// Guards against a delayed transaction that takes effect after its operator was told that it
+// failed.
+TEST_CASE("a transaction reported as failed can't take effect later", "[platform]")
 {
-  Bench bench;
-  const auto start = Value(LoadConfig(*bench.client_));
-  Value(CommitChange(*bench.client_, start, PutAccount("a", "first"), bench.commit_));
-  const auto base = Value(LoadConfig(*bench.client_));
-  // Requests get no answer for longer than the client waits, then the platform works again.
-  bench.SetFaults(R"({"outage":"silent"})");
-  std::jthread repair([&bench] {
+  PlatformFixture fixture;
+  const auto start = Value(LoadConfig(*fixture.client_));
+  Value(CommitChange(*fixture.client_, start, PutAccount("a", "first"), fixture.commit_));
+  const auto base = Value(LoadConfig(*fixture.client_));
+  // Requests get no response for longer than the client waits; then the platform works again.
+  fixture.SetFaults(R"({"outage":"silent"})");
+  std::jthread repair([&fixture] {
     std::this_thread::sleep_for(milliseconds(700));
-    bench.SetFaults("{}");
+    fixture.SetFaults("{}");
   });
   const auto error =
-    Failure(CommitChange(*bench.client_, base, PutAccount("b", "late"), bench.commit_));
+    Failure(CommitChange(*fixture.client_, base, PutAccount("b", "late"), fixture.commit_));
   repair.join();
   CHECK(error.code_ == ErrorCode::kPlatformUnavailable);
-  // The delayed transaction arrives now, as it was sent: its condition on the head fails.
-  const auto late = Failure(bench.client_->Transact(
+  // The delayed transaction arrives unchanged, and its condition on the head row fails.
+  const auto late = Failure(fixture.client_->Transact(
     { "late", { { "config/head", base.headRevision_ } }, { { "config/head", EncodeHead(2) } } }));
   CHECK(late.code_ == ErrorCode::kPlatformConflict);
-  // The version did not move, and an operator who loaded it before the bar can still write.
-  CHECK(Value(CommitChange(*bench.client_, base, PutAccount("c", "next"), bench.commit_)) == 2);
+  // The version is unchanged, and an operator who loaded it before can still write.
+  CHECK(Value(CommitChange(*fixture.client_, base, PutAccount("c", "next"), fixture.commit_)) == 2);
 }
 
-// Guards against "unavailable" when the write may have happened, and "unknown" when it can't have.
-TEST_CASE("outages are told apart by whether something may have been written", "[platform]")
+// Guards against "unavailable" for a write that may have happened, and "unknown" for one that can't
+// have happened.
+TEST_CASE("outage errors state whether a write may have happened", "[platform]")
 {
-  Bench bench;
-  const auto base = Value(LoadConfig(*bench.client_));
+  PlatformFixture fixture;
+  const auto base = Value(LoadConfig(*fixture.client_));
   const auto commit = [&](Platform& aClient) {
-    return Failure(CommitChange(aClient, base, PutAccount("a", "op"), bench.commit_)).code_;
+    return Failure(CommitChange(aClient, base, PutAccount("a", "op"), fixture.commit_)).code_;
   };
-  bench.SetFaults(R"({"outage":"refuse"})");
-  CHECK(commit(*bench.client_) == ErrorCode::kPlatformUnavailable);
-  PlatformClientSettings nobody;
-  nobody.addresses_ = { ClosedPort() };
-  CHECK(commit(*MakePlatformClient(nobody)) == ErrorCode::kPlatformUnavailable);
+  fixture.SetFaults(R"({"outage":"refuse"})");
+  CHECK(commit(*fixture.client_) == ErrorCode::kPlatformUnavailable);
+  PlatformClientSettings unreachable;
+  unreachable.addresses_ = { ClosedPort() };
+  CHECK(commit(*MakePlatformClient(unreachable)) == ErrorCode::kPlatformUnavailable);
   CHECK(commit(*MakePlatformClient({})) == ErrorCode::kPlatformUnavailable);
-  bench.SetFaults(R"({"outage":"silent"})");
-  bench.commit_.resolveTimeout_ = milliseconds(600);
-  CHECK(commit(*bench.client_) == ErrorCode::kPlatformUnknown);
-  bench.SetFaults("{}");
-  CHECK(Value(LoadConfig(*bench.client_)).version_ == 0);
-  // One address that refuses connections doesn't matter.
-  const auto both = bench.NewClient({ ClosedPort() });
-  CHECK(Value(CommitChange(*both, base, PutAccount("a", "op2"), bench.commit_)) == 1);
+  fixture.SetFaults(R"({"outage":"silent"})");
+  fixture.commit_.resolveTimeout_ = milliseconds(600);
+  CHECK(commit(*fixture.client_) == ErrorCode::kPlatformUnknown);
+  fixture.SetFaults("{}");
+  CHECK(Value(LoadConfig(*fixture.client_)).version_ == 0);
+  // One of several addresses may refuse connections.
+  const auto both = fixture.NewClient({ ClosedPort() });
+  CHECK(Value(CommitChange(*both, base, PutAccount("a", "op2"), fixture.commit_)) == 1);
 }
 
-// Guards against a stand-in without the platform's ceilings: proofs of write budgets rely on them.
-TEST_CASE("the stand-in refuses writes over its ceiling", "[platform]")
+// Guards against a stand-in that doesn't enforce the platform's write limit, which tests of write
+// budgets rely on.
+TEST_CASE("the stand-in refuses writes above its rate limit", "[platform]")
 {
-  Bench bench;
-  bench.SetFaults(R"({"writes_per_second":50})");
+  PlatformFixture fixture;
+  fixture.SetFaults(R"({"writes_per_second":50})");
   const auto end = Clock::now() + seconds(1);
   int written = 0;
   int refused = 0;
   for (int i = 0; Clock::now() < end; ++i) {
-    const auto result = bench.client_->Transact({ "op" + std::to_string(i), {}, { { "x", "1" } } });
+    const auto result =
+      fixture.client_->Transact({ "op" + std::to_string(i), {}, { { "x", "1" } } });
     if (result.has_value()) {
       ++written;
     } else {
@@ -279,110 +287,118 @@
   CHECK(written <= 57);
   CHECK(written >= 20);
   CHECK(refused > 0);
-  CHECK(bench.client_->ReadRow("x").has_value());
+  CHECK(fixture.client_->ReadRow("x").has_value());
 }
 
-// Guards against missing snapshots and against a load that misses changes around them.
+// Guards against missing snapshots, and against a load that skips changes before or after a
+// snapshot.
 TEST_CASE("a snapshot is written every 256 versions and loaded", "[platform]")
 {
-  Bench bench;
-  StoredConfig base = Value(LoadConfig(*bench.client_));
+  PlatformFixture fixture;
+  StoredConfig base = Value(LoadConfig(*fixture.client_));
   for (int i = 1; i <= 300; ++i) {
     const auto change = PutAccount("a" + std::to_string(i % 7), "op" + std::to_string(i), i);
-    const auto version = Value(CommitChange(*bench.client_, base, change, bench.commit_));
+    const auto version = Value(CommitChange(*fixture.client_, base, change, fixture.commit_));
     REQUIRE(ApplyChange(base.entities_, change).has_value());
     base.version_ = version;
-    base.headRevision_ = Value(bench.client_->ReadRow(kHeadRowKey))->revision_;
+    base.headRevision_ = Value(fixture.client_->ReadRow(kHeadRowKey))->revision_;
     CHECK(IsSnapshotDue(base, version + 1) == (version + 1 >= 256));
-    // The writer of version 256 fails to write the snapshot; a later one makes up for it.
+    // The writer of version 256 skips the snapshot; the writer of a later version must write it.
     if (i != 256) {
-      CHECK(Value(WriteDueSnapshot(*bench.client_)) == (i < 256 ? 0 : 256));
+      CHECK(Value(WriteDueSnapshot(*fixture.client_)) == (i < 256 ? 0 : 256));
     }
   }
-  const auto stored = Value(LoadConfig(*bench.client_));
+  const auto stored = Value(LoadConfig(*fixture.client_));
   CHECK(stored.version_ == 300);
   CHECK(stored.snapshotVersion_ == 256);
   CHECK(stored.entities_ == base.entities_);
-  const auto snapshot = Value(DecodeSnapshot(*Value(bench.client_->GetObject(SnapshotName(256)))));
+  const auto snapshot =
+    Value(DecodeSnapshot(*Value(fixture.client_->GetObject(SnapshotName(256)))));
   CHECK(snapshot.entities_.size() == 7);
 }
 
-// Guards against a row of another writer that bars all further changes.
-TEST_CASE("a stored change that can't be applied counts as empty", "[platform]")
+// Guards against a malformed change row that blocks all further changes.
+TEST_CASE("a stored change that can't be applied is treated as empty", "[platform]")
 {
-  Bench bench;
+  PlatformFixture fixture;
   Change broken;
   broken.version_ = 1;
   broken.edits_ = { { "account/absent", std::nullopt }, { "account/a", "{}" } };
-  Value(bench.client_->Transact(
+  Value(fixture.client_->Transact(
     { "x", {}, { { "config/head", EncodeHead(1) }, { ChangeRowKey(1), EncodeChange(broken) } } }));
-  const auto base = Value(LoadConfig(*bench.client_));
+  const auto base = Value(LoadConfig(*fixture.client_));
   CHECK(base.version_ == 1);
   CHECK(base.entities_.empty());
-  CHECK(Value(CommitChange(*bench.client_, base, PutAccount("a", "op"), bench.commit_)) == 2);
+  CHECK(Value(CommitChange(*fixture.client_, base, PutAccount("a", "op"), fixture.commit_)) == 2);
 }
 
-// Guards against an operator who overwrites a change that he hasn't seen.
-TEST_CASE("an apply for an old version shows the winner and its changes", "[platform]")
+// Guards against an operator who overwrites a change without knowing of it.
+TEST_CASE("applying against an old version reports the current version and its changes",
+          "[platform]")
 {
-  Bench bench;
+  PlatformFixture fixture;
   const auto foundry = ExampleDirectory("foundry");
-  const auto first = ApplyCommand(*bench.client_, foundry, Options(bench, 0));
+  const auto first = ApplyCommand(*fixture.client_, foundry, MakeWriteOptions(fixture, 0));
   REQUIRE(first.exitCode_ == 0);
   CHECK(first.json_["version"] == 1);
-  const auto granted = GrantKeyCommand(*bench.client_, "museum", "desk", Options(bench));
+  const auto granted =
+    GrantKeyCommand(*fixture.client_, "museum", "desk", MakeWriteOptions(fixture));
   REQUIRE(granted.exitCode_ == 0);
-  const auto lost = ApplyCommand(*bench.client_, foundry, Options(bench, 1));
-  CHECK(lost.exitCode_ == ExitCode(ErrorCode::kVersionConflict));
-  CHECK(lost.json_["winner"] == 2);
-  REQUIRE(lost.json_["changes"].size() == 1);
-  CHECK(lost.json_["changes"][0]["edits"][0]["json"]["account"] == "museum");
-  // The same files leave the granted key alone; a withdrawn key of the files bars them.
-  CHECK(ApplyCommand(*bench.client_, foundry, Options(bench, 2)).json_["edits"].empty());
-  const auto keys = ListKeysCommand(*bench.client_, "guild-office").json_["keys"];
+  const auto conflict = ApplyCommand(*fixture.client_, foundry, MakeWriteOptions(fixture, 1));
+  CHECK(conflict.exitCode_ == ExitCode(ErrorCode::kVersionConflict));
+  CHECK(conflict.json_["winner"] == 2);
+  REQUIRE(conflict.json_["changes"].size() == 1);
+  CHECK(conflict.json_["changes"][0]["edits"][0]["json"]["account"] == "museum");
+  // Applying the same files keeps the granted key; it fails once a key in the files was withdrawn.
+  CHECK(
+    ApplyCommand(*fixture.client_, foundry, MakeWriteOptions(fixture, 2)).json_["edits"].empty());
+  const auto keys = ListKeysCommand(*fixture.client_, "guild-office").json_["keys"];
   REQUIRE(keys.size() == 1);
   const auto digest = keys[0]["digest"].get<std::string>();
-  CHECK(WithdrawKeyCommand(*bench.client_, digest, Options(bench)).exitCode_ == 0);
-  const auto barred = ApplyCommand(*bench.client_, foundry, Options(bench));
-  CHECK(barred.exitCode_ == ExitCode(ErrorCode::kContradiction));
-  CHECK(barred.json_["error"]["line"].get<int>() > 0);
+  CHECK(WithdrawKeyCommand(*fixture.client_, digest, MakeWriteOptions(fixture)).exitCode_ == 0);
+  const auto rejected = ApplyCommand(*fixture.client_, foundry, MakeWriteOptions(fixture));
+  CHECK(rejected.exitCode_ == ExitCode(ErrorCode::kContradiction));
+  CHECK(rejected.json_["error"]["line"].get<int>() > 0);
 }
 
-// Guards against a key in the platform: only its digest may be stored.
-TEST_CASE("the platform never sees a granted key", "[platform]")
+// Guards against a key stored in plain text: only its digest may reach the platform.
+TEST_CASE("a granted key is never sent to the platform", "[platform]")
 {
-  Bench bench;
+  PlatformFixture fixture;
   REQUIRE(
-    ApplyCommand(*bench.client_, ExampleDirectory("landesamt"), Options(bench, 0)).exitCode_ == 0);
-  auto forged = Options(bench);
+    ApplyCommand(*fixture.client_, ExampleDirectory("landesamt"), MakeWriteOptions(fixture, 0))
+      .exitCode_ == 0);
+  auto forged = MakeWriteOptions(fixture);
   forged.operator_ = "a\nversion 9 by b";
-  CHECK(GrantKeyCommand(*bench.client_, "growers", "", forged).exitCode_ ==
+  CHECK(GrantKeyCommand(*fixture.client_, "growers", "", forged).exitCode_ ==
         ExitCode(ErrorCode::kOutOfRange));
-  const auto granted = GrantKeyCommand(*bench.client_, "growers", "", Options(bench));
+  const auto granted = GrantKeyCommand(*fixture.client_, "growers", "", MakeWriteOptions(fixture));
   const auto key = granted.json_["key"].get<std::string>();
-  for (const auto& row : Value(bench.client_->ReadRange("", "", 1000))) {
+  for (const auto& row : Value(fixture.client_->ReadRange("", "", 1000))) {
     CHECK(row.value_.find(key) == std::string::npos);
     CHECK(row.value_.find(key.substr(3)) == std::string::npos);
   }
-  const auto stored = Value(LoadConfig(*bench.client_));
+  const auto stored = Value(LoadConfig(*fixture.client_));
   const auto config = Value(CompileConfig(stored.entities_, { "hof-1" }, stored.version_));
   const auto* account = FindAccountByKeyDigest(*config, KeyDigest(key));
   REQUIRE(account != nullptr);
   CHECK(account->id_.value_ == "growers");
 }
 
-// Guards against "in force" while a site lags, and against a wait that misses the last site.
-TEST_CASE("waiting ends when every site reports the version", "[platform]")
+// Guards against "in force" being reported while a data centre lags, and against a wait that
+// doesn't end after the last data centre reported.
+TEST_CASE("the wait ends when every data centre reports the version", "[platform]")
 {
-  Bench bench;
+  PlatformFixture fixture;
   const std::vector<DataCentreId> sites{ { "north" }, { "south" } };
-  const auto report = [&bench](const char* aSite, Version aVersion, std::vector<std::string> aOut) {
-    const Watermark mark{ { aSite }, aVersion, 4, {}, std::move(aOut), 0 };
-    Value(bench.client_->Transact(
-      { NewOperationId(), {}, { { WatermarkRowKey({ aSite }), EncodeWatermark(mark) } } }));
-  };
+  const auto report =
+    [&fixture](const char* aSite, Version aVersion, std::vector<std::string> aOut) {
+      const Watermark mark{ { aSite }, aVersion, 4, {}, std::move(aOut), 0 };
+      Value(fixture.client_->Transact(
+        { NewOperationId(), {}, { { WatermarkRowKey({ aSite }), EncodeWatermark(mark) } } }));
+    };
   const auto wait = [&](std::optional<Duration> aBound) {
-    return Value(WaitUntilInForce(*bench.client_,
+    return Value(WaitUntilInForce(*fixture.client_,
                                   { .version_ = 5,
                                     .dataCentres_ = sites,
                                     .timeout_ = milliseconds(300),
@@ -395,7 +411,7 @@
   CHECK_FALSE(result.rollout_.dataCentres_[1].reported_);
   report("south", 4, {});
   CHECK_FALSE(wait(std::nullopt).inForce_);
-  // An unreachable host holds up the report until the freshness bound has passed.
+  // An unreachable host delays "in force" until the freshness bound has passed.
   report("south", 5, { "south-3" });
   CHECK_FALSE(wait(std::nullopt).inForce_);
   CHECK_FALSE(wait(seconds(1)).inForce_);
@@ -409,19 +425,20 @@
   CHECK_FALSE(result.byFreshnessBound_);
 }
 
-// Guards against a bound that was lowered a moment ago while cut-off hosts still use the old one.
-TEST_CASE("a replaced freshness bound counts until it can't be in use", "[platform]")
+// Guards against a lowered freshness bound that takes effect while disconnected hosts may still use
+// the old one.
+TEST_CASE("a replaced freshness bound counts until no host can still use it", "[platform]")
 {
   const Entities longer{ { "policy/default", R"({"key_freshness_bound_ms":60000})" } };
   Entities next{ { "policy/default", R"({"key_freshness_bound_ms":5000})" } };
   UpdateReplacedFreshnessBound(longer, next, 1000);
   CHECK(MaxUsableFreshnessBound(next, 2000) == seconds(60));
   CHECK(MaxUsableFreshnessBound(next, 1000 + 7200000) == seconds(5));
-  // A second change of the policy doesn't forget the first.
+  // A second change of the policy keeps the bound that the first one replaced.
   Entities third{ { "policy/default", R"({"key_freshness_bound_ms":4000})" } };
   UpdateReplacedFreshnessBound(next, third, 2000);
   CHECK(MaxUsableFreshnessBound(third, 3000) == seconds(60));
-  // Without a lower bound nothing is added, so that applying the same files changes nothing.
+  // If the bound isn't lowered, nothing is added, so applying the same files again changes nothing.
   Entities same{ { "policy/default", R"({"key_freshness_bound_ms":4000})" } };
   UpdateReplacedFreshnessBound(third, same, 3000);
   CHECK(same == third);
@@ -431,31 +448,32 @@
   CHECK(firstVersion == longer);
 }
 
-// Guards against faults that can't be set while the stand-in runs.
+// Guards against a stand-in that ignores or misreads fault settings sent while it runs.
 TEST_CASE("faults are set over HTTP", "[platform]")
 {
-  Bench bench;
+  PlatformFixture fixture;
   BlockingHttp http(seconds(1), 65536);
   const auto post = [&](const char* aBody) {
     return http
-      .Send(bench.server_->BoundAddress(), { "POST", "/faults", aBody }, Clock::now() + seconds(1))
+      .Send(
+        fixture.server_->BoundAddress(), { "POST", "/faults", aBody }, Clock::now() + seconds(1))
       .status_;
   };
   CHECK(post(R"({"outage":"refuse","delay_ms":5})") == 200);
-  CHECK(bench.server_->Faults().outage_ == PlatformOutage::kRefuse);
+  CHECK(fixture.server_->Faults().outage_ == PlatformOutage::kRefuse);
   CHECK(post(R"({"outage":"none"})") == 200);
-  CHECK(bench.server_->Faults().delayMs_ == 5);
+  CHECK(fixture.server_->Faults().delayMs_ == 5);
   CHECK(post(R"({"outage":"x"})") == 400);
   CHECK(post(R"({"delay":5})") == 400);
   CHECK(post("[") == 400);
 }
 
-// Guards against exit codes of quayctl that don't tell failures apart.
+// Guards against quayctl exit codes that don't distinguish failures.
 TEST_CASE("quayctl exits with the code of each failure", "[platform]")
 {
-  Bench bench;
+  PlatformFixture fixture;
   const std::string quayctl = std::string(PQ_BINARY_DIR) + "/quayctl ";
-  const auto bound = bench.server_->BoundAddress();
+  const auto bound = fixture.server_->BoundAddress();
   const auto platform = " --platform=" + bound.ip_ + ":" + std::to_string(bound.port_);
   const auto write = platform + " --operator=test ";
   const auto foundry = ExampleDirectory("foundry");
@@ -490,9 +508,9 @@
   const auto [exit, output] = RunProgram(quayctl + "history --json --limit=1" + platform);
   CHECK(exit == 0);
   CHECK(nlohmann::json::parse(output)["version"] == 2);
-  bench.SetFaults(R"({"outage":"refuse"})");
+  fixture.SetFaults(R"({"outage":"refuse"})");
   CHECK(code("history" + platform) == ExitCode(ErrorCode::kPlatformUnavailable));
-  // Exit codes are distinct.
+  // Every error code has its own exit code.
   std::set<int> codes;
   for (int i = static_cast<int>(ErrorCode::kFileUnreadable);
        i <= static_cast<int>(ErrorCode::kPlatformMalformed);
--- a/tests/failure/Process.h
+++ b/tests/failure/Process.h
@@ -1,4 +1,4 @@
-// Child processes of tests.
+// Child processes and temporary files for tests.
 #pragma once
 
 #include <sys/wait.h>
@@ -18,8 +18,8 @@
 
 namespace peridotquay::testing {
 
-/// One child process; it is killed by its id at the end of its scope if it still runs. Its standard
-/// output and error go to a file.
+/// A child process whose standard output and error go to a file. The destructor kills the process
+/// if it is still running.
 class Process
 {
 public:
@@ -40,7 +40,7 @@
       posix_spawn(&pid_, arguments[0], &actions, nullptr, arguments.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
     if (result != 0) {
-      throw std::runtime_error("cannot start " + command[0]);
+      throw std::runtime_error("cannot start child process " + command[0]);
     }
   }
   Process(const Process&) = delete;
@@ -55,7 +55,8 @@
 
   void Signal(int aSignal) { ::kill(pid_, aSignal); }
 
-  /// Exit code, or -1 if the process doesn't end in time or ends by a signal.
+  /// Returns the exit code, or -1 if the process is still running after aSeconds or was ended by a
+  /// signal.
   int Wait(int aSeconds = 10)
   {
     for (int i = 0; i < 100 * aSeconds; ++i) {
@@ -73,33 +74,34 @@
   pid_t pid_ = -1;
 };
 
-/// A new directory, removed with its files at the end of the scope.
-class Directory
+/// A new directory that the destructor removes together with the files registered by FilePath.
+class TemporaryDirectory
 {
 public:
-  Directory()
+  TemporaryDirectory()
   {
     std::string pattern = "/tmp/pqtestXXXXXX";
     path_ = ::mkdtemp(pattern.data());
   }
-  Directory(const Directory&) = delete;
-  Directory& operator=(const Directory&) = delete;
-  ~Directory()
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
+  ~TemporaryDirectory()
   {
     for (const auto& file : files_) {
       ::unlink(file.c_str());
     }
     ::rmdir(path_.c_str());
   }
-  /// Full name of a file, which is removed with the directory.
-  std::string File(const std::string& aName)
+  /// Returns the full path of a file in the directory and registers the file for removal.
+  std::string FilePath(const std::string& aName)
   {
     files_.push_back(path_ + "/" + aName);
     return files_.back();
   }
+  /// Writes a file into the directory and returns its full path.
   std::string Write(const std::string& aName, const std::string& aText)
   {
-    const std::string file = File(aName);
+    const std::string file = FilePath(aName);
     std::ofstream(file) << aText;
     return file;
   }
--- a/tests/failure/QuaydTest.cpp
+++ b/tests/failure/QuaydTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the quayd program as a process.
+// Tests of the quayd executable as a child process: exit codes and shutdown.
 #include "tests/connection/RawSocket.h"
 #include "tests/failure/Process.h"
 
@@ -10,59 +10,59 @@
 namespace {
 
 const std::string kProgram = std::string(PQ_BINARY_DIR) + "/quayd";
-const std::string kValid = "host = \"h1\"\ndata_centre = \"dc1\"\nregion = \"r1\"\n"
-                           "service = \"bell\"\ntarget = \"127.0.0.1:9\"\n";
+const std::string kValidSettings = "host = \"h1\"\ndata_centre = \"dc1\"\nregion = \"r1\"\n"
+                                   "service = \"bell\"\ntarget = \"127.0.0.1:9\"\n";
 
-struct Failure
+struct InvalidSettings
 {
   std::string text_;
-  int exit_;
+  int exitCode_;
 };
 
 } // namespace
 
-// Guards against two causes of failing to start that operators can't tell apart, and against a
-// check that accepts what the start refuses.
-TEST_CASE("each cause of failing to start has its exit code", "[quayd]")
+// Guards against start failures with different causes that share an exit code, and against a
+// --check-config that accepts settings with which the start fails.
+TEST_CASE("each cause of a failed start has its own exit code", "[quayd]")
 {
-  Directory directory;
-  const std::string output = directory.File("output");
-  RawListener taken;
-  const std::vector<Failure> failures = {
-    { kValid + "host = ", 4 },
-    { kValid + "hots = \"x\"\n", 5 },
-    { kValid + "seed = \"x\"\n", 6 },
-    { kValid + "target_connections = 0\n", 7 },
+  TemporaryDirectory directory;
+  const std::string output = directory.FilePath("output");
+  RawListener occupied;
+  const std::vector<InvalidSettings> invalidSettings = {
+    { kValidSettings + "host = ", 4 },
+    { kValidSettings + "hots = \"x\"\n", 5 },
+    { kValidSettings + "seed = \"x\"\n", 6 },
+    { kValidSettings + "target_connections = 0\n", 7 },
     { "host = \"h1\"\n", 8 },
-    { kValid + "callers = \"127.0.0.1:8\"\nadmin = \"127.0.0.1:8\"\n", 9 },
+    { kValidSettings + "callers = \"127.0.0.1:8\"\nadmin = \"127.0.0.1:8\"\n", 9 },
   };
-  const std::string file = directory.File("settings.toml");
-  for (const auto& failure : failures) {
-    INFO(failure.text_);
-    std::ofstream(file) << failure.text_;
+  const std::string file = directory.FilePath("settings.toml");
+  for (const auto& settings : invalidSettings) {
+    INFO(settings.text_);
+    std::ofstream(file) << settings.text_;
     CHECK(Process({ kProgram, "--config", file, "--check-config" }, output).Wait() ==
-          failure.exit_);
+          settings.exitCode_);
     CHECK(ReadFile(output).find(file) != std::string::npos);
-    CHECK(Process({ kProgram, "--config", file }, output).Wait() == failure.exit_);
+    CHECK(Process({ kProgram, "--config", file }, output).Wait() == settings.exitCode_);
   }
   CHECK(Process({ kProgram }, output).Wait() == 1);
   CHECK(Process({ kProgram, "--config", file + ".absent" }, output).Wait() == 3);
-  std::ofstream(file) << kValid << "peers = \"127.0.0.1:" << taken.Port() << "\"\n";
+  std::ofstream(file) << kValidSettings << "peers = \"127.0.0.1:" << occupied.Port() << "\"\n";
   CHECK(Process({ kProgram, "--config", file, "--check-config" }, output).Wait() == 0);
   CHECK(Process({ kProgram, "--config", file }, output).Wait() == 10);
-  std::ofstream(file) << kValid << "port_file = \"/tmp/absent-directory/ports\"\n";
+  std::ofstream(file) << kValidSettings << "port_file = \"/tmp/absent-directory/ports\"\n";
   CHECK(Process({ kProgram, "--config", file }, output).Wait() == 11);
 }
 
-// Guards against a process that ends with another status than 0 after a drain, or not at all.
+// Guards against a process that doesn't end after a drain, or ends with a status other than 0.
 TEST_CASE("SIGTERM drains and ends with status 0", "[quayd]")
 {
-  Directory directory;
-  const std::string output = directory.File("output");
-  const std::string ports = directory.File("ports");
-  directory.File("ports.tmp");
+  TemporaryDirectory directory;
+  const std::string output = directory.FilePath("output");
+  const std::string ports = directory.FilePath("ports");
+  directory.FilePath("ports.tmp");
   const std::string file =
-    directory.Write("settings.toml", kValid + "port_file = \"" + ports + "\"\n");
+    directory.Write("settings.toml", kValidSettings + "port_file = \"" + ports + "\"\n");
   Process process({ kProgram, "--config", file }, output);
   for (int i = 0; i < 500 && ReadFile(ports).empty(); ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
--- a/tests/failure/SilentPathTest.cpp
+++ b/tests/failure/SilentPathTest.cpp
@@ -1,4 +1,4 @@
-// Calls over peer connections that go silent or are cut while the hosts live.
+// Tests of calls over connections that go silent or are closed while both ends are still running.
 #include "tests/failure/PathFleet.h"
 
 #include <catch2/catch.hpp>
@@ -11,13 +11,14 @@
 
 namespace {
 
-// Relays connections to one port. Connections go silent, each way on its own, while new ones work.
+// Relays connections to one port. Existing connections can be silenced in each direction separately
+// while new connections work.
 class Relay
 {
 public:
   explicit Relay(std::uint16_t aTo)
     : to_(aTo)
-    , accepting_([this] { Accept(); })
+    , acceptThread_([this] { Accept(); })
   {
   }
   Relay(const Relay&) = delete;
@@ -26,20 +27,21 @@
   {
     stopping_ = true;
     listener_.Close();
-    accepting_.join();
+    acceptThread_.join();
     for (auto& thread : threads_) {
       thread.join();
     }
   }
   std::uint16_t Port() const { return listener_.Port(); }
-  /// The first connection passes nothing on in this direction from now on.
+  /// Makes the first connection drop all bytes to the target port from now on.
   void SilenceForward() { silentForward_ = true; }
+  /// Makes the first connection drop all bytes from the target port from now on.
   void SilenceBackward() { silentBackward_ = true; }
-  /// All connections that are open now pass nothing on, either way.
-  void SilenceAll() { silentUpTo_ = connections_.load(); }
-  /// The first connection is closed.
-  void Cut() { cut_ = true; }
-  int Connections() const { return connections_; }
+  /// Makes all connections that are open now drop all bytes in both directions.
+  void SilenceAll() { lastSilentNumber_ = connectionCount_.load(); }
+  /// Closes the first connection.
+  void CloseFirst() { closeFirst_ = true; }
+  int ConnectionCount() const { return connectionCount_; }
 
 private:
   void Accept()
@@ -49,7 +51,7 @@
       if (!from->IsOpen()) {
         return;
       }
-      const int number = ++connections_;
+      const int number = ++connectionCount_;
       threads_.emplace_back([this, from, number] { Serve(*from, number); });
     }
   }
@@ -61,18 +63,18 @@
       return;
     }
     RawSocket& to = *connected;
-    while (!stopping_ && !(first && cut_)) {
+    while (!stopping_ && !(first && closeFirst_)) {
       pollfd both[2] = { { aFrom.Descriptor(), POLLIN, 0 }, { to.Descriptor(), POLLIN, 0 } };
       ::poll(both, 2, 5);
       if ((both[0].revents != 0 &&
-           !Pass(aFrom, to, (first && silentForward_) || aNumber <= silentUpTo_)) ||
+           !Forward(aFrom, to, (first && silentForward_) || aNumber <= lastSilentNumber_)) ||
           (both[1].revents != 0 &&
-           !Pass(to, aFrom, (first && silentBackward_) || aNumber <= silentUpTo_))) {
+           !Forward(to, aFrom, (first && silentBackward_) || aNumber <= lastSilentNumber_))) {
         return;
       }
     }
   }
-  // The other end may be between two processes.
+  // Retries, because the other end may be restarting.
   std::optional<RawSocket> Connect() const
   {
     for (int i = 0; i < 100 && !stopping_; ++i) {
@@ -84,15 +86,15 @@
     }
     return std::nullopt;
   }
-  static bool Pass(RawSocket& aFrom, RawSocket& aTo, bool aSilent)
+  static bool Forward(RawSocket& aFrom, RawSocket& aTo, bool aSilent)
   {
     char bytes[65536];
-    const auto got = ::recv(aFrom.Descriptor(), bytes, sizeof(bytes), 0);
-    if (got <= 0) {
+    const auto count = ::recv(aFrom.Descriptor(), bytes, sizeof(bytes), 0);
+    if (count <= 0) {
       return aSilent;
     }
     if (!aSilent) {
-      aTo.Write(std::string_view(bytes, static_cast<std::size_t>(got)));
+      aTo.Write(std::string_view(bytes, static_cast<std::size_t>(count)));
     }
     return true;
   }
@@ -102,23 +104,23 @@
   std::atomic<bool> stopping_{ false };
   std::atomic<bool> silentForward_{ false };
   std::atomic<bool> silentBackward_{ false };
-  std::atomic<bool> cut_{ false };
-  std::atomic<int> connections_{ 0 };
-  std::atomic<int> silentUpTo_{ 0 }; ///< Numbers from 1; connections up to it are silent.
+  std::atomic<bool> closeFirst_{ false };
+  std::atomic<int> connectionCount_{ 0 };
+  std::atomic<int> lastSilentNumber_{ 0 }; ///< Connections are numbered from 1.
   std::vector<std::thread> threads_;
-  std::thread accepting_;
+  std::thread acceptThread_;
 };
 
-// Two hosts with a relay between them.
+// Two hosts whose peer connections from the first to the second go through a relay.
 struct RelayedPair
 {
-  ScriptTarget target_;
+  ScriptedTarget target_;
   RunningNode first_{ TestSettings("first", "front", 1) };
   RunningNode second_;
   Relay relay_;
 
-  explicit RelayedPair(ScriptTarget::Script aScript)
-    : target_(std::move(aScript))
+  explicit RelayedPair(ScriptedTarget::Handler aHandler)
+    : target_(std::move(aHandler))
     , second_(TestSettings("second", "bell", target_.Port()))
     , relay_(second_.node_->Ports().peers_)
   {
@@ -128,116 +130,117 @@
     target.peer_.port_ = relay_.Port();
     view->hosts_[target.host_] = target.peer_;
     view->targets_[target.service_] = { target };
-    first_.control_->port_.publishTargets_(view);
+    first_.control_->callbacks_.publishTargets_(view);
   }
   Caller MakeCaller() const { return Caller(first_.node_->Ports().callers_); }
 };
 
-std::string SlowScript(const SeenRequest& aRequest)
+std::string AnswerWithDelay(const ReceivedRequest& aRequest)
 {
   std::this_thread::sleep_for(
     milliseconds(aRequest.line_.find("/slow") != std::string::npos ? 300 : 0));
-  return HttpAnswer(200, "done " + aRequest.line_);
+  return MakeHttpResponse(200, "done " + aRequest.line_);
 }
 
 } // namespace
 
-// Guards against a call that is reported lost, or sent twice, because its connection went silent
-// before it arrived: the guard bars it, and it is sent again.
-TEST_CASE("a non-repeatable call that never arrived is barred and sent again", "[silent]")
+// Guards against a call that is reported as unknown, or runs twice, because its connection went
+// silent before it arrived. The second host blocks the lost attempt before the call is sent again.
+TEST_CASE("a non-repeatable call that never arrived is blocked and sent again", "[silent]")
 {
-  RelayedPair pair(SlowScript);
+  RelayedPair pair(AnswerWithDelay);
   Caller caller = pair.MakeCaller();
-  REQUIRE(caller.Ask("POST", "/deposits/1").status_ == 200);
+  REQUIRE(caller.SendRequest("POST", "/deposits/1").status_ == 200);
   pair.relay_.SilenceForward();
   const TimePoint start = Clock::now();
-  const auto answer = caller.Ask("POST", "/deposits/2");
+  const auto answer = caller.SendRequest("POST", "/deposits/2");
   CHECK(answer.status_ == 200);
   CHECK(answer.body_ == "done POST /deposits/2");
   CHECK(Clock::now() - start < milliseconds(1200));
-  CHECK(pair.target_.Seen().size() == 2);
-  CHECK(pair.relay_.Connections() == 2);
+  CHECK(pair.target_.ReceivedRequests().size() == 2);
+  CHECK(pair.relay_.ConnectionCount() == 2);
 }
 
-// Guards against a second run when only the answer was lost.
-TEST_CASE("a non-repeatable call whose answer was lost gets it on a fresh connection", "[silent]")
+// Guards against a second run of a non-repeatable call when only its response was lost.
+TEST_CASE("a non-repeatable call whose response was lost gets it on a new connection", "[silent]")
 {
-  RelayedPair pair(SlowScript);
+  RelayedPair pair(AnswerWithDelay);
   Caller caller = pair.MakeCaller();
-  REQUIRE(caller.Ask("POST", "/deposits/1").status_ == 200);
+  REQUIRE(caller.SendRequest("POST", "/deposits/1").status_ == 200);
   pair.relay_.SilenceBackward();
-  const auto done = caller.Ask("POST", "/deposits/2");
+  const auto done = caller.SendRequest("POST", "/deposits/2");
   CHECK(done.status_ == 200);
   CHECK(done.body_ == "done POST /deposits/2");
-  CHECK(pair.target_.Seen().size() == 2);
+  CHECK(pair.target_.ReceivedRequests().size() == 2);
 }
 
-// Guards against a call that is cancelled or run again because its connection was cut while it ran.
-TEST_CASE("a non-repeatable call that runs while its connection is cut is answered", "[silent]")
+// Guards against a call that is cancelled or run again because its connection was closed while it
+// ran.
+TEST_CASE("a non-repeatable call is answered if its connection is closed while it runs", "[silent]")
 {
-  RelayedPair pair(SlowScript);
+  RelayedPair pair(AnswerWithDelay);
   Caller caller = pair.MakeCaller();
-  REQUIRE(caller.Ask("POST", "/deposits/1").status_ == 200);
-  SeenAnswer answer;
-  std::thread asking([&] { answer = caller.Ask("POST", "/deposits/slow"); });
+  REQUIRE(caller.SendRequest("POST", "/deposits/1").status_ == 200);
+  ReceivedResponse answer;
+  std::thread sender([&] { answer = caller.SendRequest("POST", "/deposits/slow"); });
   std::this_thread::sleep_for(milliseconds(100));
-  pair.relay_.Cut();
-  asking.join();
+  pair.relay_.CloseFirst();
+  sender.join();
   CHECK(answer.status_ == 200);
   CHECK(answer.body_ == "done POST /deposits/slow");
-  CHECK(pair.target_.Seen().size() == 2);
+  CHECK(pair.target_.ReceivedRequests().size() == 2);
 }
 
-// Guards against repeatable calls that fail although a fresh connection to their host works.
-TEST_CASE("a repeatable call continues over a fresh connection", "[silent]")
+// Guards against repeatable calls that fail although a new connection to their host works.
+TEST_CASE("a repeatable call continues over a new connection", "[silent]")
 {
-  RelayedPair pair(SlowScript);
+  RelayedPair pair(AnswerWithDelay);
   Caller caller = pair.MakeCaller();
-  REQUIRE(caller.Ask("GET", "/bells/1").status_ == 200);
+  REQUIRE(caller.SendRequest("GET", "/bells/1").status_ == 200);
   pair.relay_.SilenceForward();
-  CHECK(caller.Ask("GET", "/bells/2").status_ == 200);
-  CHECK(caller.Ask("GET", "/bells/3").status_ == 200);
+  CHECK(caller.SendRequest("GET", "/bells/2").status_ == 200);
+  CHECK(caller.SendRequest("GET", "/bells/3").status_ == 200);
 }
 
-// Guards against a "not run" that rests on the word of another process than the one that got the
-// call.
-TEST_CASE("the fate of a call at a host that restarted is unknown", "[silent]")
+// Guards against a "not run" that is reported by a restarted process, which can't know what the
+// process that received the call did.
+TEST_CASE("the outcome of a call to a host that restarted is unknown", "[silent]")
 {
-  auto pair = std::make_unique<RelayedPair>(SlowScript);
+  auto pair = std::make_unique<RelayedPair>(AnswerWithDelay);
   Caller caller = pair->MakeCaller();
-  REQUIRE(caller.Ask("POST", "/deposits/1").status_ == 200);
+  REQUIRE(caller.SendRequest("POST", "/deposits/1").status_ == 200);
   NodeSettings settings = pair->second_.settings_;
   settings.peers_.port_ = pair->second_.node_->Ports().peers_;
-  SeenAnswer answer;
-  std::thread asking([&] { answer = caller.Ask("POST", "/deposits/slow"); });
+  ReceivedResponse answer;
+  std::thread sender([&] { answer = caller.SendRequest("POST", "/deposits/slow"); });
   std::this_thread::sleep_for(milliseconds(100));
   // The process ends without a drain and its successor listens on the same port.
-  pair->second_.End();
+  pair->second_.StopWithoutDrain();
   std::this_thread::sleep_for(milliseconds(2));
-  RunningNode again(settings);
-  Publish({ &again }, { &again });
-  asking.join();
+  RunningNode successor(settings);
+  Publish({ &successor }, { &successor });
+  sender.join();
   CHECK(answer.status_ == 504);
   CHECK(answer.Outcome() == "unknown");
 }
 
-// Guards against calls that wait for their deadlines on kept connections to the target that went
-// silent although the target lives, and against more calls sent after them.
-TEST_CASE("silent connections to the target are given up", "[silent]")
+// Guards against calls that wait until their deadlines on idle connections to a running target that
+// went silent, and against further calls that are sent on these connections.
+TEST_CASE("silent connections to the target are abandoned", "[silent]")
 {
-  ScriptTarget target(SlowScript);
+  ScriptedTarget target(AnswerWithDelay);
   Relay relay(target.Port());
   RunningNode node(TestSettings("only", "bell", relay.Port()));
   Publish({ &node }, { &node });
   Caller caller(node.node_->Ports().callers_);
-  REQUIRE(caller.Ask("GET", "/bells/1").status_ == 200);
-  // The poll of the target's health keeps a connection of its own.
+  REQUIRE(caller.SendRequest("GET", "/bells/1").status_ == 200);
+  // Lets the health poll open its own connection, which is silenced too.
   std::this_thread::sleep_for(milliseconds(50));
   relay.SilenceAll();
   const TimePoint start = Clock::now();
-  CHECK(caller.Ask("GET", "/bells/2").status_ == 200);
+  CHECK(caller.SendRequest("GET", "/bells/2").status_ == 200);
   CHECK(Clock::now() - start < milliseconds(1200));
-  // A slow answer on a connection that isn't silent is waited for.
-  CHECK(caller.Ask("GET", "/bells/slow").body_ == "done GET /bells/slow");
-  CHECK(target.Seen().size() == 3);
+  // A slow response on a connection that isn't silent must not count as silence.
+  CHECK(caller.SendRequest("GET", "/bells/slow").body_ == "done GET /bells/slow");
+  CHECK(target.ReceivedRequests().size() == 3);
 }
--- a/tests/failure/UserFleet.h
+++ b/tests/failure/UserFleet.h
@@ -1,4 +1,5 @@
-// A fleet on the users' platform: the store, targets, and one quayd process beside each target.
+// A fleet on stand-ins of the users' platform: the store, targets, and one quayd process for each
+// target.
 #pragma once
 
 #include "standins/lib/FleetHttp.h"
@@ -22,7 +23,8 @@
 
 namespace peridotquay::testing {
 
-/// The operator's document with two services, one route of each kind and one open route.
+/// The operator's configuration document: services s0 and s1, the keyed routes /read/ (repeatable)
+/// and /write/ (not repeatable), and the open route /call/.
 inline nlohmann::json UserDocument(int aVersion, const std::vector<std::string>& aKeys)
 {
   const auto route = [](const char* aPrefix, const char* aKind, const char* aService, bool aOpen) {
@@ -42,13 +44,14 @@
            { "tenants", { { "t1", { { "api_keys", aKeys }, { "rate_per_s", 0 } } } } } };
 }
 
-/// Links between a host and what it talks to, on a thread of their own.
+/// Relays from a host to the store and to its target, run by a thread of their own, which can
+/// inject network faults.
 class HostLinks
 {
 public:
   HostLinks(std::uint16_t aStore, std::uint16_t aTarget)
-    : store_(Link(aStore))
-    , target_(Link(aTarget))
+    : store_(StartLink(aStore))
+    , target_(StartLink(aTarget))
     , thread_([this] { context_.run(); })
   {
   }
@@ -66,25 +69,26 @@
 
   std::uint16_t StorePort() const { return store_->Port(); }
   std::uint16_t TargetPort() const { return target_->Port(); }
-  /// Changes the faults of the link to the store or to the target (LinkSettings.h).
-  void Set(bool aStore, const std::string& aJson)
+  /// Sets the faults of the link to the store, or of the link to the target if aStore is false. The
+  /// JSON keys are those of LinkSettings.h.
+  void SetFaults(bool aStore, const std::string& aJson)
   {
     const std::uint16_t control = (aStore ? store_ : target_)->ControlPort();
     const auto reply =
       standins::FetchHttp({ "127.0.0.1", control }, { "POST", "/link", {}, aJson });
     if (reply.has_error() || reply.assume_value().status_ != 200) {
-      throw std::runtime_error("a link doesn't take its faults");
+      throw std::runtime_error("the link relay rejected its fault settings");
     }
   }
 
 private:
-  std::shared_ptr<standins::LinkRelay> Link(std::uint16_t aRemote)
+  std::shared_ptr<standins::LinkRelay> StartLink(std::uint16_t aRemote)
   {
     standins::LinkSettings settings;
     settings.remote_ = { "127.0.0.1", aRemote };
     auto link = std::make_shared<standins::LinkRelay>(context_, settings);
     if (link->Start().has_error()) {
-      throw std::runtime_error("a link can't listen");
+      throw std::runtime_error("the link relay can't listen on a port");
     }
     return link;
   }
@@ -95,11 +99,11 @@
   std::thread thread_;
 };
 
-/// Host i serves service i modulo 2, in data centre i modulo 4 of region i modulo 2.
+/// Host number i belongs to service i modulo 2, data centre i modulo 4 and region i modulo 2.
 class UserFleet
 {
 public:
-  /// With links, each host reaches the store and its target through a link of its own.
+  /// With aLinks, each host reaches the store and its target through its own HostLinks.
   explicit UserFleet(std::size_t aHosts, bool aLinks = false)
     : links_(aLinks)
   {
@@ -109,16 +113,17 @@
     }
   }
 
-  /// Every host takes clients and knows all others.
+  /// Waits up to 20 s until every host is registered in the store and reports that it is ready.
+  /// Returns false on timeout.
   bool WaitReady()
   {
     for (int i = 0; i < 1000; ++i) {
       bool ready = store_.RowCount("quay_hosts") == hosts_.size();
       for (std::size_t host = 0; ready && host < hosts_.size(); ++host) {
-        ready = Ready(host) == 200;
+        ready = ReadinessStatus(host) == 200;
       }
       if (ready) {
-        // The last rows reach the other hosts after the pause between watches.
+        // The last host rows reach the other hosts only after the pause between two watches.
         std::this_thread::sleep_for(milliseconds(1200));
         return true;
       }
@@ -127,46 +132,50 @@
     return false;
   }
 
-  unsigned Ready(std::size_t aHost)
+  /// Status of the readiness endpoint, or 0 if it doesn't respond.
+  unsigned ReadinessStatus(std::size_t aHost)
   {
-    const auto reply =
-      standins::FetchHttp({ "127.0.0.1", hosts_[aHost]->ready_ }, { "GET", "/-/ready", {}, "" });
+    const auto reply = standins::FetchHttp({ "127.0.0.1", hosts_[aHost]->readyPort_ },
+                                           { "GET", "/-/ready", {}, "" });
     return reply.has_value() ? reply.assume_value().status_ : 0;
   }
 
-  /// One request at a host; status 0 if the connection ended without an answer.
-  standins::FetchResponse Ask(std::size_t aHost,
-                              const std::string& aPath,
-                              const std::string& aId,
-                              const std::string& aKey = "k1")
+  /// Sends one request to a host. The status is 0 if the connection ended without a response.
+  standins::FetchResponse SendRequest(std::size_t aHost,
+                                      const std::string& aPath,
+                                      const std::string& aId,
+                                      const std::string& aKey = "k1")
   {
-    auto reply = standins::FetchHttp(CallersOf(aHost), Query(aPath, aId, aKey));
+    auto reply = standins::FetchHttp(CallersAddress(aHost), MakeRequest(aPath, aId, aKey));
     return reply.has_value() ? reply.assume_value() : standins::FetchResponse{};
   }
 
-  Address CallersOf(std::size_t aHost) const { return { "127.0.0.1", hosts_[aHost]->callers_ }; }
+  Address CallersAddress(std::size_t aHost) const
+  {
+    return { "127.0.0.1", hosts_[aHost]->callersPort_ };
+  }
 
-  static standins::FetchRequest Query(const std::string& aPath,
-                                      const std::string& aId,
-                                      const std::string& aKey = "k1")
+  static standins::FetchRequest MakeRequest(const std::string& aPath,
+                                            const std::string& aId,
+                                            const std::string& aKey = "k1")
   {
-    standins::FetchRequest query;
-    query.method_ = aPath.starts_with("/write/") ? "POST" : "GET";
-    query.target_ = aPath;
-    query.headers_ = { { "Host", "h.example" },
-                       { "X-Request-Id", aId },
-                       { "X-Deadline-Ms", "2000" },
-                       { "X-Caller-Service", "forged" },
-                       { "X-Tenant-Id", "forged" } };
+    standins::FetchRequest request;
+    request.method_ = aPath.starts_with("/write/") ? "POST" : "GET";
+    request.target_ = aPath;
+    request.headers_ = { { "Host", "h.example" },
+                         { "X-Request-Id", aId },
+                         { "X-Deadline-Ms", "2000" },
+                         { "X-Caller-Service", "forged" },
+                         { "X-Tenant-Id", "forged" } };
     if (!aKey.empty()) {
-      query.headers_.emplace_back("Authorization", "Token " + aKey);
+      request.headers_.emplace_back("Authorization", "Token " + aKey);
     }
-    query.timeout_ = seconds(3);
-    return query;
+    request.timeout_ = seconds(3);
+    return request;
   }
 
-  /// How often each request id ran, over all targets.
-  std::map<std::string, int> Runs()
+  /// Returns how often each request id was started, summed over all targets.
+  std::map<std::string, int> ExecutionCounts()
   {
     std::map<std::string, int> runs;
     for (auto& host : hosts_) {
@@ -180,29 +189,29 @@
   std::size_t Size() const { return hosts_.size(); }
   standins::UserStore& Store() { return store_; }
   standins::UserTarget& TargetOf(std::size_t aHost) { return *hosts_[aHost]->target_; }
-  /// Only of a fleet with links.
+  /// Valid only in a fleet with links.
   HostLinks& LinksOf(std::size_t aHost) { return *hosts_[aHost]->links_; }
   Process& ProcessOf(std::size_t aHost) { return *hosts_[aHost]->process_; }
-  std::string Log(std::size_t aHost) { return ReadFile(hosts_[aHost]->output_); }
+  std::string Log(std::size_t aHost) { return ReadFile(hosts_[aHost]->logFile_); }
 
-  /// Starts the process of a host again; the one before must have ended or is killed.
+  /// Starts a new process for a host. The previous process is killed if it is still running.
   void Restart(std::size_t aHost)
   {
     Host& host = *hosts_[aHost];
     host.process_.reset();
-    ::unlink(host.ports_.c_str());
+    ::unlink(host.portFile_.c_str());
     StartProcess(host);
   }
 
 private:
   struct Host
   {
-    std::uint16_t ready_ = 0;
-    std::uint16_t reports_ = 0;
-    std::uint16_t callers_ = 0;
-    std::string ports_;
-    std::string output_;
-    std::string settings_;
+    std::uint16_t readyPort_ = 0;
+    std::uint16_t heartbeatPort_ = 0;
+    std::uint16_t callersPort_ = 0;
+    std::string portFile_;
+    std::string logFile_;
+    std::string settingsFile_;
     std::unique_ptr<standins::UserTarget> target_;
     std::unique_ptr<HostLinks> links_; ///< Null in a fleet without links.
     std::unique_ptr<Process> process_;
@@ -219,28 +228,29 @@
     auto host = std::make_unique<Host>();
     const std::string name = "h" + std::to_string(aIndex);
     const std::string service = "s" + std::to_string(aIndex % 2);
-    host->ready_ = FreePort();
-    host->reports_ = FreePort();
-    host->target_ = std::make_unique<standins::UserTarget>("i-" + name, service, host->reports_);
+    host->readyPort_ = FreePort();
+    host->heartbeatPort_ = FreePort();
+    host->target_ =
+      std::make_unique<standins::UserTarget>("i-" + name, service, host->heartbeatPort_);
     if (links_) {
       host->links_ = std::make_unique<HostLinks>(store_.Port(), host->target_->Port());
     }
     const std::uint16_t store = links_ ? host->links_->StorePort() : store_.Port();
     const std::uint16_t target = links_ ? host->links_->TargetPort() : host->target_->Port();
-    host->ports_ = directory_.File(name + ".ports");
-    directory_.File(name + ".ports.tmp");
-    host->output_ = directory_.File(name + ".log");
+    host->portFile_ = directory_.FilePath(name + ".ports");
+    directory_.FilePath(name + ".ports.tmp");
+    host->logFile_ = directory_.FilePath(name + ".log");
     const auto address = [](std::uint16_t aPort) {
       return "\"127.0.0.1:" + std::to_string(aPort) + "\"\n";
     };
-    host->settings_ = directory_.Write(
+    host->settingsFile_ = directory_.Write(
       name + ".toml",
       "host = \"" + name + "\"\ndata_centre = \"d" + std::to_string(aIndex % 4) +
         "\"\nregion = \"r" + std::to_string(aIndex % 2) + "\"\nservice = \"" + service +
-        "\"\nport_file = \"" + host->ports_ + "\"\ntarget = " + address(target) +
+        "\"\nport_file = \"" + host->portFile_ + "\"\ntarget = " + address(target) +
         "drain_timeout_ms = 5000\naccept_while_draining_ms = 1000\n[adapter]\nstore = " +
-        address(store) + "ready = " + address(host->ready_) + "heartbeats = " +
-        address(host->reports_) + "heartbeat_ms = 500\nkey_freshness_ms = 5000\n");
+        address(store) + "ready = " + address(host->readyPort_) + "heartbeats = " +
+        address(host->heartbeatPort_) + "heartbeat_ms = 500\nkey_freshness_ms = 5000\n");
     StartProcess(*host);
     hosts_.push_back(std::move(host));
   }
@@ -248,17 +258,17 @@
   static void StartProcess(Host& aHost)
   {
     aHost.process_ = std::make_unique<Process>(
-      std::vector<std::string>{ PQ_BINARY_DIR "/quayd", "--config", aHost.settings_ },
-      aHost.output_);
-    for (int i = 0; i < 500 && ReadFile(aHost.ports_).empty(); ++i) {
+      std::vector<std::string>{ PQ_BINARY_DIR "/quayd", "--config", aHost.settingsFile_ },
+      aHost.logFile_);
+    for (int i = 0; i < 500 && ReadFile(aHost.portFile_).empty(); ++i) {
       std::this_thread::sleep_for(milliseconds(10));
     }
-    aHost.callers_ = nlohmann::json::parse(ReadFile(aHost.ports_))["callers"];
+    aHost.callersPort_ = nlohmann::json::parse(ReadFile(aHost.portFile_))["callers"];
   }
 
   bool links_;
   standins::UserStore store_;
-  Directory directory_;
+  TemporaryDirectory directory_;
   std::vector<std::unique_ptr<Host>> hosts_;
 };
 
--- a/tests/failure/UserFleetTest.cpp
+++ b/tests/failure/UserFleetTest.cpp
@@ -1,4 +1,4 @@
-// Tests of whole fleets on the stand-ins of the users' platform.
+// Tests of whole fleets of quayd processes on the stand-ins of the users' platform.
 #include "tests/failure/UserFleet.h"
 
 #include "peridotquay/process/LogTrace.h"
@@ -29,8 +29,8 @@
 
 } // namespace
 
-// Guards against an adapter that doesn't serve: hosts that don't find each other, headers that name
-// the wrong account or service, a key that reaches a target, and requests that run twice.
+// Guards against hosts that don't discover each other, headers that name the wrong account or
+// service, a key that reaches a target, and requests that run twice.
 TEST_CASE("16 hosts find each other through the store and serve", "[users]")
 {
   UserFleet fleet(16);
@@ -43,9 +43,9 @@
       for (int i = 0; i < 60; ++i) {
         const std::string id = std::to_string(host) + "-" + std::to_string(i);
         const char* path = i % 3 == 0 ? "/write/1" : i % 3 == 1 ? "/read/1" : "/call/1";
-        const auto reply = fleet.Ask(host, path, id, i % 3 == 2 ? "" : "k1");
-        const bool whole = reply.status_ == 200 && reply.body_ == "answer to " + id;
-        served += whole && reply.headers_.contains("x-response-signature") ? 1 : 0;
+        const auto reply = fleet.SendRequest(host, path, id, i % 3 == 2 ? "" : "k1");
+        const bool unaltered = reply.status_ == 200 && reply.body_ == "answer to " + id;
+        served += unaltered && reply.headers_.contains("x-response-signature") ? 1 : 0;
         std::this_thread::sleep_for(milliseconds(50));
       }
     });
@@ -54,7 +54,7 @@
     client.join();
   }
   CHECK(served == 16 * 60);
-  for (const auto& [id, count] : fleet.Runs()) {
+  for (const auto& [id, count] : fleet.ExecutionCounts()) {
     INFO(id);
     CHECK(count == 1);
   }
@@ -68,57 +68,60 @@
       CHECK(FindHeader(request.headers_, "X-Tenant-Id").value_or("none") == (open ? "none" : "t1"));
     }
   }
-  // A quiet host makes a proof of freshness every 2.8 s and two watches every 20 s.
+  // An idle host proves its freshness to the store every 2.8 s and opens two watches every 20 s.
   CHECK(fleet.Store().CallCount() - calls < 16 * 8);
 }
 
-// Guards against unknown routes and keys that are served, and known ones that are refused.
+// Guards against unknown routes and keys that are accepted, known ones that are refused, and an
+// older or malformed document that replaces the newest one.
 TEST_CASE("routes and keys follow the newest document", "[users]")
 {
   UserFleet fleet(4);
   REQUIRE(fleet.WaitReady());
-  CHECK(fleet.Ask(0, "/absent/1", "a").status_ == 404);
-  CHECK(fleet.Ask(0, "/read/1", "b", "unknown").status_ == 401);
-  CHECK(fleet.Ask(0, "/read/1", "c", "").status_ == 401);
-  CHECK(fleet.Ask(0, "/read/1", "d", "k2").status_ == 200);
+  CHECK(fleet.SendRequest(0, "/absent/1", "a").status_ == 404);
+  CHECK(fleet.SendRequest(0, "/read/1", "b", "unknown").status_ == 401);
+  CHECK(fleet.SendRequest(0, "/read/1", "c", "").status_ == 401);
+  CHECK(fleet.SendRequest(0, "/read/1", "d", "k2").status_ == 200);
   auto document = UserDocument(5, { "k1" });
   document["routes"]["new"] = document["routes"]["read"];
   document["routes"]["new"]["prefix"] = "/new/";
   fleet.Store().Put("op", "config", document.dump());
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
-    CHECK(Eventually([&] { return fleet.Ask(host, "/new/1", "e").status_ == 200; }, seconds(2)));
-    CHECK(fleet.Ask(host, "/read/1", "f", "k2").status_ == 401);
+    CHECK(Eventually([&] { return fleet.SendRequest(host, "/new/1", "e").status_ == 200; },
+                     seconds(2)));
+    CHECK(fleet.SendRequest(host, "/read/1", "f", "k2").status_ == 401);
   }
-  // Neither an older document nor one that can't be read changes anything.
+  // An older document and a malformed one must not change anything.
   fleet.Store().Put("op", "config", UserDocument(3, { "k1", "k2" }).dump());
   fleet.Store().Put("op", "config", "{\"version\":\"r9\",\"routes\":5}");
   std::this_thread::sleep_for(milliseconds(500));
-  CHECK(fleet.Ask(1, "/new/1", "g").status_ == 200);
-  CHECK(fleet.Ask(1, "/read/1", "h", "k2").status_ == 401);
+  CHECK(fleet.SendRequest(1, "/new/1", "g").status_ == 200);
+  CHECK(fleet.SendRequest(1, "/read/1", "h", "k2").status_ == 401);
   CHECK(fleet.Log(1).find("VersionRejected") != std::string::npos);
 }
 
-// Guards against a withdrawn key that works on at a host that the store doesn't answer, and against
-// open routes that stop with it.
+// Guards against a withdrawn key that is still accepted at a host that can't reach the store, and
+// against open routes that stop together with the keyed ones.
 TEST_CASE("keyed routes stop when the store is silent, open ones go on", "[users]")
 {
   UserFleet fleet(4);
   REQUIRE(fleet.WaitReady());
   fleet.Store().SetFault(UserStoreFault::kSilent);
-  CHECK(fleet.Ask(0, "/read/1", "a").status_ == 200);
+  CHECK(fleet.SendRequest(0, "/read/1", "a").status_ == 200);
   std::this_thread::sleep_for(milliseconds(5100));
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
-    CHECK(fleet.Ask(host, "/read/1", "b").status_ == 503);
-    CHECK(fleet.Ask(host, "/call/1", "c", "").status_ == 200);
+    CHECK(fleet.SendRequest(host, "/read/1", "b").status_ == 503);
+    CHECK(fleet.SendRequest(host, "/call/1", "c", "").status_ == 200);
   }
   fleet.Store().SetFault(UserStoreFault::kNone);
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
-    CHECK(Eventually([&] { return fleet.Ask(host, "/read/1", "d").status_ == 200; }, seconds(4)));
+    CHECK(Eventually([&] { return fleet.SendRequest(host, "/read/1", "d").status_ == 200; },
+                     seconds(4)));
   }
 }
 
-// Guards against a target that gets new work after its host acknowledged that it leaves, also while
-// the store is down.
+// Guards against a draining target that receives new requests after its host acknowledged the
+// drain, even if the store is down.
 TEST_CASE("a leaving target gets no new work", "[users]")
 {
   UserFleet fleet(8);
@@ -129,13 +132,15 @@
                      seconds(2)));
   const std::size_t before = fleet.TargetOf(0).StartedRequests().size();
   for (int i = 0; i < 40; ++i) {
-    CHECK(fleet.Ask(static_cast<std::size_t>(i) % 8, "/read/1", std::to_string(i)).status_ == 200);
+    CHECK(
+      fleet.SendRequest(static_cast<std::size_t>(i) % 8, "/read/1", std::to_string(i)).status_ ==
+      200);
   }
   CHECK(fleet.TargetOf(0).StartedRequests().size() == before);
 }
 
-// Guards against requests that a planned stop or a reload cuts, and against a host that says it is
-// ready while it leaves.
+// Guards against requests that are aborted by a planned stop or a reload, and against a host that
+// reports that it is ready while it drains.
 TEST_CASE("SIGTERM and SIGHUP cut no request", "[users]")
 {
   UserFleet fleet(8);
@@ -143,42 +148,43 @@
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
     fleet.TargetOf(host).SetServiceTime(milliseconds(300));
   }
-  std::atomic<bool> ending{ false };
+  std::atomic<bool> stopping{ false };
   std::atomic<int> lost{ 0 };
-  std::atomic<int> asked{ 0 };
+  std::atomic<int> sentCount{ 0 };
   std::vector<std::thread> clients;
   for (std::size_t host = 0; host < 4; ++host) {
     clients.emplace_back([&, host] {
-      for (int i = 0; !ending; ++i) {
+      for (int i = 0; !stopping; ++i) {
         const std::string id = std::to_string(host) + "-" + std::to_string(i);
-        // The clients of the host that stops leave once it isn't ready.
+        // The client of host 0, which is stopped, moves to host 4 after its first requests.
         const std::size_t at = host == 0 && i > 3 ? 4 : host;
-        const auto status = fleet.Ask(at, i % 2 == 0 ? "/write/1" : "/read/1", id).status_;
+        const auto status = fleet.SendRequest(at, i % 2 == 0 ? "/write/1" : "/read/1", id).status_;
         lost += status == 200 ? 0 : 1;
-        ++asked;
+        ++sentCount;
       }
     });
   }
   std::this_thread::sleep_for(milliseconds(700));
   fleet.ProcessOf(1).Signal(SIGHUP);
   fleet.ProcessOf(0).Signal(SIGTERM);
-  CHECK(Eventually([&] { return fleet.Ready(0) != 200; }, seconds(1)));
+  CHECK(Eventually([&] { return fleet.ReadinessStatus(0) != 200; }, seconds(1)));
   CHECK(fleet.ProcessOf(0).Wait(6) == 0);
   std::this_thread::sleep_for(milliseconds(500));
-  ending = true;
+  stopping = true;
   for (auto& client : clients) {
     client.join();
   }
-  CHECK(asked > 20);
+  CHECK(sentCount > 20);
   CHECK(lost == 0);
   CHECK(fleet.Log(1).find("SettingsReloaded") != std::string::npos);
-  for (const auto& [id, count] : fleet.Runs()) {
+  for (const auto& [id, count] : fleet.ExecutionCounts()) {
     INFO(id);
     CHECK((count == 1 || id.back() % 2 == 1));
   }
 }
 
-// Guards against a request that runs twice, or a refusal that isn't true, when answers are lost.
+// Guards against a write that runs twice, or a refusal of a write that ran, when responses of
+// targets are lost.
 TEST_CASE("lost answers of targets lead to no second run of a write", "[users]")
 {
   UserFleet fleet(4);
@@ -193,7 +199,7 @@
     clients.emplace_back([&, host] {
       for (int i = 0; i < 4; ++i) {
         const std::string id = std::to_string(host) + "-" + std::to_string(i);
-        const unsigned answer = fleet.Ask(host, "/write/1", id).status_;
+        const unsigned answer = fleet.SendRequest(host, "/write/1", id).status_;
         const std::lock_guard lock(mutex);
         status[id] = answer;
       }
@@ -202,7 +208,7 @@
   for (auto& client : clients) {
     client.join();
   }
-  const auto runs = fleet.Runs();
+  const auto runs = fleet.ExecutionCounts();
   for (const auto& [id, answer] : status) {
     INFO(id << " " << answer);
     const auto ran = runs.find(id);
@@ -211,9 +217,8 @@
   }
 }
 
-// Guards against a walk-through of docs/OPERATIONS.md whose lines no host writes: a refusal, an
-// answer of unknown outcome and a refusal during an outage of the store are found by the request's
-// id.
+// Guards against missing log lines that docs/OPERATIONS.md relies on: a refusal, a response with
+// unknown outcome and a refusal during a store outage must be found by their request ids.
 TEST_CASE("a failed request is explained by the logs of its hosts", "[users]")
 {
   UserFleet fleet(4);
@@ -229,27 +234,29 @@
     }
     return text;
   };
-  const auto explains = [&](const std::string& aId, const std::vector<std::string>& aParts) {
+  const auto explains = [&](const std::string& aId,
+                            const std::vector<std::string>& aExpectedTexts) {
     return Eventually(
       [&] {
         const std::string text = trace(aId);
-        return std::all_of(aParts.begin(), aParts.end(), [&](const std::string& aPart) {
-          return text.find(aPart) != std::string::npos;
-        });
+        return std::all_of(
+          aExpectedTexts.begin(), aExpectedTexts.end(), [&](const std::string& aExpectedText) {
+            return text.find(aExpectedText) != std::string::npos;
+          });
       },
       seconds(2));
   };
-  CHECK(fleet.Ask(0, "/read/1", "refused", "unknown").status_ == 401);
+  CHECK(fleet.SendRequest(0, "/read/1", "refused", "unknown").status_ == 401);
   CHECK(explains("refused", { "RequestRefused", "reason=unknown-key", "version=1", "fresh_ms=" }));
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
     fleet.TargetOf(host).LoseOneAnswerIn(1);
   }
-  CHECK(fleet.Ask(0, "/write/1", "unknown").status_ == 504);
+  CHECK(fleet.SendRequest(0, "/write/1", "unknown").status_ == 504);
   CHECK(explains("unknown",
                  { "CallEnded", "target=i-h", "RequestEnded", "outcome=unknown", "queue_ms=" }));
   fleet.Store().SetFault(UserStoreFault::kUnavailable);
   std::this_thread::sleep_for(milliseconds(5100));
-  CHECK(fleet.Ask(0, "/read/1", "outage").status_ == 503);
+  CHECK(fleet.SendRequest(0, "/read/1", "outage").status_ == 503);
   CHECK(explains("outage", { "RequestRefused", "reason=configuration-not-fresh" }));
   CHECK(fleet.Log(0).find("PlatformUnreachable") != std::string::npos);
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
@@ -257,8 +264,8 @@
   }
 }
 
-// Guards against calls of the store that grow with the hosts, and against followers that learn of
-// nothing once the host that reads for them is gone or can't reach the store.
+// Guards against a number of store calls that grows with the number of hosts, and against hosts
+// that miss changes once the host that reads the store for them is gone or can't reach the store.
 TEST_CASE("one host of a data centre reads the store for the others", "[users]")
 {
   UserFleet fleet(16);
@@ -266,7 +273,8 @@
   const auto followed = [&](std::size_t aHost) {
     return fleet.Log(aHost).find("StoreFeedFollowed") != std::string::npos;
   };
-  // Hosts 4 to 15 have an earlier one in their data centre, by name: h10 to h15 are before h2.
+  // In each data centre the first host by name reads the store, and the other 12 follow it. Names
+  // sort as text, so h10 to h15 come before h2.
   REQUIRE(Eventually(
     [&] {
       std::size_t followers = 0;
@@ -276,21 +284,21 @@
       return followers == 12;
     },
     seconds(5)));
-  // Open watches end with the next change.
+  // This change ends the watches that are still open.
   fleet.Store().Put("op", "config", UserDocument(2, { "k1", "k2" }).dump());
   std::this_thread::sleep_for(milliseconds(500));
   const std::uint64_t calls = fleet.Store().CallCount();
   auto document = UserDocument(3, { "k1" });
   fleet.Store().Put("op", "config", document.dump());
   const auto refused = [&](std::size_t aHost) {
-    return Eventually([&] { return fleet.Ask(aHost, "/read/1", "a", "k2").status_ == 401; },
+    return Eventually([&] { return fleet.SendRequest(aHost, "/read/1", "a", "k2").status_ == 401; },
                       seconds(1));
   };
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
     INFO("host " << host);
     CHECK(refused(host));
   }
-  // Four readers take the change and prove it.
+  // Only the four readers fetch the change and prove their freshness.
   CHECK(fleet.Store().CallCount() - calls < 4 * 8);
   for (const std::size_t reader : { 0, 1, 10, 11 }) {
     CHECK_FALSE(followed(reader));
@@ -301,27 +309,28 @@
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
     const bool reader = host < 2 || host == 10 || host == 11;
     INFO("host " << host);
-    CHECK((reader || Eventually([&] { return fleet.Ask(host, "/read/1", "b").status_ == 401; },
-                                milliseconds(2500))));
+    CHECK(
+      (reader || Eventually([&] { return fleet.SendRequest(host, "/read/1", "b").status_ == 401; },
+                            milliseconds(2500))));
   }
   for (const std::size_t reader : { 0, 1, 10, 11 }) {
     fleet.ProcessOf(reader).Signal(SIGCONT);
   }
 }
 
-// Guards against hosts that begin to read for themselves without a watch: they would find a change
-// only with their next proof, up to 2.8 s later.
+// Guards against hosts that start to read the store themselves without opening a watch: they would
+// learn of a change only with their next freshness proof, up to 2.8 s later.
 TEST_CASE("hosts that lost their reader learn of changes at once", "[users]")
 {
   UserFleet fleet(16);
   REQUIRE(fleet.WaitReady());
-  // By name, h0, h1, h10 and h11 are the first hosts of the four data centres.
+  // The first hosts of the four data centres in the order of their names.
   const std::vector<std::size_t> readers{ 0, 1, 10, 11 };
   std::this_thread::sleep_for(seconds(2));
   for (const std::size_t reader : readers) {
     fleet.ProcessOf(reader).Signal(SIGSTOP);
   }
-  // The watches that are still open end with this change, before the hosts read for themselves.
+  // This change ends the open watches before the hosts start to read the store themselves.
   fleet.Store().Put("op", "config", UserDocument(2, { "k1", "k2" }).dump());
   std::this_thread::sleep_for(milliseconds(1900));
   fleet.Store().Put("op", "config", UserDocument(3, {}).dump());
@@ -329,8 +338,9 @@
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
     const bool reader = std::find(readers.begin(), readers.end(), host) != readers.end();
     INFO("host " << host);
-    CHECK((reader || Eventually([&] { return fleet.Ask(host, "/read/1", "a").status_ == 401; },
-                                milliseconds(1000))));
+    CHECK(
+      (reader || Eventually([&] { return fleet.SendRequest(host, "/read/1", "a").status_ == 401; },
+                            milliseconds(1000))));
   }
   CHECK(Clock::now() - changed < milliseconds(1500));
   for (const std::size_t reader : readers) {
@@ -338,8 +348,8 @@
   }
 }
 
-// Guards against transfers of the document with every proof while other rows of the store change:
-// documents of many routes fill the link between regions, and changes come too late.
+// Guards against a transfer of the document with every freshness proof while other rows of the
+// store change. Documents with many routes would fill the link between regions and delay changes.
 TEST_CASE("rows of other tables cause no transfer of the document with each proof", "[users]")
 {
   UserFleet fleet(8);
@@ -350,15 +360,16 @@
     fleet.Store().Put("other", "row", std::to_string(i));
     std::this_thread::sleep_for(milliseconds(50));
   }
-  // Four readers prove every 0.7 s; each transfers the document about every 2.1 s.
+  // Four readers prove their freshness every 0.7 s, and each transfers the document about every 2.1
+  // s.
   CHECK(fleet.Store().DocumentReads() - reads <= 4 * 3);
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
-    CHECK(fleet.Ask(host, "/read/1", "a").status_ == 200);
+    CHECK(fleet.SendRequest(host, "/read/1", "a").status_ == 200);
   }
 }
 
-// Guards against hosts that don't come back when all of them lost everything at once, and against a
-// second row for one host when the store loses answers.
+// Guards against hosts that don't recover when all of them lose their state at once, and against
+// duplicate rows of a host when the store's responses are lost.
 TEST_CASE("all hosts restart at once while answers of the store are lost", "[users]")
 {
   UserFleet fleet(8);
@@ -371,7 +382,8 @@
     fleet.Restart(host);
   }
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
-    CHECK(Eventually([&] { return fleet.Ask(host, "/read/1", "a").status_ == 200; }, seconds(5)));
+    CHECK(Eventually([&] { return fleet.SendRequest(host, "/read/1", "a").status_ == 200; },
+                     seconds(5)));
   }
   fleet.Store().SetFault(UserStoreFault::kNone);
   fleet.Store().Compact();
@@ -379,9 +391,9 @@
     Eventually([&] { return fleet.Store().RowCount("quay_hosts") == fleet.Size(); }, seconds(3)));
   fleet.Store().Put("op", "config", UserDocument(9, { "k2" }).dump());
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
-    CHECK(
-      Eventually([&] { return fleet.Ask(host, "/read/1", "b", "k2").status_ == 200; }, seconds(3)));
-    CHECK(
-      Eventually([&] { return fleet.Ask(host, "/read/1", "c", "k1").status_ == 401; }, seconds(3)));
+    CHECK(Eventually([&] { return fleet.SendRequest(host, "/read/1", "b", "k2").status_ == 200; },
+                     seconds(3)));
+    CHECK(Eventually([&] { return fleet.SendRequest(host, "/read/1", "c", "k1").status_ == 401; },
+                     seconds(3)));
   }
 }
--- a/tests/soak/SoakTest.cpp
+++ b/tests/soak/SoakTest.cpp
@@ -1,6 +1,6 @@
-// Randomized soak: real quayd processes on the stand-ins of the users' platform, with faults
-// injected from outside while clients send requests: signals, links that delay, cut, silence or
-// reset, a store and targets that misbehave. SOAK_SEEDS=first-last runs other seeds by hand.
+// Randomized soak test: quayd processes on the stand-ins of the users' platform serve clients while
+// faults are injected: signals, links that are delayed, cut, silent or reset, and faults of the
+// store and the targets. The environment variable SOAK_SEEDS=first-last selects other seeds.
 #include "tests/failure/UserFleet.h"
 
 #include <catch2/catch.hpp>
@@ -16,80 +16,80 @@
 
 namespace {
 
-constexpr std::size_t kHosts = 6;
-constexpr int kFaults = 12;
-constexpr Duration kFaultTime = milliseconds(700);
+constexpr std::size_t kHostCount = 6;
+constexpr int kFaultCount = 12;
+constexpr Duration kFaultDuration = milliseconds(700);
 
-/// What a client saw of one request.
-struct Seen
+/// Response to one request as a client received it.
+struct ObservedResponse
 {
-  unsigned status_ = 0; ///< 0: no answer.
+  unsigned status_ = 0; ///< 0 if there was no response.
   std::string body_;
 };
 
-/// Clients that send until they are told to end.
+/// Client threads that send requests until Stop is called.
 class Clients
 {
 public:
   explicit Clients(UserFleet& aFleet, std::uint64_t aSeed)
     : fleet_(aFleet)
   {
-    for (std::size_t client = 0; client < kHosts; ++client) {
+    for (std::size_t client = 0; client < kHostCount; ++client) {
       threads_.emplace_back([this, client, aSeed] { Send(client, aSeed + client); });
     }
   }
   Clients(const Clients&) = delete;
   Clients& operator=(const Clients&) = delete;
-  ~Clients() { End(); }
+  ~Clients() { Stop(); }
 
-  std::map<std::string, Seen> End()
+  std::map<std::string, ObservedResponse> Stop()
   {
-    ending_ = true;
+    stopping_ = true;
     for (auto& thread : threads_) {
       if (thread.joinable()) {
         thread.join();
       }
     }
-    return seen_;
+    return responses_;
   }
 
 private:
   void Send(std::size_t aClient, std::uint64_t aSeed)
   {
     std::mt19937_64 random(aSeed);
-    // Half of the clients keep their connection for as long as it lives.
-    std::vector<std::unique_ptr<standins::HttpSession>> sessions(kHosts);
-    for (int i = 0; !ending_; ++i) {
+    // Clients with an odd number reuse their connections; the others open one for each request.
+    std::vector<std::unique_ptr<standins::HttpSession>> sessions(kHostCount);
+    for (int i = 0; !stopping_; ++i) {
       const bool write = random() % 2 == 0;
       const std::string id =
         (write ? "w" : "r") + std::to_string(aClient) + "-" + std::to_string(i);
-      const std::size_t host = random() % kHosts;
-      const auto query = UserFleet::Query(write ? "/write/1" : "/read/1", id);
+      const std::size_t host = random() % kHostCount;
+      const auto request = UserFleet::MakeRequest(write ? "/write/1" : "/read/1", id);
       auto& session = sessions[host];
       if (!session || aClient % 2 == 0) {
-        session = std::make_unique<standins::HttpSession>(fleet_.CallersOf(host));
+        session = std::make_unique<standins::HttpSession>(fleet_.CallersAddress(host));
       }
-      const auto result = session->Fetch(query);
+      const auto result = session->Fetch(request);
       if (result.has_error()) {
-        // The process may have come back on other ports.
+        // The process may have been restarted on other ports.
         session.reset();
       }
       const auto reply = result.has_value() ? result.assume_value() : standins::FetchResponse{};
       const std::lock_guard lock(mutex_);
-      seen_[id] = { reply.status_, reply.body_ };
+      responses_[id] = { reply.status_, reply.body_ };
     }
   }
 
   UserFleet& fleet_;
-  std::atomic<bool> ending_{ false };
-  std::mutex mutex_; ///< Guards seen_.
-  std::map<std::string, Seen> seen_;
+  std::atomic<bool> stopping_{ false };
+  std::mutex mutex_; ///< Guards responses_.
+  std::map<std::string, ObservedResponse> responses_;
   std::vector<std::thread> threads_;
 };
 
-std::string LinkFault(std::mt19937_64& aRandom)
+std::string RandomLinkFault(std::mt19937_64& aRandom)
 {
-  static const std::vector<std::string> kFaults = {
+  static const std::vector<std::string> kLinkFaults = {
     R"({"cut":true})",
     R"({"cut_answers":true})",
     R"({"silence_existing":true})",
@@ -97,25 +97,27 @@
     R"({"delay_ms":60})",
     R"({"cut":false,"cut_answers":false,"delay_ms":0})"
   };
-  return kFaults[aRandom() % kFaults.size()];
+  return kLinkFaults[aRandom() % kLinkFaults.size()];
 }
 
-/// Injects one fault, lets it last, and ends it. Faults follow one another without a pause.
-void Inject(UserFleet& aFleet, std::mt19937_64& aRandom, std::vector<bool>& aDown)
+/// Injects one random fault and waits for kFaultDuration. Only a paused process is resumed at the
+/// end; other faults last until they are replaced or EndFaults is called. Restarts some stopped
+/// processes.
+void InjectFault(UserFleet& aFleet, std::mt19937_64& aRandom, std::vector<bool>& aIsDown)
 {
-  const std::size_t host = aRandom() % kHosts;
+  const std::size_t host = aRandom() % kHostCount;
   switch (aRandom() % 10) {
     case 0:
       aFleet.ProcessOf(host).Signal(SIGKILL);
-      aDown[host] = true;
+      aIsDown[host] = true;
       break;
     case 1:
       aFleet.ProcessOf(host).Signal(SIGTERM);
-      aDown[host] = true;
+      aIsDown[host] = true;
       break;
     case 2:
       aFleet.ProcessOf(host).Signal(SIGSTOP);
-      std::this_thread::sleep_for(kFaultTime);
+      std::this_thread::sleep_for(kFaultDuration);
       aFleet.ProcessOf(host).Signal(SIGCONT);
       return;
     case 3:
@@ -135,79 +137,83 @@
       aFleet.TargetOf(host).SetServiceTime(milliseconds(5 + aRandom() % 400));
       break;
     default:
-      // Links misbehave until the end of the next fault of the same link, or of the run.
-      aFleet.LinksOf(host).Set(aRandom() % 2 == 0, LinkFault(aRandom));
+      // The link fault lasts until the next fault of the same link or until EndFaults.
+      aFleet.LinksOf(host).SetFaults(aRandom() % 2 == 0, RandomLinkFault(aRandom));
       break;
   }
-  std::this_thread::sleep_for(kFaultTime);
-  // Processes come back while other faults go on.
-  for (std::size_t down = 0; down < kHosts; ++down) {
-    if (aDown[down] && aRandom() % 2 == 0) {
+  std::this_thread::sleep_for(kFaultDuration);
+  // Restarts stopped processes at random while other faults are still active.
+  for (std::size_t down = 0; down < kHostCount; ++down) {
+    if (aIsDown[down] && aRandom() % 2 == 0) {
       aFleet.Restart(down);
-      aDown[down] = false;
+      aIsDown[down] = false;
     }
   }
 }
 
-void EndFaults(UserFleet& aFleet, std::vector<bool>& aDown)
+void EndFaults(UserFleet& aFleet, std::vector<bool>& aIsDown)
 {
   aFleet.Store().SetFault(UserStoreFault::kNone);
-  for (std::size_t host = 0; host < kHosts; ++host) {
+  for (std::size_t host = 0; host < kHostCount; ++host) {
     for (const bool store : { true, false }) {
-      aFleet.LinksOf(host).Set(store, R"({"cut":false,"cut_answers":false,"delay_ms":0})");
+      aFleet.LinksOf(host).SetFaults(store, R"({"cut":false,"cut_answers":false,"delay_ms":0})");
     }
     aFleet.TargetOf(host).LoseOneAnswerIn(0);
     aFleet.TargetOf(host).SetServiceTime(milliseconds(5));
-    if (aDown[host]) {
+    if (aIsDown[host]) {
       aFleet.Restart(host);
     }
   }
 }
 
-void CheckPromises(const std::map<std::string, Seen>& aSeen, std::map<std::string, int> aRuns)
+/// Checks that no write ran twice, that a refused write didn't run, that responses belong to their
+/// requests, and that valid keys and routes were never rejected.
+void CheckResponses(const std::map<std::string, ObservedResponse>& aResponses,
+                    std::map<std::string, int> aExecutionCounts)
 {
-  for (const auto& [id, seen] : aSeen) {
-    INFO(id << " status " << seen.status_ << " ran " << aRuns[id]);
+  for (const auto& [id, response] : aResponses) {
+    INFO(id << " status " << response.status_ << " ran " << aExecutionCounts[id]);
     const bool write = id.front() == 'w';
-    CHECK((!write || aRuns[id] <= 1));
-    const bool promised = seen.status_ == 503 || seen.status_ == 429;
-    CHECK((!write || !promised || aRuns[id] == 0));
-    CHECK((seen.status_ != 200 || seen.body_ == "answer to " + id));
-    CHECK(seen.status_ != 401);
-    CHECK(seen.status_ != 404);
+    CHECK((!write || aExecutionCounts[id] <= 1));
+    const bool wasRefused = response.status_ == 503 || response.status_ == 429;
+    CHECK((!write || !wasRefused || aExecutionCounts[id] == 0));
+    CHECK((response.status_ != 200 || response.body_ == "answer to " + id));
+    CHECK(response.status_ != 401);
+    CHECK(response.status_ != 404);
   }
 }
 
 void RunSeed(std::uint64_t aSeed)
 {
   INFO("seed " << aSeed);
-  UserFleet fleet(kHosts, true);
+  UserFleet fleet(kHostCount, true);
   REQUIRE(fleet.WaitReady());
   std::mt19937_64 random(aSeed);
-  std::vector<bool> down(kHosts, false);
+  std::vector<bool> down(kHostCount, false);
   Clients clients(fleet, aSeed);
-  for (int i = 0; i < kFaults; ++i) {
-    Inject(fleet, random, down);
+  for (int i = 0; i < kFaultCount; ++i) {
+    InjectFault(fleet, random, down);
   }
   EndFaults(fleet, down);
-  // Every host serves again, with all keys, within the time that the users give for recovery.
-  for (std::size_t host = 0; host < kHosts; ++host) {
+  // Every host must serve again within the users' recovery time.
+  for (std::size_t host = 0; host < kHostCount; ++host) {
     bool served = false;
     for (int i = 0; i < 300 && !served; ++i) {
-      served = fleet.Ask(host, "/read/1", "after").status_ == 200;
+      served = fleet.SendRequest(host, "/read/1", "after").status_ == 200;
       std::this_thread::sleep_for(milliseconds(50));
     }
     INFO("host " << host);
     CHECK(served);
   }
-  const auto seen = clients.End();
-  CHECK(seen.size() > 50);
-  CheckPromises(seen, fleet.Runs());
+  const auto responses = clients.Stop();
+  CHECK(responses.size() > 50);
+  CheckResponses(responses, fleet.ExecutionCounts());
 }
 
 } // namespace
 
-// Guards the promises of the users' rules under faults that overlap and come in series.
+// Guards against violations of the users' rules under overlapping and consecutive faults: a write
+// that runs twice, a false refusal, a wrong response, or a host that doesn't recover.
 TEST_CASE("promises hold under random faults", "[soak]")
 {
   std::uint64_t first = 1;
