--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,5 +1,6 @@
-// Measures what control costs one node, by role and fleet size, with the real modules and synthetic
-// peers. Prints the slopes that docs/CAPACITY.md derives its tables from.
+// Measures the memory, processor time and traffic that the control plane costs one node, by role
+// and fleet size, with the real modules and synthetic peers. The tables of docs/CAPACITY.md are
+// derived from its output.
 #include "peridotquay/connection/PeerCodec.h"
 #include "peridotquay/process/MakeControlPlane.h"
 #include "peridotquay/process/ShareLease.h"
@@ -30,7 +31,7 @@
 
 } // namespace
 
-// Counts what the modules hold, as the allocator rounds it.
+// Counts the allocated bytes, including the rounding of the allocator.
 void* operator new(std::size_t aSize)
 {
   void* memory = std::malloc(aSize);
@@ -58,8 +59,8 @@
 
 namespace {
 
-// Bytes below the message on the wire: IP and UDP, or IP, TCP with time stamps and the frame
-// length.
+// Bytes that a message adds on the wire: IP and UDP headers for a datagram; IP and TCP headers with
+// time stamps and the frame length for a stream.
 constexpr std::size_t kDatagramOverhead = 28;
 constexpr std::size_t kFrameOverhead = 56;
 
@@ -70,7 +71,7 @@
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
 }
 
-// A fleet of equal data centres.
+// A fleet whose data centres all have the same size.
 struct Fleet
 {
   const char* name_;
@@ -124,14 +125,14 @@
                                         (aDatagram ? kDatagramOverhead : kFrameOverhead));
 }
 
-// One real node in the first data centre with synthetic peers that answer at once.
-class Bench
+// One real node in the first data centre, with synthetic peers that respond immediately.
+class SimulatedNode
 {
 public:
-  Bench(const Fleet& aFleet, std::size_t aPosition)
+  SimulatedNode(const Fleet& aFleet, std::size_t aPosition)
     : fleet_(aFleet)
   {
-    // The host at the wanted position of the tree.
+    // Selects the host at position aPosition of the push tree.
     std::vector<std::pair<std::uint64_t, std::size_t>> order;
     for (std::size_t i = 0; i < aFleet.members_; ++i) {
       order.emplace_back(~RankWeight(kDelegateRole, { "dc0" }, MakeEntry(0, i).host_), i);
@@ -144,7 +145,7 @@
     for (std::size_t i = 0; i < aFleet.members_; ++i) {
       entries.push_back(MakeEntry(0, i));
     }
-    // As many of other data centres as the table holds.
+    // Fills the table up to its maximum with members of other data centres.
     for (std::size_t i = 0; i < aFleet.members_; ++i) {
       for (std::size_t centre = 1; centre < aFleet.centres_; ++centre) {
         if (entries.size() < membership_.settings_.maxMembers_) {
@@ -152,14 +153,14 @@
         }
       }
     }
-    tableBytes_ = EncodePeerMessage(MemberTable{ true, entries }).size() + kFrameOverhead;
-    tableSeconds_ = std::max(ToSeconds(membership_.settings_.antiEntropyInterval_),
-                             ToSeconds(membership_.settings_.antiEntropyIntervalPerMember_) *
-                               static_cast<double>(entries.size()));
+    memberTableBytes_ = EncodePeerMessage(MemberTable{ true, entries }).size() + kFrameOverhead;
+    antiEntropySeconds_ = std::max(ToSeconds(membership_.settings_.antiEntropyInterval_),
+                                   ToSeconds(membership_.settings_.antiEntropyIntervalPerMember_) *
+                                     static_cast<double>(entries.size()));
     MembershipEffects ignored;
     HandleMembershipMessage(
       membership_, {}, MemberTable{ false, std::move(entries) }, now_, ignored);
-    // A settled table: the news of the start has travelled.
+    // Discards the updates of the initial join, as in a fleet where they have already spread.
     membership_.updates_.clear();
     membership_.sendsLeft_.clear();
     entries = {};
@@ -176,11 +177,12 @@
     position_ = aPosition;
   }
 
-  // Simulated seconds of a quiet fleet.
+  // Measures aSeconds of simulated time in an idle fleet.
   void Run(std::size_t aSeconds)
   {
-    // The start isn't counted: whole tables are compared often, and a new delegate tells all.
-    Steps(5);
+    // Excludes the start, when whole tables are compared often and a new delegate sends summaries
+    // of all members.
+    Advance(5);
     for (auto& [id, centre] : membership_.centres_) {
       centre.pending_.clear();
       centre.pendingSet_.clear();
@@ -188,15 +190,15 @@
     membership_.nextAntiEntropyAt_ = now_ + std::chrono::hours(1);
     sent_.clear();
     received_.clear();
-    cpu_ = 0;
+    cpuSeconds_ = 0;
     platformReads_ = 0;
     platformWrites_ = 0;
-    Steps(aSeconds);
+    Advance(aSeconds);
   }
 
-  void Steps(std::size_t aSeconds)
+  void Advance(std::size_t aSeconds)
   {
-    seconds_ = static_cast<double>(aSeconds);
+    simulatedSeconds_ = static_cast<double>(aSeconds);
     for (std::size_t step = 0; step < aSeconds * 10; ++step) {
       now_ += milliseconds(100);
       const auto started = CpuSeconds();
@@ -204,16 +206,16 @@
       StepMembership(membership_, now_, effects);
       DisseminationEffects versions;
       StepDissemination(versions_, now_, 0, versions);
-      cpu_ += CpuSeconds() - started;
-      Answer(effects);
-      Answer(versions);
+      cpuSeconds_ += CpuSeconds() - started;
+      HandleEffects(effects);
+      HandleEffects(versions);
       if (step % 10 == 5) {
-        Receive();
+        ReceivePeriodicMessages();
       }
     }
   }
 
-  double TableSeconds()
+  double MeasureRebuildSeconds()
   {
     const auto started = CpuSeconds();
     const auto view = MakeTargetView(membership_);
@@ -228,28 +230,28 @@
   std::shared_ptr<const MemberRanking> ranking_;
   TrafficByKind sent_;
   TrafficByKind received_;
-  std::size_t tableBytes_ = 0; ///< One comparison of tables, each way.
-  double tableSeconds_ = 0;    ///< Between two of them.
+  std::size_t memberTableBytes_ = 0; ///< One anti-entropy exchange, in each direction.
+  double antiEntropySeconds_ = 0;    ///< Interval between two exchanges.
   std::size_t memberBytes_ = 0;
   std::size_t rankingBytes_ = 0;
   std::size_t viewBytes_ = 0;
   std::size_t position_ = 0;
-  double seconds_ = 0;
-  double cpu_ = 0;
+  double simulatedSeconds_ = 0;
+  double cpuSeconds_ = 0;
   double platformReads_ = 0;
   double platformWrites_ = 0;
 
 private:
-  // Sends a message of the node: encoding costs processor time.
-  void Sent(const ControlMessage& aMessage)
+  // Counts a message that the node sends, and the processor time of its encoding.
+  void RecordSent(const ControlMessage& aMessage)
   {
     const auto started = CpuSeconds();
     const auto body = EncodePeerMessage(aMessage.message_);
-    cpu_ += CpuSeconds() - started;
+    cpuSeconds_ += CpuSeconds() - started;
     Count(sent_, aMessage.message_, aMessage.datagram_);
   }
 
-  void Arrive(const MemberEntry& aFrom, const PeerMessage& aMessage, bool aDatagram)
+  void HandleReceived(const MemberEntry& aFrom, const PeerMessage& aMessage, bool aDatagram)
   {
     Count(received_, aMessage, aDatagram);
     const auto body = EncodePeerMessage(aMessage);
@@ -260,20 +262,20 @@
     HandleMembershipMessage(membership_, aFrom.peer_, decoded.assume_value(), now_, effects);
     DisseminationEffects versions;
     HandleVersionMessage(versions_, hello, aFrom.peer_, decoded.assume_value(), now_, versions);
-    cpu_ += CpuSeconds() - started;
-    Answer(effects);
-    Answer(versions);
+    cpuSeconds_ += CpuSeconds() - started;
+    HandleEffects(effects);
+    HandleEffects(versions);
   }
 
-  void Answer(MembershipEffects& aEffects)
+  void HandleEffects(MembershipEffects& aEffects)
   {
     for (const auto& message : aEffects.messages_) {
-      Sent(message);
+      RecordSent(message);
       if (const auto* probe = std::get_if<Probe>(&message.message_)) {
         for (const auto& [host, member] : membership_.members_) {
           if (member.entry_.peer_ == message.to_) {
             const auto entry = member.entry_;
-            Arrive(entry, ProbeAck{ probe->sequence_, entry, {} }, true);
+            HandleReceived(entry, ProbeAck{ probe->sequence_, entry, {} }, true);
             break;
           }
         }
@@ -281,20 +283,20 @@
     }
     for (auto& message : aEffects.summaries_) {
       FillSummary(versions_, std::get<DataCentreSummary>(message.message_), now_);
-      Sent(message);
+      RecordSent(message);
     }
   }
 
-  void Answer(DisseminationEffects& aEffects)
+  void HandleEffects(DisseminationEffects& aEffects)
   {
     for (const auto& message : aEffects.messages_) {
-      Sent(message);
+      RecordSent(message);
       if (const auto* sync = std::get_if<SyncRequest>(&message.message_)) {
         SyncReply reply;
         reply.nonce_ = sync->nonce_;
         reply.version_ = versions_.version_;
         reply.ageMs_ = 300;
-        Arrive(membership_.self_, reply, false);
+        HandleReceived(membership_.self_, reply, false);
       }
     }
     if (aEffects.call_) {
@@ -305,23 +307,24 @@
       const auto started = CpuSeconds();
       DisseminationEffects effects;
       HandlePlatformAnswer(versions_, answer, now_, effects);
-      cpu_ += CpuSeconds() - started;
-      Answer(effects);
+      cpuSeconds_ += CpuSeconds() - started;
+      HandleEffects(effects);
     }
   }
 
-  // What a node receives in one second: a probe, its children's syncs, summaries.
-  void Receive()
+  // Delivers the messages that a node receives every second: a probe, sync requests of its children
+  // in the push tree and, to delegates, summaries of the other data centres.
+  void ReceivePeriodicMessages()
   {
     const auto& members = ranking_->members_;
     if (members.size() > 1) {
       const auto prober = membership_.members_.begin()->second.entry_;
-      Arrive(prober, Probe{ 1, prober, {} }, true);
+      HandleReceived(prober, Probe{ 1, prober, {} }, true);
     }
     for (const auto child : TreeChildren(position_, members.size(), 8)) {
       auto entry = membership_.self_;
       entry.host_ = members[child].host_;
-      Arrive(entry, SyncRequest{ 1, versions_.version_, versions_.version_, 8, {} }, false);
+      HandleReceived(entry, SyncRequest{ 1, versions_.version_, versions_.version_, 8, {} }, false);
     }
     if (position_ < 2) {
       for (std::size_t centre = 1; centre < fleet_.centres_; ++centre) {
@@ -329,26 +332,27 @@
         summary.dataCentre_.value_ = "dc" + std::to_string(centre);
         summary.platformReachable_ = true;
         summary.members_ = { MakeEntry(centre, 0), MakeEntry(centre, 1), MakeEntry(centre, 2) };
-        Arrive(MakeEntry(centre, 0), summary, false);
+        HandleReceived(MakeEntry(centre, 0), summary, false);
       }
     }
   }
 };
 
-void PrintTraffic(const char* aWay, const TrafficByKind& aTraffic, double aSeconds)
+void PrintTraffic(const char* aDirection, const TrafficByKind& aTraffic, double aSeconds)
 {
   double messages = 0;
   double bytes = 0;
   for (const auto& [kind, traffic] : aTraffic) {
     std::printf("    %-8s %-13s %8.3f messages/s %9.1f bytes/s\n",
-                aWay,
+                aDirection,
                 kind.c_str(),
                 traffic.messages_ / aSeconds,
                 traffic.bytes_ / aSeconds);
     messages += traffic.messages_ / aSeconds;
     bytes += traffic.bytes_ / aSeconds;
   }
-  std::printf("    %-8s %-13s %8.3f messages/s %9.1f bytes/s\n", aWay, "all", messages, bytes);
+  std::printf(
+    "    %-8s %-13s %8.3f messages/s %9.1f bytes/s\n", aDirection, "all", messages, bytes);
 }
 
 void MeasureRoles()
@@ -366,26 +370,26 @@
   std::printf("== quiet node by role, %zu simulated seconds\n", kSeconds);
   for (const auto& fleet : kFleets) {
     for (const auto& role : kRoles) {
-      Bench bench(fleet, std::min(role.position_, fleet.members_ - 1));
-      bench.Run(kSeconds);
+      SimulatedNode simulatedNode(fleet, std::min(role.position_, fleet.members_ - 1));
+      simulatedNode.Run(kSeconds);
       std::printf("  fleet %s, %s: membership %zu B for %zu members, ranking %zu B, view %zu B; "
                   "modules and codec %.4f %% of a core; view and ranking rebuilt in %.3f ms; "
                   "platform reads %.2f/s writes %.2f/s; a table comparison of %zu B each way "
                   "every %.0f s\n",
                   fleet.name_,
                   role.name_,
-                  bench.memberBytes_,
-                  bench.membership_.members_.size(),
-                  bench.rankingBytes_,
-                  bench.viewBytes_,
-                  bench.cpu_ / bench.seconds_ * 100,
-                  bench.TableSeconds() * 1000,
-                  bench.platformReads_ / bench.seconds_,
-                  bench.platformWrites_ / bench.seconds_,
-                  bench.tableBytes_,
-                  bench.tableSeconds_);
-      PrintTraffic("sent", bench.sent_, bench.seconds_);
-      PrintTraffic("received", bench.received_, bench.seconds_);
+                  simulatedNode.memberBytes_,
+                  simulatedNode.membership_.members_.size(),
+                  simulatedNode.rankingBytes_,
+                  simulatedNode.viewBytes_,
+                  simulatedNode.cpuSeconds_ / simulatedNode.simulatedSeconds_ * 100,
+                  simulatedNode.MeasureRebuildSeconds() * 1000,
+                  simulatedNode.platformReads_ / simulatedNode.simulatedSeconds_,
+                  simulatedNode.platformWrites_ / simulatedNode.simulatedSeconds_,
+                  simulatedNode.memberTableBytes_,
+                  simulatedNode.antiEntropySeconds_);
+      PrintTraffic("sent", simulatedNode.sent_, simulatedNode.simulatedSeconds_);
+      PrintTraffic("received", simulatedNode.received_, simulatedNode.simulatedSeconds_);
     }
   }
 }
@@ -429,9 +433,9 @@
       std::printf("  compile failed: %s\n", Describe(config.assume_error()).c_str());
       continue;
     }
-    constexpr int kChanges = 20;
+    constexpr int kChangeCount = 20;
     const auto started = CpuSeconds();
-    for (int i = 0; i < kChanges; ++i) {
+    for (int i = 0; i < kChangeCount; ++i) {
       Change change;
       change.version_ = static_cast<Version>(i) + 2;
       change.edits_ = { { "account/account-0",
@@ -440,7 +444,7 @@
       MarkEntitiesChanged(cache, change.edits_);
       config = CompileConfig(cache, entities, { "dc0" }, change.version_);
     }
-    const auto each = (CpuSeconds() - started) / kChanges;
+    const auto secondsPerChange = (CpuSeconds() - started) / kChangeCount;
     std::printf("  %zu accounts, %zu routes: %zu entities, %zu B of text, %zu B as entities, %zu B "
                 "compiled; %.3f ms for each change, %.3f us for each entity; at 1.16 changes/s "
                 "%.3f %% of a core\n",
@@ -450,9 +454,9 @@
                 textBytes,
                 entityBytes,
                 configBytes,
-                each * 1000,
-                each * 1e6 / static_cast<double>(entities.size()),
-                each * 1.16 * 100);
+                secondsPerChange * 1000,
+                secondsPerChange * 1e6 / static_cast<double>(entities.size()),
+                secondsPerChange * 1.16 * 100);
   }
 }
 
@@ -474,19 +478,19 @@
       ranking.members_.push_back({ MakeEntry(0, i).host_, {} });
     }
     const auto started = CpuSeconds();
-    constexpr int kOrders = 50;
+    constexpr int kOrderCount = 50;
     std::size_t sum = 0;
-    for (int i = 0; i < kOrders; ++i) {
+    for (int i = 0; i < kOrderCount; ++i) {
       sum += PushOrder(ranking, static_cast<Version>(i), 8).size();
     }
-    const auto order = (CpuSeconds() - started) / kOrders;
+    const auto order = (CpuSeconds() - started) / kOrderCount;
     std::printf("  %zu members: depth %zu hops, %zu B for a push with one edit, order computed in "
                 "%.1f us (%zu)\n",
                 fleet.members_,
                 depth,
                 bytes,
                 order * 1e6,
-                sum / kOrders);
+                sum / kOrderCount);
   }
 }
 
@@ -521,16 +525,16 @@
     const auto row = EncodeSharePool(pool);
     const auto decoded = DecodeSharePool(row);
     const auto rowSeconds = CpuSeconds() - started;
-    constexpr int kRequests = 200'000;
+    constexpr int kRequestCount = 200'000;
     auto time = now + seconds(2);
     const auto grantsStarted = CpuSeconds();
     std::uint64_t last = 0;
-    for (int i = 0; i < kRequests; ++i) {
+    for (int i = 0; i < kRequestCount; ++i) {
       time += microseconds(20);
       const auto& id = ids[static_cast<std::size_t>(i) % accounts];
       last = GrantTokens(ledger, { "h" }, { 1, id, 0, 0, 3 }, kMaxGrantLifetime, time).grant_;
     }
-    const auto grantSeconds = (CpuSeconds() - grantsStarted) / kRequests;
+    const auto grantSeconds = (CpuSeconds() - grantsStarted) / kRequestCount;
     std::printf(
       "  %zu accounts: ledger %zu B, pool %zu B in memory, row %zu B, row written and read "
       "in %.2f ms, %.2f us for each request (last grant %llu, %zu B)\n",
@@ -545,10 +549,10 @@
   }
   const ShareRequest request{ 1ULL << 60U, { "account-1000" }, 123456, 4, 5 };
   const ShareGrant grant{ 1ULL << 60U, { "account-1000" }, 123457, 5, 1000, 0 };
-  constexpr int kCodec = 100'000;
+  constexpr int kCodecRounds = 100'000;
   const auto started = CpuSeconds();
   std::size_t bytes = 0;
-  for (int i = 0; i < kCodec; ++i) {
+  for (int i = 0; i < kCodecRounds; ++i) {
     bytes += EncodePeerMessage(request).size();
     bytes += DecodePeerMessage(EncodePeerMessage(grant)).has_value() ? 1U : 0U;
   }
@@ -556,7 +560,7 @@
     "  request %zu B and grant %zu B on the wire, %.2f us to encode and decode both (%zu)\n",
     EncodePeerMessage(request).size() + kFrameOverhead,
     EncodePeerMessage(grant).size() + kFrameOverhead,
-    (CpuSeconds() - started) / kCodec * 1e6,
+    (CpuSeconds() - started) / kCodecRounds * 1e6,
     bytes);
 }
 
@@ -584,22 +588,22 @@
   return resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
 }
 
-// One control plane with its actors and timers, alone and without a platform, on the real clock.
+// Measures one control plane with its actors and timers, without peers or platform, in real time.
 void MeasureIdle()
 {
   const auto residentBefore = ResidentBytes();
-  DataPlaneCallbacks port;
-  port.sendPeer_ = [](const Address&, PeerMessage) {};
-  port.sendDatagram_ = [](const Address&, PeerMessage) {};
-  port.publishConfig_ = [](std::shared_ptr<const Config>) {};
-  port.publishTargets_ = [](std::shared_ptr<const TargetView>) {};
-  port.publishFreshness_ = [](TimePoint) {};
-  port.deliverGrant_ = [](ShareGrant, TimePoint) {};
+  DataPlaneCallbacks callbacks;
+  callbacks.sendPeer_ = [](const Address&, PeerMessage) {};
+  callbacks.sendDatagram_ = [](const Address&, PeerMessage) {};
+  callbacks.publishConfig_ = [](std::shared_ptr<const Config>) {};
+  callbacks.publishTargets_ = [](std::shared_ptr<const TargetView>) {};
+  callbacks.publishFreshness_ = [](TimePoint) {};
+  callbacks.deliverGrant_ = [](ShareGrant, TimePoint) {};
   NodeSettings settings;
   settings.host_.value_ = "host";
   settings.dataCentre_.value_ = "dc0";
   settings.peers_ = { "127.0.0.1", 7000 };
-  const auto plane = MakeControlPlane(settings, 1, port);
+  const auto controlPlane = MakeControlPlane(settings, 1, callbacks);
   std::this_thread::sleep_for(seconds(1));
   const auto started = ProcessCpuSeconds();
   std::this_thread::sleep_for(seconds(10));
@@ -608,7 +612,7 @@
               ResidentBytes() - residentBefore);
 }
 
-// Seconds until no living node counts any of the stopped ones as usable.
+// Measures the seconds until no running node lists any of the stopped nodes as usable.
 void MeasureDetection()
 {
   std::printf("== detection in a simulated data centre\n");
@@ -624,16 +628,16 @@
     double all = 0;
     for (int tick = 1; tick <= 1200 && all == 0; ++tick) {
       network.Run(milliseconds(100));
-      std::size_t clean = 0;
+      std::size_t updatedNodes = 0;
       for (const auto& node : network.nodes_) {
         if (!node.stopped_ && MakeTargetView(node.membership_).hosts_.size() == nodes - stopped) {
-          ++clean;
+          ++updatedNodes;
         }
       }
       if (first == 0 && network.CountSeeing(nodes - 1, MemberState::kDead) > 0) {
         first = tick / 10.0;
       }
-      if (clean == nodes - stopped) {
+      if (updatedNodes == nodes - stopped) {
         all = tick / 10.0;
       }
     }
--- a/bench/path_latency.cpp
+++ b/bench/path_latency.cpp
@@ -1,6 +1,7 @@
-// Measures the latency that passing through two hosts adds: the same requests at a fixed rate go to
-// a target directly and through a first host and a guard, alternating in slices so that both see
-// the same machine load. Nodes, target and callers run on threads of this process over loopback.
+// Measures the latency that two hosts add to a request. The same requests are sent at a fixed rate
+// directly to a target, and through a first host and a guard. Both paths alternate in short slices,
+// so that they see the same machine load. Nodes, target and callers are threads of this process and
+// use the loopback interface.
 #include "peridotquay/connection/HttpFront.h"
 #include "peridotquay/process/Node.h"
 
@@ -21,24 +22,24 @@
 #include <unistd.h>
 #include <vector>
 
-ABSL_FLAG(double, rate, 253, "requests a second");
-ABSL_FLAG(int, seconds, 10, "seconds measured for each of the two ways");
-ABSL_FLAG(int, body_bytes, 200, "bytes of each request and answer body");
+ABSL_FLAG(double, rate, 253, "requests per second");
+ABSL_FLAG(int, seconds, 10, "seconds measured for each of the two paths");
+ABSL_FLAG(int, body_bytes, 200, "bytes of each request and response body");
 
 using namespace peridotquay;
 
 namespace {
 
 constexpr int kConnections = 8;
-constexpr Duration kSlice = milliseconds(500);
+constexpr Duration kSliceDuration = milliseconds(500);
 const std::string kKey = "bench-key";
 
-// Grants every request for tokens.
-class GrantingControl final : public ControlPlane
+// Control plane that grants every request for tokens.
+class GrantingControlPlane final : public ControlPlane
 {
 public:
-  explicit GrantingControl(DataPlaneCallbacks aPort)
-    : port_(std::move(aPort))
+  explicit GrantingControlPlane(DataPlaneCallbacks aCallbacks)
+    : callbacks_(std::move(aCallbacks))
   {
   }
   void OnPeerMessage(const Hello& /*aFrom*/,
@@ -50,8 +51,8 @@
   void RequestTokens(ShareRequest aRequest) override
   {
     if (aRequest.wanted_ > 0) {
-      port_.deliverGrant_(
-        { aRequest.nonce_, aRequest.clientAccount_, ++grant_, aRequest.wanted_, 1000, 0 },
+      callbacks_.deliverGrant_(
+        { aRequest.nonce_, aRequest.clientAccount_, ++lastGrantId_, aRequest.wanted_, 1000, 0 },
         Clock::now());
     }
   }
@@ -61,33 +62,35 @@
   void AnnounceLeft(const HostId& /*aSuccessor*/) override {}
   ControlStatus Status() const override { return {}; }
 
-  DataPlaneCallbacks port_;
+  DataPlaneCallbacks callbacks_;
 
 private:
-  std::atomic<std::uint64_t> grant_{ 0 };
+  std::atomic<std::uint64_t> lastGrantId_{ 0 };
 };
 
 struct BenchNode
 {
-  GrantingControl* control_ = nullptr;
+  GrantingControlPlane* control_ = nullptr;
   std::unique_ptr<Node> node_;
   std::thread thread_;
 
-  BenchNode(const std::string& aHost, const std::string& aService, std::uint16_t aTarget)
+  BenchNode(const std::string& aHost, const std::string& aService, std::uint16_t aTargetPort)
   {
     NodeSettings settings;
     settings.host_ = { aHost };
     settings.dataCentre_ = { "dc" };
     settings.region_ = { "region" };
     settings.service_ = { aService };
-    settings.target_ = { "127.0.0.1", aTarget };
-    auto node = Node::Start(settings,
-                            [this](const NodeSettings&, Incarnation, DataPlaneCallbacks aPort)
-                              -> Result<std::unique_ptr<ControlPlane>> {
-                              auto control = std::make_unique<GrantingControl>(std::move(aPort));
-                              control_ = control.get();
-                              return std::unique_ptr<ControlPlane>(std::move(control));
-                            });
+    settings.target_ = { "127.0.0.1", aTargetPort };
+    auto node =
+      Node::Start(settings,
+                  [this](const NodeSettings&,
+                         Incarnation,
+                         DataPlaneCallbacks aCallbacks) -> Result<std::unique_ptr<ControlPlane>> {
+                    auto control = std::make_unique<GrantingControlPlane>(std::move(aCallbacks));
+                    control_ = control.get();
+                    return std::unique_ptr<ControlPlane>(std::move(control));
+                  });
     if (node.has_error()) {
       std::cerr << Describe(node.assume_error()) << "\n";
       std::exit(1);
@@ -120,24 +123,25 @@
   return descriptor;
 }
 
-// Sends a request and reads its whole answer; false if the status isn't 200.
+// Sends a request and reads the complete response. Returns false if the status isn't 200 or the
+// connection fails.
 bool Exchange(int aSocket, const std::string& aRequest, std::size_t aBodyBytes)
 {
   if (::send(aSocket, aRequest.data(), aRequest.size(), MSG_NOSIGNAL) !=
       static_cast<ssize_t>(aRequest.size())) {
     return false;
   }
-  std::string answer;
+  std::string response;
   std::vector<char> bytes(65536);
   while (true) {
-    const auto got = ::recv(aSocket, bytes.data(), bytes.size(), 0);
-    if (got <= 0) {
+    const auto received = ::recv(aSocket, bytes.data(), bytes.size(), 0);
+    if (received <= 0) {
       return false;
     }
-    answer.append(bytes.data(), static_cast<std::size_t>(got));
-    const std::size_t end = answer.find("\r\n\r\n");
-    if (end != std::string::npos && answer.size() >= end + 4 + aBodyBytes) {
-      return answer.compare(0, 12, "HTTP/1.1 200") == 0;
+    response.append(bytes.data(), static_cast<std::size_t>(received));
+    const std::size_t end = response.find("\r\n\r\n");
+    if (end != std::string::npos && response.size() >= end + 4 + aBodyBytes) {
+      return response.compare(0, 12, "HTTP/1.1 200") == 0;
     }
   }
 }
@@ -148,22 +152,23 @@
   int failed_ = 0;
 };
 
-// One connection's part of the load. Latency counts from sending, because the timer's own delay is
-// the same on both ways and larger than what is measured.
+// Sends requests on one connection at a fixed interval. Latency is measured from the time of
+// sending rather than from the due time, because the delay of the timer is the same on both paths
+// and exceeds the added latency.
 void RunConnection(std::uint16_t aPort,
                    const std::string& aRequest,
                    std::size_t aBodyBytes,
                    TimePoint aStart,
                    TimePoint aEnd,
-                   Duration aStep,
+                   Duration aInterval,
                    Samples& aSamples)
 {
   const int socket = Connect(aPort);
-  for (TimePoint due = aStart; due < aEnd; due += aStep) {
+  for (TimePoint due = aStart; due < aEnd; due += aInterval) {
     std::this_thread::sleep_until(due);
     const TimePoint sent = Clock::now();
-    const bool good = Exchange(socket, aRequest, aBodyBytes);
-    if (good) {
+    const bool succeeded = Exchange(socket, aRequest, aBodyBytes);
+    if (succeeded) {
       aSamples.milliseconds_.push_back(ToSeconds(Clock::now() - sent) * 1000);
     } else {
       ++aSamples.failed_;
@@ -178,10 +183,10 @@
               double aRate,
               Samples& aSamples)
 {
-  const auto step =
+  const auto interval =
     std::chrono::duration_cast<Duration>(std::chrono::duration<double>(kConnections / aRate));
   const TimePoint start = Clock::now() + milliseconds(5);
-  std::vector<Samples> parts(kConnections);
+  std::vector<Samples> samplesByConnection(kConnections);
   std::vector<std::thread> threads;
   threads.reserve(kConnections);
   for (int i = 0; i < kConnections; ++i) {
@@ -189,29 +194,30 @@
       RunConnection(aPort,
                     aRequest,
                     aBodyBytes,
-                    start + step * i / kConnections,
-                    start + kSlice,
-                    step,
-                    parts.at(static_cast<std::size_t>(i)));
+                    start + interval * i / kConnections,
+                    start + kSliceDuration,
+                    interval,
+                    samplesByConnection.at(static_cast<std::size_t>(i)));
     });
   }
   for (auto& thread : threads) {
     thread.join();
   }
-  for (const auto& part : parts) {
-    aSamples.milliseconds_.insert(
-      aSamples.milliseconds_.end(), part.milliseconds_.begin(), part.milliseconds_.end());
-    aSamples.failed_ += part.failed_;
+  for (const auto& connectionSamples : samplesByConnection) {
+    aSamples.milliseconds_.insert(aSamples.milliseconds_.end(),
+                                  connectionSamples.milliseconds_.begin(),
+                                  connectionSamples.milliseconds_.end());
+    aSamples.failed_ += connectionSamples.failed_;
   }
 }
 
-double Percentile(std::vector<double>& aValues, double aPart)
+double Percentile(std::vector<double>& aValues, double aFraction)
 {
   if (aValues.empty()) {
     return 0;
   }
   std::sort(aValues.begin(), aValues.end());
-  return aValues.at(static_cast<std::size_t>(aPart * static_cast<double>(aValues.size() - 1)));
+  return aValues.at(static_cast<std::size_t>(aFraction * static_cast<double>(aValues.size() - 1)));
 }
 
 void Print(const char* aName, Samples& aSamples)
@@ -263,7 +269,7 @@
   const std::uint16_t targetPort = target.assume_value()->Port();
   std::thread targetThread([&] { targetLoop.Run(); });
   Samples direct;
-  Samples through;
+  Samples viaHosts;
   {
     BenchNode first("first", "front", targetPort);
     BenchNode guard("guard", "service", targetPort);
@@ -275,31 +281,32 @@
     view->targets_[guarded.service_] = { guarded };
     view->hosts_[guarded.host_] = guarded.peer_;
     for (const auto* node : { &first, &guard }) {
-      node->control_->port_.publishConfig_(BenchConfig());
-      node->control_->port_.publishTargets_(view);
-      node->control_->port_.publishFreshness_(Clock::now() + std::chrono::hours(1));
+      node->control_->callbacks_.publishConfig_(BenchConfig());
+      node->control_->callbacks_.publishTargets_(view);
+      node->control_->callbacks_.publishFreshness_(Clock::now() + std::chrono::hours(1));
     }
     const std::string request = "POST /work HTTP/1.1\r\nHost: h\r\nQuay-Key: " + kKey +
                                 "\r\nContent-Length: " + std::to_string(bodyBytes) + "\r\n\r\n" +
                                 body;
     const double rate = absl::GetFlag(FLAGS_rate);
-    const std::uint16_t front = first.node_->Ports().callers_;
+    const std::uint16_t callersPort = first.node_->Ports().callers_;
     Samples warmUp;
-    RunSlice(front, request, bodyBytes, rate, warmUp);
+    RunSlice(callersPort, request, bodyBytes, rate, warmUp);
     RunSlice(targetPort, request, bodyBytes, rate, warmUp);
-    const int slices = static_cast<int>(absl::GetFlag(FLAGS_seconds) * (seconds(1) / kSlice));
+    const int slices =
+      static_cast<int>(absl::GetFlag(FLAGS_seconds) * (seconds(1) / kSliceDuration));
     for (int i = 0; i < slices; ++i) {
       RunSlice(targetPort, request, bodyBytes, rate, direct);
-      RunSlice(front, request, bodyBytes, rate, through);
+      RunSlice(callersPort, request, bodyBytes, rate, viaHosts);
     }
   }
   targetLoop.Post([&] { targetLoop.Stop(); });
   targetThread.join();
   Print("direct", direct);
-  Print("through", through);
+  Print("through", viaHosts);
   std::printf("added    p50 %.3f ms p90 %.3f ms p99 %.3f ms\n",
-              Percentile(through.milliseconds_, 0.5) - Percentile(direct.milliseconds_, 0.5),
-              Percentile(through.milliseconds_, 0.9) - Percentile(direct.milliseconds_, 0.9),
-              Percentile(through.milliseconds_, 0.99) - Percentile(direct.milliseconds_, 0.99));
-  return through.failed_ == 0 ? 0 : 1;
+              Percentile(viaHosts.milliseconds_, 0.5) - Percentile(direct.milliseconds_, 0.5),
+              Percentile(viaHosts.milliseconds_, 0.9) - Percentile(direct.milliseconds_, 0.9),
+              Percentile(viaHosts.milliseconds_, 0.99) - Percentile(direct.milliseconds_, 0.99));
+  return viaHosts.failed_ == 0 ? 0 : 1;
 }
--- a/bench/policy_trials.cpp
+++ b/bench/policy_trials.cpp
@@ -1,5 +1,7 @@
-// Compares policies for one service behind one guard in virtual time. Same seed, same figures.
-// Usage: policy_trials [--seed N] [--profile NAME] [--scene NAME] [--variant NAME]
+// Simulates one service behind one guard in virtual time and compares variants of its overload
+// control policies: concurrency limit, queue order, dropping of late calls, upstream shedding and
+// retries. The same seed gives the same results. Usage: policy_trials [--seed N] [--profile NAME]
+// [--scene NAME] [--variant NAME]
 #include "peridotquay/request/Admission.h"
 #include "peridotquay/request/Random.h"
 #include "peridotquay/request/RetryBudget.h"
@@ -22,19 +24,20 @@
 
 namespace {
 
-constexpr int kAccounts = 8;
-constexpr int kHosts = 4;
+constexpr int kAccountCount = 8;
+constexpr int kHostCount = 4;
 const TimePoint kStart{ seconds(1000) };
-constexpr Duration kOneWay = milliseconds(1);
+constexpr Duration kNetworkDelay = milliseconds(1);
 constexpr Duration kDeadline = milliseconds(1000);
 
-/// A target of one of the two deployments. Service times are assumptions; the slots are not.
+/// A target of one of the two deployments. Slots and connections are the deployments' values;
+/// service times are assumptions.
 struct Profile
 {
   std::string name_;
   std::uint32_t slots_ = 0;
   std::uint32_t connections_ = 0;
-  double serviceSeconds_ = 0; ///< Mean.
+  double meanServiceSeconds_ = 0;
 };
 
 const std::vector<Profile> kProfiles{
@@ -44,47 +47,51 @@
   { "landesamt-lab", 40, 350, 0.100 },
 };
 
-/// Rates of the client accounts, a few of them large, and how much more than its part each offers.
-constexpr std::array<double, kAccounts> kRates{ 40, 25, 15, 6, 5, 4, 3, 2 };
-constexpr std::array<double, kAccounts> kEagerness{ 1.0, 1.2, 0.8, 3.0, 0.5, 0.3, 2.0, 1.0 };
+/// Rate limits of the client accounts, which set their fair shares.
+constexpr std::array<double, kAccountCount> kRates{ 40, 25, 15, 6, 5, 4, 3, 2 };
+/// Demand of each client account relative to its rate limit.
+constexpr std::array<double, kAccountCount> kDemandFactors{
+  1.0, 1.2, 0.8, 3.0, 0.5, 0.3, 2.0, 1.0
+};
 
-/// What the target tells and does beyond its slots.
-enum class Beyond
+/// What the target announces, and how it treats calls beyond its slots.
+enum class OverloadBehaviour
 {
-  kTruthful,   ///< Announces its slots.
-  kQueues,     ///< Announces nothing and queues inside.
-  kOverstates, ///< Announces twice its slots and refuses beyond the real ones.
+  kTruthful,   ///< Announces its slots and queues further calls inside.
+  kQueues,     ///< Announces no slots and queues further calls inside.
+  kOverstates, ///< Announces twice its slots and refuses calls beyond its slots.
 };
 
 struct Scene
 {
   std::string name_;
-  double load_ = 2.0; ///< Offered load, as part of the capacity.
-  bool classes_ = true;
-  Beyond beyond_ = Beyond::kTruthful;
-  double slowFactor_ = 1; ///< From 10 s to 15 s; more than 1 makes recovery the subject.
-  double seconds_ = 25;
+  double loadFactor_ = 2.0; ///< Offered load relative to the capacity.
+  bool hasImportanceClasses_ = true;
+  OverloadBehaviour overloadBehaviour_ = OverloadBehaviour::kTruthful;
+  double slowFactor_ =
+    1; ///< Service time factor from 10 s to 15 s; recovery is measured if above 1.
+  double durationSeconds_ = 25;
 };
 
 const std::vector<Scene> kScenes{
-  { "twice", 2.0, true, Beyond::kTruthful, 1, 25 },
-  { "twice-one-class", 2.0, false, Beyond::kTruthful, 1, 25 },
-  { "twice-hidden", 2.0, true, Beyond::kQueues, 1, 25 },
-  { "twice-overstated", 2.0, true, Beyond::kOverstates, 1, 25 },
-  { "slow5", 0.8, true, Beyond::kTruthful, 5, 30 },
-  { "slow5-hidden", 0.8, true, Beyond::kQueues, 5, 30 },
+  { "twice", 2.0, true, OverloadBehaviour::kTruthful, 1, 25 },
+  { "twice-one-class", 2.0, false, OverloadBehaviour::kTruthful, 1, 25 },
+  { "twice-hidden", 2.0, true, OverloadBehaviour::kQueues, 1, 25 },
+  { "twice-overstated", 2.0, true, OverloadBehaviour::kOverstates, 1, 25 },
+  { "slow5", 0.8, true, OverloadBehaviour::kTruthful, 5, 30 },
+  { "slow5-hidden", 0.8, true, OverloadBehaviour::kQueues, 5, 30 },
 };
 
-enum class Limit
+enum class LimitPolicy
 {
   kAdaptive,
   kFixedSlots,
-  kFixedFour, ///< Four times the slots: a limit that was set for a larger target.
+  kFixedFourTimes, ///< Four times the slots: a limit set for a larger target.
   kAimd,
   kNone
 };
 
-enum class Order
+enum class QueueOrder
 {
   kFair,
   kFifo,
@@ -94,9 +101,9 @@
 struct Variant
 {
   std::string name_;
-  Limit limit_ = Limit::kAdaptive;
-  Order order_ = Order::kFair;
-  bool drop_ = true;
+  LimitPolicy limit_ = LimitPolicy::kAdaptive;
+  QueueOrder order_ = QueueOrder::kFair;
+  bool dropsLateCalls_ = true;
   bool upstream_ = true;
   double retryRatio_ = 0.1; ///< Negative: no retries.
   bool naive_ = false;
@@ -105,19 +112,19 @@
 
 const std::vector<Variant> kVariants{
   { "product" },
-  { "limit-fixed-slots", Limit::kFixedSlots },
-  { "limit-fixed-4x", Limit::kFixedFour },
-  { "limit-aimd", Limit::kAimd },
-  { "order-fifo", Limit::kAdaptive, Order::kFifo },
-  { "order-lifo", Limit::kAdaptive, Order::kLifo },
-  { "drop-off", Limit::kAdaptive, Order::kFair, false },
-  { "upstream-off", Limit::kAdaptive, Order::kFair, true, false },
-  { "retry-none", Limit::kAdaptive, Order::kFair, true, true, -1 },
-  { "retry-30", Limit::kAdaptive, Order::kFair, true, true, 0.3 },
-  { "retry-30-upstream-off", Limit::kAdaptive, Order::kFair, true, false, 0.3 },
-  { "queue-25", Limit::kAdaptive, Order::kFair, true, true, 0.1, false, 0.25 },
-  { "queue-80", Limit::kAdaptive, Order::kFair, true, true, 0.1, false, 0.8 },
-  { "naive", Limit::kNone, Order::kFifo, false, false, -1, true },
+  { "limit-fixed-slots", LimitPolicy::kFixedSlots },
+  { "limit-fixed-4x", LimitPolicy::kFixedFourTimes },
+  { "limit-aimd", LimitPolicy::kAimd },
+  { "order-fifo", LimitPolicy::kAdaptive, QueueOrder::kFifo },
+  { "order-lifo", LimitPolicy::kAdaptive, QueueOrder::kLifo },
+  { "drop-off", LimitPolicy::kAdaptive, QueueOrder::kFair, false },
+  { "upstream-off", LimitPolicy::kAdaptive, QueueOrder::kFair, true, false },
+  { "retry-none", LimitPolicy::kAdaptive, QueueOrder::kFair, true, true, -1 },
+  { "retry-30", LimitPolicy::kAdaptive, QueueOrder::kFair, true, true, 0.3 },
+  { "retry-30-upstream-off", LimitPolicy::kAdaptive, QueueOrder::kFair, true, false, 0.3 },
+  { "queue-25", LimitPolicy::kAdaptive, QueueOrder::kFair, true, true, 0.1, false, 0.25 },
+  { "queue-80", LimitPolicy::kAdaptive, QueueOrder::kFair, true, true, 0.1, false, 0.8 },
+  { "naive", LimitPolicy::kNone, QueueOrder::kFifo, false, false, -1, true },
 };
 
 Duration FromSeconds(double aSeconds)
@@ -125,29 +132,30 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(aSeconds));
 }
 
-/// AIMD on latency: one more in each window below twice the least window mean, a tenth less above.
+/// AIMD limit on latency. After each window the limit grows by 1 if the mean latency of the window
+/// is below twice the lowest window mean, and shrinks by 10 % otherwise.
 struct Aimd
 {
   double limit_ = 16;
-  double floor_ = 0;
-  double sum_ = 0;
-  int count_ = 0;
+  double minWindowMean_ = 0;
+  double windowSum_ = 0;
+  int windowCount_ = 0;
 
-  void Note(double aSeconds)
+  void RecordLatency(double aSeconds)
   {
-    sum_ += aSeconds;
-    if (++count_ < std::max(16.0, limit_ / 2)) {
+    windowSum_ += aSeconds;
+    if (++windowCount_ < std::max(16.0, limit_ / 2)) {
       return;
     }
-    const double mean = sum_ / count_;
-    floor_ = floor_ <= 0 ? mean : std::min(floor_, mean);
-    limit_ = mean < 2 * floor_ ? limit_ + 1 : std::max(2.0, limit_ * 0.9);
-    sum_ = 0;
-    count_ = 0;
+    const double mean = windowSum_ / windowCount_;
+    minWindowMean_ = minWindowMean_ <= 0 ? mean : std::min(minWindowMean_, mean);
+    limit_ = mean < 2 * minWindowMean_ ? limit_ + 1 : std::max(2.0, limit_ * 0.9);
+    windowSum_ = 0;
+    windowCount_ = 0;
   }
 };
 
-/// One client call over all its attempts.
+/// A client call with all its attempts.
 struct ClientCall
 {
   int account_ = 0;
@@ -156,9 +164,9 @@
   TimePoint deadline_{};
   int host_ = 0;
   std::uint32_t retries_ = 0;
-  std::uint64_t latest_ = 0; ///< Latest attempt.
+  std::uint64_t latestAttemptId_ = 0;
   bool ended_ = false;
-  Duration goodLatency_{}; ///< If it was answered in time, else 0.
+  Duration latencyInTime_{}; ///< 0 if the call wasn't answered before its deadline.
 };
 
 struct Attempt
@@ -167,28 +175,29 @@
   TimePoint started_{};
 };
 
-/// Figures of one run.
-struct Figures
+/// Measurements of one run.
+struct TrialResult
 {
-  double goodput_ = 0;        ///< Answered in time, as part of the ideal.
-  double critical_ = 0;       ///< Part of the critical calls answered in time.
-  double worst_ = 0;          ///< Least account's part of its fair share.
-  double refusedAtGuard_ = 0; ///< Part of sent attempts that the guard refused.
-  double late_ = 0;           ///< Part of started attempts that were answered too late.
-  double retries_ = 0;        ///< Retries for each first try.
-  double p99Ms_ = 0;          ///< Of calls answered in time.
-  double recovery_ = -1;      ///< Seconds after the slow spell; negative: not within the run.
-  double least_ = 0;          ///< Least limit in the measured time.
-  double limit_ = 0;          ///< At the end.
+  double goodput_ = 0;            ///< Calls answered in time, relative to the ideal.
+  double criticalFraction_ = 0;   ///< Of critical calls, those answered in time.
+  double minAccountFraction_ = 0; ///< Lowest fraction of its fair share that an account got.
+  double refusedFraction_ = 0;    ///< Of sent attempts, those that the guard refused.
+  double late_ = 0;               ///< Of started attempts, those answered too late.
+  double retries_ = 0;            ///< Retries per first attempt.
+  double p99Ms_ = 0;              ///< Latency of calls answered in time.
+  double recoverySeconds_ = -1;   ///< After the slowdown; negative if not within the run.
+  double minLimitInRun_ = 0;      ///< Lowest limit from 5 s to the end of arrivals.
+  double limit_ = 0;              ///< Limit at the end of the run.
 };
 
-/// Weighted max-min shares of one class; lowers aCapacity by what is given.
-void AddFairShares(const std::array<double, kAccounts>& aDemands,
+/// Adds weighted max-min fair shares of the demands of one importance class to aShares and
+/// subtracts them from aCapacity.
+void AddFairShares(const std::array<double, kAccountCount>& aDemands,
                    double& aCapacity,
-                   std::array<double, kAccounts>& aShares)
+                   std::array<double, kAccountCount>& aShares)
 {
   std::set<int> open;
-  for (int i = 0; i < kAccounts; ++i) {
+  for (int i = 0; i < kAccountCount; ++i) {
     open.insert(i);
   }
   while (!open.empty() && aCapacity > 0) {
@@ -230,40 +239,42 @@
     for (ReceivedAdmissionLevel& upstream : upstream_) {
       upstream.random_ = RandomBits(random_);
     }
-    if (scene_.beyond_ != Beyond::kQueues) {
+    if (scene_.overloadBehaviour_ != OverloadBehaviour::kQueues) {
       ApplyAnnouncedSlots(guard_,
-                          profile_.slots_ * (scene_.beyond_ == Beyond::kOverstates ? 2 : 1));
+                          profile_.slots_ *
+                            (scene_.overloadBehaviour_ == OverloadBehaviour::kOverstates ? 2 : 1));
     }
-    if (variant_.limit_ == Limit::kFixedSlots || variant_.limit_ == Limit::kFixedFour) {
+    if (variant_.limit_ == LimitPolicy::kFixedSlots ||
+        variant_.limit_ == LimitPolicy::kFixedFourTimes) {
       guard_.announcedSlots_ = 0;
-      FixLimit(profile_.slots_ * (variant_.limit_ == Limit::kFixedFour ? 4 : 1));
-    } else if (variant_.limit_ == Limit::kAimd) {
+      FixLimit(profile_.slots_ * (variant_.limit_ == LimitPolicy::kFixedFourTimes ? 4 : 1));
+    } else if (variant_.limit_ == LimitPolicy::kAimd) {
       FixLimit(16);
     }
-    if (variant_.order_ == Order::kLifo) {
+    if (variant_.order_ == QueueOrder::kLifo) {
       guard_.settings_.queueCapacity_ = 0;
     }
   }
 
-  Figures Run()
+  TrialResult Run()
   {
-    const double load = scene_.load_ * profile_.slots_ / profile_.serviceSeconds_;
+    const double load = scene_.loadFactor_ * profile_.slots_ / profile_.meanServiceSeconds_;
     double total = 0;
-    for (int i = 0; i < kAccounts; ++i) {
-      total += kRates[i] * kEagerness[i];
+    for (int i = 0; i < kAccountCount; ++i) {
+      total += kRates[i] * kDemandFactors[i];
     }
-    for (int i = 0; i < kAccounts; ++i) {
-      ScheduleArrival(i, load * kRates[i] * kEagerness[i] / total);
+    for (int i = 0; i < kAccountCount; ++i) {
+      ScheduleArrival(i, load * kRates[i] * kDemandFactors[i] / total);
     }
-    At(kStart + milliseconds(10), [this] { Tick(); });
-    const TimePoint end = kStart + FromSeconds(scene_.seconds_ + 3);
+    Schedule(kStart + milliseconds(10), [this] { RunPeriodicTasks(); });
+    const TimePoint end = kStart + FromSeconds(scene_.durationSeconds_ + 3);
     while (!events_.empty() && events_.top().time_ < end) {
       const Event event = events_.top();
       events_.pop();
       now_ = event.time_;
       event.action_();
     }
-    return Judge();
+    return Evaluate();
   }
 
 private:
@@ -278,7 +289,7 @@
     }
   };
 
-  void At(TimePoint aTime, std::function<void()> aAction)
+  void Schedule(TimePoint aTime, std::function<void()> aAction)
   {
     events_.push({ aTime, ++order_, std::move(aAction) });
   }
@@ -294,36 +305,37 @@
   void ScheduleArrival(int aAccount, double aPerSecond)
   {
     const TimePoint time = now_ + FromSeconds(Exponential(1 / aPerSecond));
-    if (time >= kStart + FromSeconds(scene_.seconds_)) {
+    if (time >= kStart + FromSeconds(scene_.durationSeconds_)) {
       return;
     }
-    At(time, [this, aAccount, aPerSecond] {
-      Arrive(aAccount);
+    Schedule(time, [this, aAccount, aPerSecond] {
+      AddClientCall(aAccount);
       ScheduleArrival(aAccount, aPerSecond);
     });
   }
 
-  void Arrive(int aAccount)
+  void AddClientCall(int aAccount)
   {
     ClientCall call;
     call.account_ = aAccount;
-    if (scene_.classes_) {
-      const double part = RandomFraction(random_);
-      call.importance_ = part < 0.1   ? Importance::kCritical
-                         : part < 0.3 ? Importance::kHigh
-                         : part < 0.8 ? Importance::kNormal
-                                      : Importance::kLow;
+    if (scene_.hasImportanceClasses_) {
+      const double fraction = RandomFraction(random_);
+      call.importance_ = fraction < 0.1   ? Importance::kCritical
+                         : fraction < 0.3 ? Importance::kHigh
+                         : fraction < 0.8 ? Importance::kNormal
+                                          : Importance::kLow;
     }
     call.arrived_ = now_;
     call.deadline_ = now_ + kDeadline;
-    call.host_ = static_cast<int>(RandomIndex(random_, kHosts));
+    call.host_ = static_cast<int>(RandomIndex(random_, kHostCount));
     calls_.push_back(call);
-    RecordFirstAttempt(ratio_[call.host_], { .tokensPerFirstAttempt_ = variant_.retryRatio_ });
-    ++firstTries_;
-    Send(calls_.size() - 1);
+    RecordFirstAttempt(retryRatios_[call.host_],
+                       { .tokensPerFirstAttempt_ = variant_.retryRatio_ });
+    ++firstAttempts_;
+    SendAttempt(calls_.size() - 1);
   }
 
-  void Send(std::size_t aCall)
+  void SendAttempt(std::size_t aCall)
   {
     ClientCall& call = calls_[aCall];
     if (variant_.upstream_ && !ShouldSendCall(upstream_[call.host_], call.importance_, now_)) {
@@ -332,11 +344,11 @@
     }
     attempts_.push_back({ aCall, {} });
     const std::uint64_t id = attempts_.size();
-    call.latest_ = id;
-    At(now_ + kOneWay, [this, id] { ReachGuard(id); });
+    call.latestAttemptId_ = id;
+    Schedule(now_ + kNetworkDelay, [this, id] { ArriveAtGuard(id); });
     if (variant_.naive_) {
-      // The baseline gives each try a quarter of the deadline.
-      At(now_ + kDeadline / 4, [this, id] { RetryNaive(id); });
+      // The naive baseline retries an attempt after a quarter of the deadline.
+      Schedule(now_ + kDeadline / 4, [this, id] { RetryNaive(id); });
     }
   }
 
@@ -344,12 +356,12 @@
   {
     const std::size_t index = attempts_[aId - 1].call_;
     ClientCall& call = calls_[index];
-    if (call.ended_ || call.latest_ != aId || call.retries_ >= 3) {
+    if (call.ended_ || call.latestAttemptId_ != aId || call.retries_ >= 3) {
       return;
     }
     ++call.retries_;
     ++retries_;
-    Send(index);
+    SendAttempt(index);
   }
 
   WaitingCall MakeWaiting(std::uint64_t aId) const
@@ -358,47 +370,47 @@
     WaitingCall waiting;
     waiting.id_ = aId;
     waiting.importance_ = call.importance_;
-    if (variant_.order_ == Order::kFair) {
+    if (variant_.order_ == QueueOrder::kFair) {
       waiting.clientAccount_ = { std::to_string(call.account_) };
       waiting.weight_ = kRates[call.account_];
     }
     waiting.arrived_ = now_;
-    waiting.deadline_ = variant_.drop_ ? call.deadline_ : now_ + seconds(3600);
+    waiting.deadline_ = variant_.dropsLateCalls_ ? call.deadline_ : now_ + seconds(3600);
     return waiting;
   }
 
-  void ReachGuard(std::uint64_t aId)
+  void ArriveAtGuard(std::uint64_t aId)
   {
     ++sent_;
     if (variant_.naive_) {
       StartAtTarget(aId);
-    } else if (variant_.order_ == Order::kLifo) {
+    } else if (variant_.order_ == QueueOrder::kLifo) {
       OfferLifo(aId);
     } else {
       Apply(OfferCall(guard_, MakeWaiting(aId), now_));
     }
   }
 
-  /// The guard's queue is switched off; a stack for each class takes its place.
+  /// Replaces the guard's queue, whose capacity is 0, by one stack for each importance class.
   void OfferLifo(std::uint64_t aId)
   {
-    AdmissionActions step = OfferCall(guard_, MakeWaiting(aId), now_);
-    if (!step.refuse_.empty() && step.refuse_[0].code_ == ErrorCode::kShed) {
+    AdmissionActions actions = OfferCall(guard_, MakeWaiting(aId), now_);
+    if (!actions.refuse_.empty() && actions.refuse_[0].code_ == ErrorCode::kShed) {
       const auto index = static_cast<std::size_t>(calls_[attempts_[aId - 1].call_].importance_);
       stacks_[index].push_back(aId);
-      step.refuse_.clear();
+      actions.refuse_.clear();
       std::size_t waiting = 0;
       for (const auto& stack : stacks_) {
         waiting += stack.size();
       }
       if (waiting > 1024) {
-        auto worst = std::find_if(
+        auto lowestStack = std::find_if(
           stacks_.rbegin(), stacks_.rend(), [](const auto& aStack) { return !aStack.empty(); });
-        step.refuse_.push_back({ worst->front(), ErrorCode::kShed, 10 });
-        worst->pop_front();
+        actions.refuse_.push_back({ lowestStack->front(), ErrorCode::kShed, 10 });
+        lowestStack->pop_front();
       }
     }
-    Apply(step);
+    Apply(actions);
   }
 
   void StartLifo()
@@ -412,14 +424,14 @@
     }
   }
 
-  void Apply(const AdmissionActions& aStep)
+  void Apply(const AdmissionActions& aActions)
   {
-    for (const std::uint64_t id : aStep.start_) {
+    for (const std::uint64_t id : aActions.start_) {
       StartAtTarget(id);
     }
-    for (const RefusedCall& refused : aStep.refuse_) {
+    for (const RefusedCall& refused : aActions.refuse_) {
       ++refused_;
-      Reply(refused.id_, false);
+      SendReply(refused.id_, false);
     }
   }
 
@@ -427,13 +439,15 @@
   {
     attempts_[aId - 1].started_ = now_;
     ++started_;
-    const bool queues = scene_.beyond_ != Beyond::kOverstates || variant_.naive_;
+    const bool targetQueues =
+      scene_.overloadBehaviour_ != OverloadBehaviour::kOverstates || variant_.naive_;
     if (running_ < profile_.slots_) {
       RunAtTarget(aId);
-    } else if (queues && inside_.size() + running_ < profile_.connections_) {
-      inside_.push_back(aId);
+    } else if (targetQueues && targetQueue_.size() + running_ < profile_.connections_) {
+      targetQueue_.push_back(aId);
     } else {
-      At(now_ + microseconds(500), [this, aId] { End(aId, ExecutionResult::kTargetRefused); });
+      Schedule(now_ + microseconds(500),
+               [this, aId] { FinishAttempt(aId, ExecutionResult::kTargetRefused); });
     }
   }
 
@@ -441,51 +455,52 @@
   {
     ++running_;
     const bool slow = now_ >= kStart + seconds(10) && now_ < kStart + seconds(15);
-    const double mean = profile_.serviceSeconds_ * (slow ? scene_.slowFactor_ : 1);
-    At(now_ + FromSeconds(mean / 2 + Exponential(mean / 2)), [this, aId] {
+    const double mean = profile_.meanServiceSeconds_ * (slow ? scene_.slowFactor_ : 1);
+    Schedule(now_ + FromSeconds(mean / 2 + Exponential(mean / 2)), [this, aId] {
       --running_;
-      if (!inside_.empty()) {
-        const std::uint64_t next = inside_.front();
-        inside_.pop_front();
+      if (!targetQueue_.empty()) {
+        const std::uint64_t next = targetQueue_.front();
+        targetQueue_.pop_front();
         RunAtTarget(next);
       }
-      End(aId, ExecutionResult::kAnswered);
+      FinishAttempt(aId, ExecutionResult::kAnswered);
     });
   }
 
-  void End(std::uint64_t aId, ExecutionResult aEnd)
+  void FinishAttempt(std::uint64_t aId, ExecutionResult aExecutionResult)
   {
     if (variant_.naive_) {
-      Reply(aId, aEnd == ExecutionResult::kAnswered);
+      SendReply(aId, aExecutionResult == ExecutionResult::kAnswered);
       return;
     }
     const Duration service = now_ - attempts_[aId - 1].started_;
-    if (variant_.limit_ == Limit::kAimd) {
-      // AIMD may use the announced slots as its bound, as the product does.
-      const double most = guard_.announcedSlots_ > 0 ? guard_.announcedSlots_ : 1000;
-      if (aEnd == ExecutionResult::kAnswered) {
-        aimd_.Note(ToSeconds(service));
+    if (variant_.limit_ == LimitPolicy::kAimd) {
+      // AIMD uses the announced slots as its maximum, as the adaptive limit does.
+      const double maxLimit = guard_.announcedSlots_ > 0 ? guard_.announcedSlots_ : 1000;
+      if (aExecutionResult == ExecutionResult::kAnswered) {
+        aimd_.RecordLatency(ToSeconds(service));
       } else {
         aimd_.limit_ = std::max(2.0, aimd_.limit_ * 0.98);
       }
-      aimd_.limit_ = std::min(aimd_.limit_, most);
+      aimd_.limit_ = std::min(aimd_.limit_, maxLimit);
       FixLimit(static_cast<std::uint32_t>(aimd_.limit_));
     }
-    const AdmissionActions step = FinishCall(guard_, aEnd, service, now_);
-    Reply(aId, aEnd == ExecutionResult::kAnswered);
-    Apply(step);
-    if (variant_.order_ == Order::kLifo) {
+    const AdmissionActions actions = FinishCall(guard_, aExecutionResult, service, now_);
+    SendReply(aId, aExecutionResult == ExecutionResult::kAnswered);
+    Apply(actions);
+    if (variant_.order_ == QueueOrder::kLifo) {
       StartLifo();
     }
   }
 
-  void Reply(std::uint64_t aId, bool aAnswered)
+  void SendReply(std::uint64_t aId, bool aAnswered)
   {
     const AdmissionLevel level = CurrentAdmissionLevel(guard_, now_);
-    At(now_ + kOneWay, [this, aId, aAnswered, level] { ReachCaller(aId, aAnswered, level); });
+    Schedule(now_ + kNetworkDelay,
+             [this, aId, aAnswered, level] { ArriveAtCaller(aId, aAnswered, level); });
   }
 
-  void ReachCaller(std::uint64_t aId, bool aAnswered, const AdmissionLevel& aLevel)
+  void ArriveAtCaller(std::uint64_t aId, bool aAnswered, const AdmissionLevel& aLevel)
   {
     const std::size_t index = attempts_[aId - 1].call_;
     ClientCall& call = calls_[index];
@@ -493,7 +508,7 @@
     if (aAnswered) {
       late_ += now_ > call.deadline_ ? 1 : 0;
       if (!call.ended_ && now_ <= call.deadline_) {
-        call.goodLatency_ = now_ - call.arrived_;
+        call.latencyInTime_ = now_ - call.arrived_;
       }
       call.ended_ = true;
       return;
@@ -503,97 +518,99 @@
       return;
     }
     if (variant_.retryRatio_ < 0 || call.retries_ >= 3 || now_ >= call.deadline_ ||
-        !ConsumeRetryToken(ratio_[call.host_], {}, now_)) {
+        !ConsumeRetryToken(retryRatios_[call.host_], {}, now_)) {
       call.ended_ = true;
       return;
     }
     ++call.retries_;
     ++retries_;
-    At(now_ + FromSeconds(0.01 * (1 + RandomFraction(random_)) * call.retries_),
-       [this, index] { Send(index); });
+    Schedule(now_ + FromSeconds(0.01 * (1 + RandomFraction(random_)) * call.retries_),
+             [this, index] { SendAttempt(index); });
   }
 
-  void Tick()
+  void RunPeriodicTasks()
   {
     if (!variant_.naive_) {
       Apply(DropLateCalls(guard_, now_));
-      if (variant_.order_ == Order::kLifo) {
+      if (variant_.order_ == QueueOrder::kLifo) {
         StartLifo();
       }
     }
-    if (now_ >= kStart + seconds(5) && now_ < kStart + FromSeconds(scene_.seconds_)) {
-      leastLimit_ = std::min(leastLimit_, guard_.limit_);
+    if (now_ >= kStart + seconds(5) && now_ < kStart + FromSeconds(scene_.durationSeconds_)) {
+      minLimitSoFar_ = std::min(minLimitSoFar_, guard_.limit_);
     }
-    At(now_ + milliseconds(10), [this] { Tick(); });
+    Schedule(now_ + milliseconds(10), [this] { RunPeriodicTasks(); });
   }
 
-  Figures Judge() const
+  TrialResult Evaluate() const
   {
     const TimePoint from = kStart + seconds(5);
-    const TimePoint to = kStart + FromSeconds(scene_.seconds_);
-    std::array<std::array<double, kAccounts>, kImportanceClassCount> demands{};
-    std::array<double, kAccounts> served{};
+    const TimePoint to = kStart + FromSeconds(scene_.durationSeconds_);
+    std::array<std::array<double, kAccountCount>, kImportanceClassCount> demands{};
+    std::array<double, kAccountCount> served{};
     double answered = 0;
     double critical = 0;
     double criticalAnswered = 0;
     std::vector<double> latencies;
     std::map<std::int64_t, std::pair<double, double>> bins;
     for (const ClientCall& call : calls_) {
-      const bool good = call.goodLatency_ > Duration::zero();
+      const bool isInTime = call.latencyInTime_ > Duration::zero();
       auto& bin = bins[(call.arrived_ - kStart) / milliseconds(100)];
       bin.first += 1;
-      bin.second += good ? 1 : 0;
+      bin.second += isInTime ? 1 : 0;
       if (call.arrived_ < from || call.arrived_ >= to) {
         continue;
       }
       demands[static_cast<std::size_t>(call.importance_)][call.account_] += 1;
       if (call.importance_ == Importance::kCritical) {
         critical += 1;
-        criticalAnswered += good ? 1 : 0;
+        criticalAnswered += isInTime ? 1 : 0;
       }
-      if (good) {
+      if (isInTime) {
         answered += 1;
         served[call.account_] += 1;
-        latencies.push_back(ToSeconds(call.goodLatency_));
+        latencies.push_back(ToSeconds(call.latencyInTime_));
       }
     }
-    Figures figures;
-    // The ideal serves all that fits: classes in order, max-min shares within each.
-    const double perSecond = profile_.slots_ / profile_.serviceSeconds_;
+    TrialResult result;
+    // The ideal serves as much as the capacity allows: classes in order of importance, with max-min
+    // fair shares within each class.
+    const double perSecond = profile_.slots_ / profile_.meanServiceSeconds_;
     double capacity = ToSeconds(to - from) * perSecond;
     if (scene_.slowFactor_ > 1) {
-      // Calls that arrive during the slow spell can't be served later.
-      capacity = (ToSeconds(to - from) - 5) * std::min(1.0, scene_.load_) * perSecond +
+      // Calls that arrive during the slowdown can't be served later.
+      capacity = (ToSeconds(to - from) - 5) * std::min(1.0, scene_.loadFactor_) * perSecond +
                  5 * perSecond / scene_.slowFactor_;
     }
-    std::array<double, kAccounts> fair{};
-    const double before = capacity;
+    std::array<double, kAccountCount> fair{};
+    const double capacityBefore = capacity;
     for (const auto& demand : demands) {
       AddFairShares(demand, capacity, fair);
     }
-    figures.goodput_ = answered / (before - capacity);
-    figures.critical_ = critical > 0 ? criticalAnswered / critical : 1;
-    // The shares assume a capacity that doesn't change.
-    figures.worst_ = scene_.slowFactor_ > 1 ? -1 : 1e9;
-    for (int i = 0; i < kAccounts && scene_.slowFactor_ <= 1; ++i) {
-      figures.worst_ = std::min(figures.worst_, served[i] / fair[i]);
+    result.goodput_ = answered / (capacityBefore - capacity);
+    result.criticalFraction_ = critical > 0 ? criticalAnswered / critical : 1;
+    // Fair shares are only comparable if the capacity is constant.
+    result.minAccountFraction_ = scene_.slowFactor_ > 1 ? -1 : 1e9;
+    for (int i = 0; i < kAccountCount && scene_.slowFactor_ <= 1; ++i) {
+      result.minAccountFraction_ = std::min(result.minAccountFraction_, served[i] / fair[i]);
     }
-    figures.refusedAtGuard_ = static_cast<double>(refused_) / std::max<double>(1, sent_);
-    figures.late_ = static_cast<double>(late_) / std::max<double>(1, started_);
-    figures.retries_ = static_cast<double>(retries_) / std::max<double>(1, firstTries_);
+    result.refusedFraction_ = static_cast<double>(refused_) / std::max<double>(1, sent_);
+    result.late_ = static_cast<double>(late_) / std::max<double>(1, started_);
+    result.retries_ = static_cast<double>(retries_) / std::max<double>(1, firstAttempts_);
     if (!latencies.empty()) {
       const auto at = latencies.begin() + static_cast<std::ptrdiff_t>(latencies.size() * 99 / 100);
       std::nth_element(latencies.begin(), at, latencies.end());
-      figures.p99Ms_ = 1000 * *at;
+      result.p99Ms_ = 1000 * *at;
     }
-    figures.least_ = leastLimit_;
-    figures.limit_ = guard_.limit_;
-    figures.recovery_ = Recovery(bins);
-    return figures;
+    result.minLimitInRun_ = minLimitSoFar_;
+    result.limit_ = guard_.limit_;
+    result.recoverySeconds_ = RecoverySeconds(bins);
+    return result;
   }
 
-  /// Seconds from the end of the slow spell until 2 s of arrivals are served as well as before it.
-  double Recovery(const std::map<std::int64_t, std::pair<double, double>>& aBins) const
+  /// Returns the seconds from the end of the slowdown until the arrivals of 2 s are served at 98 %
+  /// of the fraction before it, or -1 if that isn't reached. Bins are 0.1 s long.
+  double RecoverySeconds(const std::map<std::int64_t, std::pair<double, double>>& aBins) const
   {
     const auto rate = [&](std::int64_t aFrom, std::int64_t aTo) {
       double offered = 0;
@@ -604,14 +621,14 @@
       }
       return offered > 0 ? answered / offered : 0;
     };
-    const double normal = rate(50, 100);
-    const auto last = static_cast<std::int64_t>(scene_.seconds_ * 10);
+    const double fractionBefore = rate(50, 100);
+    const auto last = static_cast<std::int64_t>(scene_.durationSeconds_ * 10);
     for (std::int64_t bin = 150; bin + 20 <= last; ++bin) {
-      bool steady = true;
-      for (std::int64_t i = bin; i < bin + 20 && steady; i += 5) {
-        steady = rate(i, i + 5) >= 0.98 * normal;
+      bool recovered = true;
+      for (std::int64_t i = bin; i < bin + 20 && recovered; i += 5) {
+        recovered = rate(i, i + 5) >= 0.98 * fractionBefore;
       }
-      if (steady) {
+      if (recovered) {
         return static_cast<double>(bin - 150) / 10;
       }
     }
@@ -628,43 +645,43 @@
   AdmissionState guard_;
   Aimd aimd_;
   std::array<std::deque<std::uint64_t>, kImportanceClassCount> stacks_;
-  std::array<ReceivedAdmissionLevel, kHosts> upstream_;
-  std::array<RetryRatio, kHosts> ratio_;
+  std::array<ReceivedAdmissionLevel, kHostCount> upstream_;
+  std::array<RetryRatio, kHostCount> retryRatios_;
   std::vector<ClientCall> calls_;
   std::vector<Attempt> attempts_;
-  std::deque<std::uint64_t> inside_; ///< Queue inside the target.
-  std::uint32_t running_ = 0;        ///< Calls that occupy slots of the target.
+  std::deque<std::uint64_t> targetQueue_; ///< Calls queued inside the target.
+  std::uint32_t running_ = 0;             ///< Calls that occupy slots of the target.
   std::uint64_t sent_ = 0;
   std::uint64_t refused_ = 0;
   std::uint64_t started_ = 0;
   std::uint64_t late_ = 0;
   std::uint64_t retries_ = 0;
-  std::uint64_t firstTries_ = 0;
-  double leastLimit_ = 1e9;
+  std::uint64_t firstAttempts_ = 0;
+  double minLimitSoFar_ = 1e9;
 };
 
-void Print(const Figures& aFigures, bool aRecovers, bool aLimited)
+void Print(const TrialResult& aResult, bool aMeasuresRecovery, bool aHasLimit)
 {
-  std::printf("%.3f | %.3f | ", aFigures.goodput_, aFigures.critical_);
-  if (aFigures.worst_ < 0) {
+  std::printf("%.3f | %.3f | ", aResult.goodput_, aResult.criticalFraction_);
+  if (aResult.minAccountFraction_ < 0) {
     std::printf("- | ");
   } else {
-    std::printf("%.3f | ", aFigures.worst_);
+    std::printf("%.3f | ", aResult.minAccountFraction_);
   }
   std::printf("%.3f | %.3f | %.3f | %.0f | ",
-              aFigures.refusedAtGuard_,
-              aFigures.late_,
-              aFigures.retries_,
-              aFigures.p99Ms_);
-  if (!aRecovers) {
+              aResult.refusedFraction_,
+              aResult.late_,
+              aResult.retries_,
+              aResult.p99Ms_);
+  if (!aMeasuresRecovery) {
     std::printf("- | ");
-  } else if (aFigures.recovery_ < 0) {
+  } else if (aResult.recoverySeconds_ < 0) {
     std::printf("never | ");
   } else {
-    std::printf("%.1f | ", aFigures.recovery_);
+    std::printf("%.1f | ", aResult.recoverySeconds_);
   }
-  if (aLimited) {
-    std::printf("%.0f | %.0f |\n", aFigures.least_, aFigures.limit_);
+  if (aHasLimit) {
+    std::printf("%.0f | %.0f |\n", aResult.minLimitInRun_, aResult.limit_);
   } else {
     std::printf("- | - |\n");
   }
--- a/samples/minimal.cpp
+++ b/samples/minimal.cpp
@@ -1,4 +1,4 @@
-// Minimal use of the decision library: one request passes authentication, rate limit, routing and
+// Minimal use of the library: one request passes authentication, rate limiting, routing and
 // admission.
 #include "peridotquay/request/Admission.h"
 #include "peridotquay/request/RouteChoice.h"
@@ -11,7 +11,7 @@
 
 using namespace peridotquay;
 
-/// A target of the service "profiles" on one host.
+/// Returns a target of the service "profiles".
 Target SampleTarget(const std::string& aHost)
 {
   Target target;
@@ -23,7 +23,7 @@
   return target;
 }
 
-/// Configuration with one client account, one key and one route.
+/// Returns a configuration with one client account, one key, one service, one route and one site.
 Entities SampleEntities(const std::string& aKey)
 {
   return {
@@ -47,25 +47,26 @@
     return 1;
   }
 
-  // Authenticate: only the digest of the key is known.
+  // Authentication: the configuration holds only the digest of each key.
   const ClientAccount* account = FindAccountByKeyDigest(*config.assume_value(), KeyDigest(key));
   const Route* route = FindRoute(*config.assume_value(), "/profiles/bell-17");
   if (account == nullptr || route == nullptr) {
-    std::cerr << "no account or route\n";
+    std::cerr << "no client account or route for the request\n";
     return 1;
   }
 
-  // Limit: the first call has no tokens and asks the share leader; here the grant is made by hand.
+  // Rate limit: the token cache is empty at first and yields a request to the share leader. This
+  // sample adds the grant directly.
   TokenCache cache;
-  AcquireResult take = AcquireToken(cache, account->id_, 0, now);
-  if (take.shareRequest_) {
-    AddGrant(cache, { take.shareRequest_->nonce_, account->id_, 1, 5, 1000, 0 }, now);
-    take = AcquireToken(cache, account->id_, 0, now);
+  AcquireResult acquired = AcquireToken(cache, account->id_, 0, now);
+  if (acquired.shareRequest_) {
+    AddGrant(cache, { acquired.shareRequest_->nonce_, account->id_, 1, 5, 1000, 0 }, now);
+    acquired = AcquireToken(cache, account->id_, 0, now);
   }
-  std::cout << "rate limit: " << (take.status_ == AcquireStatus::kAcquired ? "taken" : "refused")
-            << "\n";
+  std::cout << "rate limit: "
+            << (acquired.status_ == AcquireStatus::kAcquired ? "taken" : "refused") << "\n";
 
-  // Route: power of two choices over the targets in the view.
+  // Routing: power of two choices among the targets in the view.
   TargetView view;
   view.targets_[route->service_] = { SampleTarget("host-a"), SampleTarget("host-b") };
   RoutingState routing;
@@ -74,10 +75,10 @@
   const auto target = ChooseTarget(routing, view, route->service_, {}, now);
   std::cout << "target: " << (target ? target->host_.value_ : "none") << "\n";
 
-  // Admit: the guard of the chosen target starts, queues or refuses the call.
+  // Admission: the guard of the chosen target starts, queues or refuses the call.
   AdmissionState admission;
-  const AdmissionActions step = OfferCall(
+  const AdmissionActions admitted = OfferCall(
     admission, { 1, route->importance_, account->id_, 50, now, now + route->deadline_ }, now);
-  std::cout << "admission: " << (step.start_.empty() ? "not started" : "started") << "\n";
+  std::cout << "admission: " << (admitted.start_.empty() ? "not started" : "started") << "\n";
   return 0;
 }
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -344,11 +344,11 @@
   const auto granted =
     GrantKeyCommand(*fixture.client_, "museum", "desk", MakeWriteOptions(fixture));
   REQUIRE(granted.exitCode_ == 0);
-  const auto conflict = ApplyCommand(*fixture.client_, foundry, MakeWriteOptions(fixture, 1));
-  CHECK(conflict.exitCode_ == ExitCode(ErrorCode::kVersionConflict));
-  CHECK(conflict.json_["winner"] == 2);
-  REQUIRE(conflict.json_["changes"].size() == 1);
-  CHECK(conflict.json_["changes"][0]["edits"][0]["json"]["account"] == "museum");
+  const auto outdated = ApplyCommand(*fixture.client_, foundry, MakeWriteOptions(fixture, 1));
+  CHECK(outdated.exitCode_ == ExitCode(ErrorCode::kVersionConflict));
+  CHECK(outdated.json_["winner"] == 2);
+  REQUIRE(outdated.json_["changes"].size() == 1);
+  CHECK(outdated.json_["changes"][0]["edits"][0]["json"]["account"] == "museum");
   // Applying the same files keeps the granted key; it fails once a key in the files was withdrawn.
   CHECK(
     ApplyCommand(*fixture.client_, foundry, MakeWriteOptions(fixture, 2)).json_["edits"].empty());
--- a/tests/failure/UserFleet.h
+++ b/tests/failure/UserFleet.h
@@ -159,19 +159,19 @@
                                             const std::string& aId,
                                             const std::string& aKey = "k1")
   {
-    standins::FetchRequest request;
-    request.method_ = aPath.starts_with("/write/") ? "POST" : "GET";
-    request.target_ = aPath;
-    request.headers_ = { { "Host", "h.example" },
-                         { "X-Request-Id", aId },
-                         { "X-Deadline-Ms", "2000" },
-                         { "X-Caller-Service", "forged" },
-                         { "X-Tenant-Id", "forged" } };
+    standins::FetchRequest httpRequest;
+    httpRequest.method_ = aPath.starts_with("/write/") ? "POST" : "GET";
+    httpRequest.target_ = aPath;
+    httpRequest.headers_ = { { "Host", "h.example" },
+                             { "X-Request-Id", aId },
+                             { "X-Deadline-Ms", "2000" },
+                             { "X-Caller-Service", "forged" },
+                             { "X-Tenant-Id", "forged" } };
     if (!aKey.empty()) {
-      request.headers_.emplace_back("Authorization", "Token " + aKey);
+      httpRequest.headers_.emplace_back("Authorization", "Token " + aKey);
     }
-    request.timeout_ = seconds(3);
-    return request;
+    httpRequest.timeout_ = seconds(3);
+    return httpRequest;
   }
 
   /// Returns how often each request id was started, summed over all targets.
--- a/tests/soak/SoakTest.cpp
+++ b/tests/soak/SoakTest.cpp
@@ -137,7 +137,7 @@
       aFleet.TargetOf(host).SetServiceTime(milliseconds(5 + aRandom() % 400));
       break;
     default:
-      // The link fault lasts until the next fault of the same link or until EndFaults.
+      // Lasts until a later setting of the same link reverts it or until EndFaults.
       aFleet.LinksOf(host).SetFaults(aRandom() % 2 == 0, RandomLinkFault(aRandom));
       break;
   }
@@ -214,7 +214,7 @@
 
 // Guards against violations of the users' rules under overlapping and consecutive faults: a write
 // that runs twice, a false refusal, a wrong response, or a host that doesn't recover.
-TEST_CASE("promises hold under random faults", "[soak]")
+TEST_CASE("the users' rules hold under random faults", "[soak]")
 {
   std::uint64_t first = 1;
   std::uint64_t last = 2;
--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures the objectives of docs/design.md, section 1.2, and prints one table. Takes about 7 minutes. The results of
-# each run are kept as JSON in the folder bench-results below the build folder. Exits with 0 if every run could be made.
+# Measures the objectives of docs/design.md, section 1.2, and prints them as a table. Takes about 7 minutes. Stores the
+# results of each run as JSON in bench-results below the build folder. Exits with 0 if every run could be completed.
 set -uo pipefail
 build=${1:-build}
 seed=${SEED:-1}
@@ -9,13 +9,14 @@
 rm -f "$results"/*.json
 status=0
 
-measure() { # name, command and flags of quayload
+# Runs quayload and stores its results. Arguments: name of the run, command and flags of quayload.
+measure() {
   local name=$1
   shift
   echo "bench: $name" >&2
   "$build/quayload" "$@" --seed="$seed" --json > "$results/$name.json" 2> "$results/$name.log"
   local rc=$?
-  # 3 means that the run was made and a promise was broken; the table says so.
+  # Status 3 means that the run was completed and a history property was violated, which the table shows.
   if [ "$rc" != 0 ] && [ "$rc" != 3 ]; then
     echo "bench: $name failed with status $rc: $(tail -n 1 "$results/$name.log")" >&2
     rm -f "$results/$name.json"
--- a/tools/install_packages.sh
+++ b/tools/install_packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs every Debian package that the build, the tests and the linters need. Safe to run again.
+# Installs the Debian packages that the build, the tests and the linters need. Can be run repeatedly.
 set -euo pipefail
 
 packages=(
@@ -13,7 +13,7 @@
   dpkg-query -W -f='${Status}' "$package" 2>/dev/null | grep -q 'ok installed' || missing+=("$package")
 done
 
-# Skips the network when everything is there, so repeated runs work offline.
+# Doesn't use the network if every package is installed, so repeated runs work offline.
 if [ "${#missing[@]}" -gt 0 ]; then
   apt-get update -qq
   DEBIAN_FRONTEND=noninteractive apt-get install -y -qq "${missing[@]}" >/dev/null
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over the decision code and the programs. Files that contain C++20 coroutines are left out:
+# Runs clang-tidy on the library, adapter, programs, stand-ins and samples. Files with C++20 coroutines are excluded:
 # clang-tidy 14 can't parse the coroutine support of Boost.Asio 1.74 with libstdc++ 12.
 set -euo pipefail
 build=${1:-build}
@@ -17,4 +17,4 @@
 echo "clang-tidy: ${#files[@]} files"
 [ "${#files[@]}" -gt 0 ] || exit 0
 printf '%s\n' "${files[@]}" | xargs -P "$(nproc)" -n 1 clang-tidy --quiet -p "$build" 2> >(grep -v 'warnings generated\|^Suppressed\|^Use -header' >&2)
-echo "clang-tidy: clean"
+echo "clang-tidy: no warnings"
