--- a/peridotquay/process/ConfigStore.cpp
+++ b/peridotquay/process/ConfigStore.cpp
@@ -1,4 +1,5 @@
-// The version stream of the configuration in the platform.
+// Loads the configuration from the platform, commits changes and resolves commits whose answer was
+// lost.
 #include "peridotquay/process/ConfigStore.h"
 
 #include "peridotquay/version/ConfigCompiler.h"
@@ -12,8 +13,8 @@
 
 namespace {
 
-/// Changes read in one request: at most 64 of 64 KiB.
-constexpr std::uint32_t kPage = 64;
+/// Maximum number of changes in one read. A change has at most 64 KiB.
+constexpr std::uint32_t kMaxChangesPerRead = 64;
 
 /// Reads the change of a version; empty if its row doesn't exist.
 Result<std::optional<Change>> ReadChange(Platform& aPlatform, Version aVersion)
@@ -40,9 +41,9 @@
 }
 
 /// Reads the latest snapshot at or before a version; an empty one of version 0 if there is none.
-Result<Snapshot> ReadLatestSnapshot(Platform& aPlatform, Version aMost)
+Result<Snapshot> ReadLatestSnapshot(Platform& aPlatform, Version aMaxVersion)
 {
-  for (auto version = aMost - aMost % kSnapshotInterval; version > 0;
+  for (auto version = aMaxVersion - aMaxVersion % kSnapshotInterval; version > 0;
        version -= kSnapshotInterval) {
     BOOST_OUTCOME_TRY(text, aPlatform.GetObject(SnapshotName(version)));
     if (text) {
@@ -56,85 +57,92 @@
   return Snapshot{};
 }
 
-/// Applies the changes after the snapshot up to a version.
+/// Applies the changes after the snapshot, up to and including a version.
 Result<Entities> Replay(Platform& aPlatform, const Snapshot& aSnapshot, Version aVersion)
 {
   auto entities = aSnapshot.entities_;
   for (auto version = aSnapshot.version_; version < aVersion;) {
-    const auto wanted = std::min<Version>(kPage, aVersion - version);
+    const auto wanted = std::min<Version>(kMaxChangesPerRead, aVersion - version);
     BOOST_OUTCOME_TRY(changes, LoadHistory(aPlatform, version, static_cast<std::uint32_t>(wanted)));
     for (const auto& change : changes) {
       ++version;
       if (change.version_ != version) {
-        return Fail(ErrorCode::kPlatformMalformed, ChangeRowKey(version), "no gap");
+        return Fail(
+          ErrorCode::kPlatformMalformed, ChangeRowKey(version), "a change row for each version");
       }
-      // A change that can't be applied counts as an empty one, as it does at every node; otherwise
-      // a row of another writer would bar all further changes.
+      // A change that can't be applied counts as empty, as it does at every node. Otherwise one bad
+      // row of another writer would block all further changes.
       static_cast<void>(ApplyChange(entities, change));
     }
     if (changes.empty()) {
-      return Fail(ErrorCode::kPlatformMalformed, ChangeRowKey(version + 1), "no gap");
+      return Fail(
+        ErrorCode::kPlatformMalformed, ChangeRowKey(version + 1), "a change row for each version");
     }
   }
   return entities;
 }
 
-auto Conflict(Version aWinner)
+auto VersionConflict(Version aWinner)
 {
   return Fail(ErrorCode::kVersionConflict, "version " + std::to_string(aWinner));
 }
 
-/// A transaction of a change whose answer was lost.
+/// Commit of a change whose answer was lost.
 struct LostCommit
 {
   const StoredConfig& base_;
   const Change& change_;
 };
 
-/// Writes the head again under its old revision. If that succeeds, the head's revision is another
-/// one and the lost transaction can't take effect any more.
-/// The result doesn't matter: the caller reads the head again.
-void BarLostCommit(Platform& aPlatform, const LostCommit& aLost)
+/// Writes the head row unchanged if it still has the revision that the lost transaction relies on.
+/// The write changes the revision, so the lost transaction can't take effect any more. The result
+/// is ignored because the caller reads the head row again.
+void FenceLostCommit(Platform& aPlatform, const LostCommit& aLost)
 {
-  PlatformTransaction bar;
-  bar.operationId_ = NewOperationId();
-  bar.conditions_ = { { std::string(kHeadRowKey), aLost.base_.headRevision_ } };
-  bar.writes_ = { { std::string(kHeadRowKey), EncodeHead(aLost.base_.version_) } };
-  static_cast<void>(aPlatform.Transact(bar));
+  PlatformTransaction fence;
+  fence.operationId_ = NewOperationId();
+  fence.conditions_ = { { std::string(kHeadRowKey), aLost.base_.headRevision_ } };
+  fence.writes_ = { { std::string(kHeadRowKey), EncodeHead(aLost.base_.version_) } };
+  static_cast<void>(aPlatform.Transact(fence));
 }
 
-/// Finds out by reading whether the lost transaction took effect.
+/// Reads the platform until it shows whether the lost transaction took effect.
 Result<Version> ResolveLostCommit(Platform& aPlatform,
                                   const LostCommit& aLost,
                                   const CommitSettings& aSettings)
 {
   const auto start = Clock::now();
   while (Clock::now() - start < aSettings.resolveTimeout_) {
-    // The head is read first: if it has moved on while the change row is absent afterwards, the
-    // lost transaction didn't take effect and never will, because its condition on the head fails.
+    // The head row is read before the change row. If the head's revision has changed and the change
+    // row is absent, the lost transaction didn't take effect and never will, because its condition
+    // on the head row fails.
     const auto head = ReadHead(aPlatform);
     const auto change = ReadChange(aPlatform, aLost.change_.version_);
     if (change.has_value() && change.assume_value()) {
-      const bool own = change.assume_value()->operationId_ == aLost.change_.operationId_;
-      return own ? Result<Version>(aLost.change_.version_) : Conflict(aLost.change_.version_);
+      const bool ownChange = change.assume_value()->operationId_ == aLost.change_.operationId_;
+      return ownChange ? Result<Version>(aLost.change_.version_)
+                       : VersionConflict(aLost.change_.version_);
     }
     const bool absent = head.has_value() && change.has_value();
     if (absent && head.assume_value().headRevision_ != aLost.base_.headRevision_) {
-      return Fail(ErrorCode::kPlatformUnavailable, "change", "the answer was lost; not written");
+      return Fail(ErrorCode::kPlatformUnavailable,
+                  "change",
+                  "the answer was lost, but the change was not written");
     }
-    if (absent && Clock::now() - start >= aSettings.barAfter_) {
-      BarLostCommit(aPlatform, aLost);
+    if (absent && Clock::now() - start >= aSettings.fenceDelay_) {
+      FenceLostCommit(aPlatform, aLost);
     }
     std::this_thread::sleep_for(aSettings.resolveInterval_);
   }
-  return Fail(
-    ErrorCode::kPlatformUnknown, aLost.change_.operationId_, "look for this operation id later");
+  return Fail(ErrorCode::kPlatformUnknown,
+              aLost.change_.operationId_,
+              "unknown whether it was written; look for this operation id later");
 }
 
-/// Most tries when the head's revision moved on without a new version.
-constexpr int kMostTries = 4;
+/// Maximum number of attempts if the head's revision changes without a new version.
+constexpr int kMaxWriteAttempts = 4;
 
-/// Writes a checked change against the head revision in aBase.
+/// Writes a checked change if the head row still has the revision in aBase.
 Result<Version> WriteChange(Platform& aPlatform,
                             const StoredConfig& aBase,
                             const Change& aChange,
@@ -176,7 +184,7 @@
   std::vector<Change> changes;
   while (changes.size() < aLimit) {
     const auto last = aAfter + changes.size();
-    const auto wanted = std::min<std::size_t>(kPage, aLimit - changes.size());
+    const auto wanted = std::min<std::size_t>(kMaxChangesPerRead, aLimit - changes.size());
     BOOST_OUTCOME_TRY(rows,
                       aPlatform.ReadRange(
                         "config/change/", ChangeRowKey(last), static_cast<std::uint32_t>(wanted)));
@@ -201,19 +209,21 @@
   BOOST_OUTCOME_TRYV(ApplyChange(entities, aChange));
   BOOST_OUTCOME_TRYV(CheckEntities(entities));
   auto base = aBase;
-  for (int i = 0; i < kMostTries; ++i) {
+  for (int i = 0; i < kMaxWriteAttempts; ++i) {
     auto written = WriteChange(aPlatform, base, aChange, aSettings);
     if (written.has_value() || written.assume_error().code_ != ErrorCode::kPlatformConflict) {
       return written;
     }
     BOOST_OUTCOME_TRY(head, ReadHead(aPlatform));
     if (head.version_ != aBase.version_) {
-      return Conflict(head.version_);
+      return VersionConflict(head.version_);
     }
-    // Another operator barred a lost transaction; the version is still the one written against.
+    // Another operator's commit fenced a lost transaction. The version is unchanged, so the change
+    // still applies.
     base.headRevision_ = head.headRevision_;
   }
-  return Fail(ErrorCode::kPlatformUnavailable, "change", "the head keeps moving; not written");
+  return Fail(
+    ErrorCode::kPlatformUnavailable, "change", "the head row keeps changing; not written");
 }
 
 bool IsSnapshotDue(const StoredConfig& aBase, Version aWritten)
--- a/peridotquay/process/ControlActorMembership.cpp
+++ b/peridotquay/process/ControlActorMembership.cpp
@@ -1,4 +1,4 @@
-// Actor around membership.
+// Actor that runs membership and publishes the targets to the data plane.
 #include "peridotquay/process/ControlActor.h"
 #include "peridotquay/process/Events.h"
 
@@ -10,18 +10,19 @@
 
 using TickAtom = caf::atom_constant<caf::atom("tick")>;
 
-// Loads alone don't change routes much; the view is republished for them at most this often.
-constexpr Duration kLoadInterval = seconds(1);
+// Minimum interval between publications for which only loads changed. Loads alone change routes
+// little.
+constexpr Duration kLoadPublishInterval = seconds(1);
 
 struct MembershipActorState
 {
   ControlContext context_;
   Membership membership_;
-  caf::actor versions_;
-  caf::actor shares_;
+  caf::actor versionActor_;
+  caf::actor shareActor_;
   std::uint64_t publishedRevision_ = 0;
   bool published_ = false;
-  TimePoint loadPublished_{};
+  TimePoint loadPublishedAt_{};
   MemberRanking ranking_;
 };
 
@@ -51,18 +52,18 @@
   }
 }
 
-void CarryOut(MembershipActor* aSelf, MembershipEffects& aEffects)
+void ApplyEffects(MembershipActor* aSelf, MembershipEffects& aEffects)
 {
-  const auto& port = aSelf->state.context_.port_;
+  const auto& callbacks = aSelf->state.context_.callbacks_;
   for (auto& message : aEffects.messages_) {
     if (message.datagram_) {
-      port.sendDatagram_(message.to_, std::move(message.message_));
+      callbacks.sendDatagram_(message.to_, std::move(message.message_));
     } else {
-      port.sendPeer_(message.to_, std::move(message.message_));
+      callbacks.sendPeer_(message.to_, std::move(message.message_));
     }
   }
   if (!aEffects.summaries_.empty()) {
-    aSelf->send(aSelf->state.versions_, SummaryBatch{ std::move(aEffects.summaries_) });
+    aSelf->send(aSelf->state.versionActor_, SummaryBatch{ std::move(aEffects.summaries_) });
   }
   for (const auto& event : aEffects.events_) {
     LogMembershipEvent(event);
@@ -88,13 +89,14 @@
   auto& state = aSelf->state;
   auto& membership = state.membership_;
   const bool changed = !state.published_ || membership.revision_ != state.publishedRevision_;
-  const bool loads = membership.loadChanged_ && aNow - state.loadPublished_ >= kLoadInterval;
-  if (!changed && !loads) {
+  const bool loadsDue =
+    membership.loadChanged_ && aNow - state.loadPublishedAt_ >= kLoadPublishInterval;
+  if (!changed && !loadsDue) {
     return;
   }
   membership.loadChanged_ = false;
-  state.loadPublished_ = aNow;
-  state.context_.port_.publishTargets_(
+  state.loadPublishedAt_ = aNow;
+  state.context_.callbacks_.publishTargets_(
     std::make_shared<const TargetView>(MakeTargetView(membership)));
   if (!changed) {
     return;
@@ -106,39 +108,40 @@
   if (ranking != state.ranking_) {
     state.ranking_ = ranking;
     const auto shared = std::make_shared<const MemberRanking>(std::move(ranking));
-    aSelf->send(state.versions_, RankingUpdate{ shared });
-    aSelf->send(state.shares_, RankingUpdate{ shared });
+    aSelf->send(state.versionActor_, RankingUpdate{ shared });
+    aSelf->send(state.shareActor_, RankingUpdate{ shared });
   }
 }
 
-caf::behavior RunMembership(MembershipActor* aSelf)
+caf::behavior MakeMembershipBehavior(MembershipActor* aSelf)
 {
   const auto now = [aSelf] { return aSelf->clock().now(); };
   aSelf->send(aSelf, TickAtom::value);
   return {
     [=](TickAtom) {
-      aSelf->delayed_send(aSelf, kControlStep, TickAtom::value);
+      aSelf->delayed_send(aSelf, kControlTickInterval, TickAtom::value);
       MembershipEffects effects;
       StepMembership(aSelf->state.membership_, now(), effects);
-      CarryOut(aSelf, effects);
+      ApplyEffects(aSelf, effects);
       Publish(aSelf, now());
     },
-    [=](const ReceivedPeerMessage& aArrival) {
+    [=](const ReceivedPeerMessage& aReceived) {
       MembershipEffects effects;
       HandleMembershipMessage(
-        aSelf->state.membership_, aArrival.peer_, aArrival.message_, now(), effects);
-      CarryOut(aSelf, effects);
+        aSelf->state.membership_, aReceived.peer_, aReceived.message_, now(), effects);
+      ApplyEffects(aSelf, effects);
     },
-    [=](const TargetAnnouncement& aNews) {
-      AnnounceTargetState(aSelf->state.membership_, aNews.state_, aNews.slots_, aNews.load_, now());
+    [=](const TargetAnnouncement& aUpdate) {
+      AnnounceTargetState(
+        aSelf->state.membership_, aUpdate.state_, aUpdate.slots_, aUpdate.load_, now());
     },
-    [=](const DepartureAnnouncement& aNews) {
+    [=](const DepartureAnnouncement& aUpdate) {
       MembershipEffects effects;
-      AnnounceDeparture(aSelf->state.membership_, aNews.successor_, effects);
-      CarryOut(aSelf, effects);
+      AnnounceDeparture(aSelf->state.membership_, aUpdate.successor_, effects);
+      ApplyEffects(aSelf, effects);
       Publish(aSelf, now());
     },
-    [=](const ContactUpdate& aNews) { AddContacts(aSelf->state.membership_, aNews.contacts_); },
+    [=](const ContactUpdate& aUpdate) { AddContacts(aSelf->state.membership_, aUpdate.contacts_); },
   };
 }
 
@@ -147,15 +150,15 @@
 caf::actor SpawnMembershipActor(caf::actor_system& aSystem,
                                 const ControlContext& aContext,
                                 const Membership& aState,
-                                const caf::actor& aVersions,
-                                const caf::actor& aShares)
+                                const caf::actor& aVersionActor,
+                                const caf::actor& aShareActor)
 {
   return aSystem.spawn([=](MembershipActor* aSelf) {
     aSelf->state.context_ = aContext;
     aSelf->state.membership_ = aState;
-    aSelf->state.versions_ = aVersions;
-    aSelf->state.shares_ = aShares;
-    return RunMembership(aSelf);
+    aSelf->state.versionActor_ = aVersionActor;
+    aSelf->state.shareActor_ = aShareActor;
+    return MakeMembershipBehavior(aSelf);
   });
 }
 
--- a/tests/standins/HistoryTest.cpp
+++ b/tests/standins/HistoryTest.cpp
@@ -1,4 +1,4 @@
-// The history checker must fail on a planted fault of each kind, and only for that property.
+// Tests of the history check: a violation of each property is found, and only for that property.
 #include "standins/lib/HistoryCheck.h"
 
 #include <catch2/catch.hpp>
@@ -9,6 +9,7 @@
 
 namespace {
 
+// Input of a check.
 struct History
 {
   std::vector<HistoryCall> calls_;
@@ -25,8 +26,9 @@
   return execution;
 }
 
-// A correct history: a chain of two with one retry, a refusal, an unknown outcome.
-History Correct()
+// A history without violations: a call through two targets with one retry, a refused call, a call
+// with an unknown outcome and one without an answer.
+History CorrectHistory()
 {
   History history;
   history.calls_ = { { "1.0", "id-1", "ran", 200, true, 1 },
@@ -42,14 +44,15 @@
   return history;
 }
 
-void CheckFailsOnly(HistoryProperty aProperty, const std::function<void(History&)>& aPlant)
+// Checks that the injected fault is found as one violation of the property and of no other.
+void CheckFailsOnly(HistoryProperty aProperty, const std::function<void(History&)>& aInjectFault)
 {
-  History history = Correct();
-  aPlant(history);
+  History history = CorrectHistory();
+  aInjectFault(history);
   const HistoryResult result = CheckHistory(history.calls_, history.executions_);
   INFO(HistoryPropertyName(aProperty));
   CHECK_FALSE(result.Holds());
-  CHECK(result.violations_.size() == kHistoryProperties);
+  CHECK(result.violations_.size() == kHistoryPropertyCount);
   for (const auto& [property, count] : result.violations_) {
     CHECK(count == (property == aProperty ? 1 : 0));
   }
@@ -58,20 +61,21 @@
 
 } // namespace
 
-// Guards against a checker that rejects a correct history.
+// Guards against a check that reports violations in a correct history.
 TEST_CASE("a correct history passes", "[history]")
 {
-  const History history = Correct();
+  const History history = CorrectHistory();
   const HistoryResult result = CheckHistory(history.calls_, history.executions_);
   CHECK(result.Holds());
-  CHECK(result.mostRetries_ == 1);
+  CHECK(result.maxCallTreeRetries_ == 1);
   CHECK(result.executions_ == 5);
 }
 
-// Guards against a checker that is blind to a property.
-TEST_CASE("each planted fault is found", "[history]")
+// Guards against a check that doesn't detect violations of a property, or counts them under
+// another.
+TEST_CASE("each violation is found under its own property", "[history]")
 {
-  // The second execution has no tag, so that only the request id repeats.
+  // The added execution has no tag, so it repeats the request id but isn't a retry.
   CheckFailsOnly(HistoryProperty::kRunsAtMostOnce, [](History& aHistory) {
     aHistory.executions_.push_back(Execution("d-1", "/top", "id-1"));
   });
@@ -85,24 +89,24 @@
   CheckFailsOnly(HistoryProperty::kNoKeySeen,
                  [](History& aHistory) { aHistory.executions_[1].hasKeyHeader_ = true; });
   CheckFailsOnly(HistoryProperty::kOwnAnswer,
-                 [](History& aHistory) { aHistory.calls_[0].rightBody_ = false; });
+                 [](History& aHistory) { aHistory.calls_[0].correctBody_ = false; });
   CheckFailsOnly(HistoryProperty::kOwnAnswer,
                  [](History& aHistory) { aHistory.executions_[0].wrongDeeperAnswers_ = 1; });
   CheckFailsOnly(HistoryProperty::kWithinBudget, [](History& aHistory) {
     aHistory.executions_.push_back(Execution("d-1", "/deep?tag=1.0&from=a-1"));
   });
-  // A refused attempt is an attempt.
+  // A refused attempt counts as an attempt too.
   CheckFailsOnly(HistoryProperty::kWithinBudget, [](History& aHistory) {
     aHistory.executions_.push_back(Execution("d-1", "/deep?tag=1.0&from=a-1"));
     aHistory.executions_.back().executionStatus_ = ExecutionStatus::kRefused;
   });
 }
 
-// Guards against counting the first attempts of a deeper level as retries.
-TEST_CASE("a retried level makes new first attempts below it", "[history]")
+// Guards against counting first attempts below a retried call as retries.
+TEST_CASE("a retried call makes new first attempts at the next target", "[history]")
 {
-  History history = Correct();
-  history.calls_[0].budget_ = 1;
+  History history = CorrectHistory();
+  history.calls_[0].retryBudget_ = 1;
   history.executions_ = { Execution("a-1", "/top?tag=1.0"),
                           Execution("b-1", "/deep?tag=1.0&from=a-1"),
                           Execution("a-2", "/top?tag=1.0"),
--- a/tests/standins/LoadReportTest.cpp
+++ b/tests/standins/LoadReportTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the figures of a load run, from records written by hand.
+// Tests of the results of a load run, computed from synthetic records.
 #include "standins/lib/LoadReport.h"
 
 #include <catch2/catch.hpp>
@@ -8,15 +8,15 @@
 
 namespace {
 
-// A run whose requests arrive evenly at the planned mean rates and are all served after 0.3 s.
-struct Run
+// A run whose planned requests are all served after 0.3 s unless a test changes their records.
+struct PlannedRun
 {
   FleetProfile profile_ = FindProfile("foundry");
   Scenario scenario_;
   LoadPlan plan_;
   LoadResult result_;
 
-  explicit Run(const std::string& aScenario)
+  explicit PlannedRun(const std::string& aScenario)
     : scenario_(*MakeScenario(aScenario, profile_))
     , plan_(MakePlan(scenario_, profile_, 1))
   {
@@ -24,7 +24,7 @@
       LoadRecord record;
       record.arrival_ = arrival;
       record.served_ = true;
-      record.seconds_ = 0.3;
+      record.latencySeconds_ = 0.3;
       record.firstStatus_ = record.lastStatus_ = 200;
       record.attempts_ = 1;
       result_.records_.push_back(record);
@@ -35,10 +35,10 @@
   {
     aRecord.served_ = false;
     aRecord.firstStatus_ = aRecord.lastStatus_ = aStatus;
-    aRecord.firstError_ = aType;
+    aRecord.firstErrorType_ = aType;
   }
 
-  bool In(const LoadRecord& aRecord, const std::string& aPhase) const
+  bool IsIn(const LoadRecord& aRecord, const std::string& aPhase) const
   {
     return plan_.phases_[aRecord.arrival_.phase_].name_ == aPhase;
   }
@@ -62,65 +62,67 @@
 
 } // namespace
 
-// Guards against an ideal that is higher than what was offered, or above the capacity.
-TEST_CASE("goodput compares with the least of offer, rates and capacity", "[report]")
+// Guards against an ideal that exceeds the offered load or the capacity.
+TEST_CASE("goodput is relative to the minimum of offered load, rates and capacity", "[report]")
 {
-  const Run run("surge");
+  const PlannedRun run("surge");
   const LoadReport report = run.Report();
   const PhaseReport& before = Phase(report, "before");
   CHECK(before.ideal_ == Approx(static_cast<double>(before.offered_)));
   CHECK(before.goodput_ == Approx(1));
   const PhaseReport& trigger = Phase(report, "trigger");
   CHECK(trigger.ideal_ == Approx(CapacityPerSecond(run.profile_) * trigger.seconds_));
-  // Everything was served although twice the capacity was offered: goodput shows the impossible.
+  // The records say that all of twice the capacity was served, so goodput is far above 1.
   CHECK(trigger.goodput_ > 1.8);
 }
 
-// Guards against a surge that is credited with what the next phase's capacity served.
-TEST_CASE("late completions don't count for an overloaded phase", "[report]")
+// Guards against counting requests for an overloaded phase that the capacity of the next phase
+// served.
+TEST_CASE("answers after the end of an overloaded phase don't count for it", "[report]")
 {
-  Run run("surge");
+  PlannedRun run("surge");
   const double end = PhaseStart(run.scenario_, "after");
   for (LoadRecord& record : run.result_.records_) {
-    if (run.In(record, "trigger")) {
-      record.seconds_ = end + 0.1 - record.arrival_.at_;
+    if (run.IsIn(record, "trigger")) {
+      record.latencySeconds_ = end + 0.1 - record.arrival_.at_;
     }
   }
-  // The only completions in the phase are those of requests from just before it.
+  // The only answers in the phase are to requests that arrived just before it.
   CHECK(Phase(run.Report(), "trigger").goodput_ < 0.05);
 }
 
-// Guards against refusals that are counted for the wrong account, phase or status.
-TEST_CASE("only refusals without cause are wrongful", "[report]")
+// Guards against counting refusals of the misbehaving account, refusals in the warm-up, and
+// failures that aren't refusals.
+TEST_CASE("only refusals of admissible requests are wrongful", "[report]")
 {
-  Run run("greedy-account");
-  REQUIRE(run.scenario_.culprit_.has_value());
+  PlannedRun run("greedy-account");
+  REQUIRE(run.scenario_.misbehavingAccount_.has_value());
   CHECK(run.Report().wrongfulRefusals_ == 0);
-  std::uint64_t wronged = 0;
+  std::uint64_t wrongfulRefusals = 0;
   for (LoadRecord& record : run.result_.records_) {
-    const bool culprit = record.arrival_.account_ == *run.scenario_.culprit_;
-    if (culprit || run.In(record, "warm-up")) {
+    const bool culprit = record.arrival_.account_ == *run.scenario_.misbehavingAccount_;
+    if (culprit || run.IsIn(record, "warm-up")) {
       run.Refuse(record, 429, "over-rate");
-    } else if (wronged < 5 && run.In(record, "before")) {
+    } else if (wrongfulRefusals < 5 && run.IsIn(record, "before")) {
       run.Refuse(record, 503, "shed");
-      ++wronged;
-    } else if (record.arrival_.account_ == 0 && run.In(record, "after")) {
-      // A failure, not a refusal.
+      ++wrongfulRefusals;
+    } else if (record.arrival_.account_ == 0 && run.IsIn(record, "after")) {
+      // Status 504 is a failure, not a refusal.
       run.Refuse(record, 504, "outcome-unknown");
     }
   }
   const LoadReport report = run.Report();
   CHECK(report.wrongfulRefusals_ == 5);
-  CHECK(report.wrongfulOf_ > 1000);
+  CHECK(report.admissibleRequests_ > 1000);
 }
 
-// Guards against a starved account or a shed critical request that the figures don't show.
-TEST_CASE("a starved account and shed critical requests show", "[report]")
+// Guards against a report that misses a starved account or shed critical requests.
+TEST_CASE("a starved account and shed critical requests are reported", "[report]")
 {
-  Run run("surge");
+  PlannedRun run("surge");
   std::uint64_t critical = 0;
   for (LoadRecord& record : run.result_.records_) {
-    if (run.In(record, "trigger") && record.arrival_.account_ == 5) {
+    if (run.IsIn(record, "trigger") && record.arrival_.account_ == 5) {
       const bool isCritical = run.plan_.classes_[record.arrival_.class_].critical_;
       critical += isCritical ? 1 : 0;
       run.Refuse(record, 503, "shed");
@@ -128,18 +130,18 @@
   }
   const LoadReport report = run.Report();
   CHECK(report.worstAccount_ == run.plan_.accounts_[5].name_);
-  CHECK(report.worstShare_ == 0);
+  CHECK(report.worstAccountShare_ == 0);
   CHECK(critical > 0);
   CHECK(report.criticalShed_ == critical);
 }
 
-// Guards against a recovery that is reported although the fleet stays down.
-TEST_CASE("a fleet that stays down has no recovery time", "[report]")
+// Guards against reporting a recovery although requests fail until the end of the run.
+TEST_CASE("a fleet that doesn't recover has no recovery time", "[report]")
 {
-  Run run("deep-slow");
+  PlannedRun run("deep-slow");
   CHECK(run.Report().recoverySeconds_ == 0);
   for (LoadRecord& record : run.result_.records_) {
-    if (run.In(record, "after")) {
+    if (run.IsIn(record, "after")) {
       run.Refuse(record, 503, "shed");
     }
   }
