--- a/bench/policy_trials.cpp
+++ b/bench/policy_trials.cpp
@@ -1,7 +1,8 @@
 // Simulates one service behind one guard in virtual time and compares variants of its overload
 // control policies: concurrency limit, queue order, dropping of late calls, upstream shedding and
-// retries. The same seed gives the same results. Usage: policy_trials [--seed N] [--profile NAME]
-// [--scene NAME] [--variant NAME]
+// retries. The same seed gives the same results.
+//
+// Usage: policy_trials [--seed N] [--profile NAME] [--scene NAME] [--variant NAME]
 #include "peridotquay/request/Admission.h"
 #include "peridotquay/request/Random.h"
 #include "peridotquay/request/RetryBudget.h"
@@ -30,8 +31,8 @@
 constexpr Duration kNetworkDelay = milliseconds(1);
 constexpr Duration kDeadline = milliseconds(1000);
 
-/// A target of one of the two deployments. Slots and connections are the deployments' values;
-/// service times are assumptions.
+/// A target of one of the two deployments. The service times are
+/// assumptions; the slots are those of the deployments.
 struct Profile
 {
   std::string name_;
@@ -47,7 +48,7 @@
   { "landesamt-lab", 40, 350, 0.100 },
 };
 
-/// Rate limits of the client accounts, which set their fair shares.
+/// Rate limits of the client accounts, a few of them large. They set the fair shares.
 constexpr std::array<double, kAccountCount> kRates{ 40, 25, 15, 6, 5, 4, 3, 2 };
 /// Demand of each client account relative to its rate limit.
 constexpr std::array<double, kAccountCount> kDemandFactors{
@@ -68,8 +69,8 @@
   double loadFactor_ = 2.0; ///< Offered load relative to the capacity.
   bool hasImportanceClasses_ = true;
   OverloadBehaviour overloadBehaviour_ = OverloadBehaviour::kTruthful;
-  double slowFactor_ =
-    1; ///< Service time factor from 10 s to 15 s; recovery is measured if above 1.
+  /// Service time factor from 10 s to 15 s. Recovery is measured if it is above 1.
+  double slowFactor_ = 1;
   double durationSeconds_ = 25;
 };
 
--- a/tests/failure/UserFleetTest.cpp
+++ b/tests/failure/UserFleetTest.cpp
@@ -156,7 +156,8 @@
     clients.emplace_back([&, host] {
       for (int i = 0; !stopping; ++i) {
         const std::string id = std::to_string(host) + "-" + std::to_string(i);
-        // The client of host 0, which is stopped, moves to host 4 after its first requests.
+        // The client of host 0, which is stopped, moves to host 4, as clients do once a host isn't
+        // ready.
         const std::size_t at = host == 0 && i > 3 ? 4 : host;
         const auto status = fleet.SendRequest(at, i % 2 == 0 ? "/write/1" : "/read/1", id).status_;
         lost += status == 200 ? 0 : 1;
