--- a/peridotquay/request/Admission.cpp
+++ b/peridotquay/request/Admission.cpp
@@ -344,10 +344,10 @@
 void GrowLimit(AdmissionState& aState, TimePoint aNow)
 {
   const LimitWindow& window = aState.window_;
-  const bool lately =
+  const bool refusedLately =
     window.refusedAtLimit_ > 0 && aNow - aState.lastDecreaseAt_ < kRefusalRetention;
   const double nearRefusal =
-    lately ? kNearRefusalFraction * window.refusedAtLimit_ : MaxLimit(aState);
+    refusedLately ? kNearRefusalFraction * window.refusedAtLimit_ : MaxLimit(aState);
   const double slow = aState.limit_ + kSlowGrowthPerSecond * ToSeconds(aNow - window.start_);
   const double fast = aState.limit_ + std::max(1.0, kGrowthFractionPerWindow * aState.limit_);
   SetLimit(aState, std::max(slow, std::min(fast, nearRefusal)));
@@ -397,10 +397,10 @@
   }
   const double ratio = mean / aState.floorSeconds_;
   // The limit grows only if it was reached: that of an idle target would grow without bound.
-  const bool used = window.peakRunning_ + 1 >= aState.limit_;
+  const bool limitReached = window.peakRunning_ + 1 >= aState.limit_;
   if (ratio < kMaxGrowthRatio) {
     window.slowWindows_ = 0;
-    if (used && window.refusals_ == 0) {
+    if (limitReached && window.refusals_ == 0) {
       GrowLimit(aState, aNow);
     }
     return;
@@ -409,11 +409,11 @@
   // and wrongly confirm the lower limit.
   window.slowWindows_ = ratio >= kMinTrialRatio ? window.slowWindows_ + 1 : 0;
   window.slowSeconds_ = window.slowWindows_ > 1 ? window.slowSeconds_ + mean : mean;
-  const bool due = aNow - window.lastTrialAt_ >= kMinTrialInterval;
-  if (window.slowWindows_ >= kSlowWindowsBeforeTrial || due) {
-    const double before = window.slowSeconds_ / std::max(1U, window.slowWindows_);
+  const bool trialDue = aNow - window.lastTrialAt_ >= kMinTrialInterval;
+  if (window.slowWindows_ >= kSlowWindowsBeforeTrial || trialDue) {
+    const double slowMean = window.slowSeconds_ / std::max(1U, window.slowWindows_);
     window.slowWindows_ = 0;
-    BeginTrial(aState, before, aNow);
+    BeginTrial(aState, slowMean, aNow);
   }
 }
 
@@ -496,13 +496,13 @@
     return;
   }
   const double answers = std::max(window.samples_, kMinWindowSamples);
-  const bool many = window.refusals_ >= kManyRefusalsRatio * answers;
-  if (!many && aNow < window.ignoreRefusalsUntil_) {
+  const bool manyRefusals = window.refusals_ >= kManyRefusalsRatio * answers;
+  if (!manyRefusals && aNow < window.ignoreRefusalsUntil_) {
     return;
   }
   const auto service = std::chrono::duration_cast<Duration>(
     std::chrono::duration<double>(std::min(1.0, aState.serviceSeconds_)));
-  if (!many && aNow - aState.lastDecreaseAt_ < std::max(kMinDecreaseInterval, service)) {
+  if (!manyRefusals && aNow - aState.lastDecreaseAt_ < std::max(kMinDecreaseInterval, service)) {
     return;
   }
   if (window.limitBeforeRefusals_ <= 0) {
@@ -512,7 +512,7 @@
   aState.slotsContradicted_ = true;
   // The target accepted the calls that still run, unless many of them will be refused too. A limit
   // below their number would leave slots idle.
-  const double running = many ? 0 : aState.running_;
+  const double running = manyRefusals ? 0 : aState.running_;
   window.refusedAtLimit_ = std::min(aState.limit_, static_cast<double>(aState.running_) + 1);
   SetLimit(
     aState,
--- a/peridotquay/request/Admission.h
+++ b/peridotquay/request/Admission.h
@@ -86,7 +86,7 @@
   TimePoint lastTrialAt_{};
   std::uint32_t refusedWindows_ = 0; ///< Consecutive windows with refusals by the target.
   double limitBeforeRefusals_ = 0;   ///< Limit before refusals lowered it; 0 if none did lately.
-  TimePoint ignoreRefusalsUntil_{};  ///< Until this time, few refusals don't lower the limit.
+  TimePoint ignoreRefusalsUntil_{};  ///< Until this time, only many refusals lower the limit.
 };
 
 /// Moving average of the service time of one route.
@@ -155,7 +155,7 @@
   kAnswered,
   kTargetRefused, ///< The target refused the call.
   kTimedOut,
-  kCancelled ///< Says nothing about the target.
+  kCancelled ///< The result isn't evidence about the target.
 };
 
 /// How long a started call ran.
@@ -174,8 +174,8 @@
   {
   }
   Duration total_; ///< From start to end; used to find calls that would miss their deadline.
-  Duration
-    own_; ///< Without the time in which deeper calls were outstanding; used to adapt the limit.
+  /// Without the time in which deeper calls were outstanding; used to adapt the limit.
+  Duration own_;
 };
 
 /// Frees the slot of a started call, adapts the limit and starts waiting calls.
@@ -205,8 +205,8 @@
 {
   AdmissionLevel level_;
   TimePoint receivedAt_{};
-  std::uint64_t random_ =
-    0x9E3779B97F4A7C15ULL; ///< State of the random generator; seeded by the owner.
+  /// State of the random generator; seeded by the owner.
+  std::uint64_t random_ = 0x9E3779B97F4A7C15ULL;
 };
 
 /// An older received level is ignored.
--- a/peridotquay/request/CallContext.h
+++ b/peridotquay/request/CallContext.h
@@ -30,7 +30,7 @@
   Importance importance_ = Importance::kLow;
   std::uint8_t depth_ = 0;
   std::uint32_t deeperCalls_ = 0; ///< Outstanding deeper calls.
-  TimePoint deeperSince_{};       ///< If deeperCalls_ > 0: since when at least one is outstanding.
+  TimePoint deeperSince_{};       ///< If deeperCalls_ > 0: from when at least one is outstanding.
   Duration deeperTime_{}; ///< Time before deeperSince_ in which at least one was outstanding.
   bool operator==(const CallContext&) const = default;
 };
--- a/peridotquay/request/RateShare.cpp
+++ b/peridotquay/request/RateShare.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Time constant of the moving average of requested tokens.
-constexpr double kDemandSeconds = 2.0;
+constexpr double kDemandTimeConstantSeconds = 2.0;
 
 /// Every host's demand counts as at least this fraction of the mean, so that a host whose demand
 /// begins has a share at once.
@@ -31,16 +31,17 @@
 /// An assumed use below this many tokens per second is dropped.
 constexpr double kMinAssumedPerSecond = 0.05;
 
-/// A rate is computed over at least this time: reports that follow each other closely say little of
-/// the rate between them.
+/// A rate is computed over at least this time, because it is inaccurate between reports that follow
+/// each other closely.
 constexpr double kMinRateSeconds = 0.1;
 
 /// Bounds of the retry hint.
 constexpr double kMinRetryMs = 20;
 constexpr double kMaxRetryMs = 2000;
 
-/// Whether this host is cut off: no report of any host was received for long enough. A host that is
-/// cut off alone detects it this way before the others count as silent one by one.
+/// Whether this host is cut off: it received no report of any host for isolationTimeout_, or longer
+/// in a small fleet. A host that is cut off alone detects it this way before the others count as
+/// silent one by one.
 bool IsIsolated(const RateShareState& aState, TimePoint aNow)
 {
   const RateShareSettings& settings = aState.settings_;
@@ -97,7 +98,7 @@
   const double active = ActiveFraction(aState);
   aAccount.level_ += (aAccount.rate_ * active - aAccount.peersPerSecond_) * elapsed;
   aAccount.level_ = std::min(aAccount.level_, aAccount.burst_ * active);
-  aAccount.demand_ *= std::exp(-elapsed / kDemandSeconds);
+  aAccount.demand_ *= std::exp(-elapsed / kDemandTimeConstantSeconds);
   const double maxCredit =
     std::max(kMinCredit, MaxCredit(aState, aAccount, DemandFraction(aState, aAccount)));
   aAccount.credit_ = std::min(
@@ -253,14 +254,14 @@
 bool IsReportDue(const RateShareState& aState, TimePoint aNow)
 {
   const Duration age = aNow - aState.reportedAt_;
-  const bool used =
+  const bool useChanged =
     std::any_of(aState.accounts_.begin(), aState.accounts_.end(), [&](const auto& aEntry) {
       const AccountShare& share = aEntry.second;
       return std::abs(share.used_ - share.reported_) >=
              std::max(1.0, aState.settings_.reportFraction_ * share.burst_);
     });
   return age >= aState.settings_.idleReportInterval_ ||
-         (used && age >= aState.settings_.reportInterval_);
+         (useChanged && age >= aState.settings_.reportInterval_);
 }
 
 /// The own report: accounts whose use changed, or every kFullReportInterval reports all accounts
@@ -349,7 +350,7 @@
   const bool unknown = !aPeer.allUsesKnown_ && !aPeer.uses_.contains(aUse.account_);
   PeerUse& known = aPeer.uses_[aUse.account_];
   const double assumed = known.perSecond_ * std::max(0.0, ToSeconds(aNow - known.since_));
-  const double more = static_cast<double>(aUse.used_) - known.used_;
+  const double newUse = static_cast<double>(aUse.used_) - known.used_;
   known.used_ = static_cast<double>(aUse.used_);
   known.since_ = aNow;
   known.changedInReport_ = aPeer.sequence_;
@@ -357,12 +358,12 @@
   if (aSeconds <= 0 || unknown) {
     return;
   }
-  share.level_ = std::min(share.level_ - more + assumed, share.burst_);
-  const double rate = std::max(0.0, more) / std::max(aSeconds, kMinRateSeconds);
-  const double before = known.perSecond_;
+  share.level_ = std::min(share.level_ - newUse + assumed, share.burst_);
+  const double rate = std::max(0.0, newUse) / std::max(aSeconds, kMinRateSeconds);
+  const double previousRate = known.perSecond_;
   const double weight = aWasSilent ? 0 : kPreviousRateWeight;
-  known.perSecond_ = weight * before + (1 - weight) * rate;
-  share.peersPerSecond_ = std::max(0.0, share.peersPerSecond_ + known.perSecond_ - before);
+  known.perSecond_ = weight * previousRate + (1 - weight) * rate;
+  share.peersPerSecond_ = std::max(0.0, share.peersPerSecond_ + known.perSecond_ - previousRate);
 }
 
 /// Lowers the assumed use of accounts that a host's last report doesn't name: they weren't used.
@@ -381,9 +382,9 @@
     share.level_ = std::min(
       share.level_ + use.perSecond_ * std::max(0.0, ToSeconds(aNow - use.since_)), share.burst_);
     use.since_ = aNow;
-    const double before = use.perSecond_;
-    use.perSecond_ = before < kMinAssumedPerSecond ? 0 : kPreviousRateWeight * before;
-    share.peersPerSecond_ = std::max(0.0, share.peersPerSecond_ + use.perSecond_ - before);
+    const double previousRate = use.perSecond_;
+    use.perSecond_ = previousRate < kMinAssumedPerSecond ? 0 : kPreviousRateWeight * previousRate;
+    share.peersPerSecond_ = std::max(0.0, share.peersPerSecond_ + use.perSecond_ - previousRate);
   }
 }
 
@@ -478,7 +479,7 @@
   SettleGrant(aState, aRequest);
   // Tokens of an expired grant count as used.
   std::erase_if(aState.grants_,
-                [aNow](const auto& aEntry) { return aNow >= aEntry.second.expires_; });
+                [aNow](const auto& aEntry) { return aNow >= aEntry.second.expiresAt_; });
   ShareGrant reply;
   reply.nonce_ = aRequest.nonce_;
   reply.clientAccount_ = aRequest.clientAccount_;
@@ -491,7 +492,7 @@
     MarkSilentHosts(aState, aNow);
   }
   Advance(aState, account, aNow);
-  account.demand_ += aRequest.wanted_ / kDemandSeconds;
+  account.demand_ += aRequest.wanted_ / kDemandTimeConstantSeconds;
   const double tokens = std::floor(std::min({ aRequest.wanted_, account.credit_, account.level_ }));
   if (tokens < 1) {
     const double fraction = DemandFraction(aState, account);
@@ -555,10 +556,10 @@
 
 void ApplyRateLevels(RateShareState& aState, const RateLevels& aLevels, TimePoint aNow)
 {
-  const bool fresh = aLevels.sequence_ <= aState.settings_.startupReports_ &&
-                     aNow - aState.startedAt_ < aState.settings_.startupPeriod_;
+  const bool starting = aLevels.sequence_ <= aState.settings_.startupReports_ &&
+                        aNow - aState.startedAt_ < aState.settings_.startupPeriod_;
   if (aLevels.incarnation_ != aState.incarnation_ || aLevels.sequence_ != aState.sequence_ ||
-      !fresh) {
+      !starting) {
     return;
   }
   for (const AccountLevel& level : aLevels.levels_) {
@@ -589,60 +590,61 @@
                                  TimePoint aSince,
                                  TimePoint aNow)
 {
-  std::set<HostId> lost;
+  std::set<HostId> silentHosts;
   std::set<RegionId> activeRegions;
   for (const auto& [host, location] : aState.hosts_) {
     const auto peer = aState.peers_.find(host);
-    const TimePoint last =
+    const TimePoint lastReceivedAt =
       peer == aState.peers_.end() ? aSince : std::max(aSince, peer->second.lastReceivedAt_);
-    if (aNow - last > aTime) {
-      lost.insert(host);
+    if (aNow - lastReceivedAt > aTime) {
+      silentHosts.insert(host);
     } else if (peer != aState.peers_.end() && !peer->second.silent_) {
       activeRegions.insert(location.region_);
     }
   }
-  std::erase_if(lost, [&](const HostId& aHost) {
+  std::erase_if(silentHosts, [&](const HostId& aHost) {
     return !activeRegions.contains(aState.hosts_.at(aHost).region_);
   });
-  return lost;
+  return silentHosts;
 }
 
 std::vector<OutgoingReports> ApplyRateReports(RateShareState& aState,
                                               const RateReports& aReports,
                                               TimePoint aNow)
 {
-  std::vector<RateReport> outside;
-  std::vector<RateReport> far;
+  std::vector<RateReport> otherCentreReports;
+  std::vector<RateReport> otherRegionReports;
   for (const RateReport& report : aReports.reports_) {
     if (!ApplyRateReport(aState, report, aNow)) {
       continue;
     }
     const HostLocation& location = aState.hosts_.at(report.host_);
     if (location != aState.location_) {
-      outside.push_back(report);
+      otherCentreReports.push_back(report);
     }
     if (location.region_ != aState.location_.region_) {
-      far.push_back(report);
+      otherRegionReports.push_back(report);
     }
   }
   const auto sender = aState.hosts_.find(aReports.sender_);
   const HostLocation from = sender == aState.hosts_.end() ? aState.location_ : sender->second;
-  const auto near = DataCentreRelay(aState, aNow);
-  const auto region = RegionRelay(aState, aNow);
-  std::vector<OutgoingReports> onward;
-  if (!near) {
-    AddOutgoingReports(onward, aState.host_, outside, HostsOfDataCentre(aState));
+  const auto dataCentreRelay = DataCentreRelay(aState, aNow);
+  const auto regionRelay = RegionRelay(aState, aNow);
+  std::vector<OutgoingReports> forwarded;
+  if (!dataCentreRelay) {
+    AddOutgoingReports(forwarded, aState.host_, otherCentreReports, HostsOfDataCentre(aState));
   }
-  if (!region) {
-    AddOutgoingReports(onward, aState.host_, far, NearRelays(aState, aNow));
+  if (!regionRelay) {
+    AddOutgoingReports(forwarded, aState.host_, otherRegionReports, NearRelays(aState, aNow));
   }
   // A sender in another location that doesn't know the relay of this one yet tries other hosts.
-  if (from.region_ != aState.location_.region_ && region) {
-    AddOutgoingReports(onward, aState.host_, far, { *region });
-  } else if (from.region_ == aState.location_.region_ && from != aState.location_ && near) {
-    AddOutgoingReports(onward, aState.host_, outside, { *near });
+  if (from.region_ != aState.location_.region_ && regionRelay) {
+    AddOutgoingReports(forwarded, aState.host_, otherRegionReports, { *regionRelay });
+  } else if (from.region_ == aState.location_.region_ && from != aState.location_ &&
+             dataCentreRelay) {
+    AddOutgoingReports(forwarded, aState.host_, otherCentreReports, { *dataCentreRelay });
   }
-  return onward;
+  return forwarded;
 }
 
 } // namespace peridotquay
--- a/peridotquay/request/RateShare.h
+++ b/peridotquay/request/RateShare.h
@@ -57,7 +57,7 @@
   /// Number of reports after the start of a host that the others answer with their levels. It is
   /// more than one, because a starting host comes to know the others one after the other.
   std::uint64_t startupReports_ = 5;
-  /// A host that has run for this long knows the levels and tells them to others.
+  /// A host that has run for this long knows the levels and sends them to starting hosts.
   Duration startupPeriod_ = milliseconds(3000);
   bool operator==(const RateShareSettings&) const = default;
 };
@@ -114,7 +114,7 @@
 {
   ClientAccountId account_;
   double tokens_ = 0;
-  TimePoint expires_{};
+  TimePoint expiresAt_{};
 };
 
 /// Rate limiting state of one host. Changed only through the functions below.
--- a/peridotquay/request/RetryBudget.h
+++ b/peridotquay/request/RetryBudget.h
@@ -22,8 +22,8 @@
 /// Lends half of the remaining retries, rounded up, to a deeper call. Returns the number lent.
 std::uint32_t LendRetries(RetryBudget& aBudget);
 
-/// Returns the unspent retries of a deeper call that was lent aLent. aLent counts as at most lent_,
-/// aUnused as at most aLent.
+/// Adds the unspent retries of a deeper call to the budget again. aLent is the number lent to the
+/// call and counts as at most lent_, aUnused counts as at most aLent.
 void ReturnRetries(RetryBudget& aBudget, std::uint32_t aLent, std::uint32_t aUnused);
 
 /// Spends one retry; false if none is left.
@@ -36,7 +36,7 @@
   double maxTokens_ = 10; ///< Bounds the burst of retries after a time without failures.
   /// Without enough tokens, one retry is allowed if this time has passed since the last one.
   Duration minInterval_ = seconds(1);
-  double mayHaveRunCost_ = 1; ///< Tokens for the retry of a call that may have run.
+  double mayHaveRunCost_ = 1; ///< Tokens that the retry of a call costs if it may have run.
   bool operator==(const RetryRatioSettings&) const = default;
 };
 
--- a/peridotquay/request/RouteChoice.cpp
+++ b/peridotquay/request/RouteChoice.cpp
@@ -40,7 +40,7 @@
 /// A target is avoided if its failure fraction exceeds that of the service's best target by more
 /// than this. Only the excess counts: failures that all targets share have their cause elsewhere,
 /// for example in a service that they all call.
-constexpr double kMaxExcessFailures = 0.12;
+constexpr double kMaxExcessFailureFraction = 0.12;
 
 /// A reported failure fraction halves in this time, so that an avoided target is tried again.
 constexpr double kFailureHalfLifeSeconds = 2.0;
@@ -381,7 +381,8 @@
     const TargetStats* stats = FindStats(aState, target);
     if (Contains(ejected, target.host_)) {
       ejectedTargets.push_back(&target);
-    } else if (RecentFailureFraction(stats, aNow) > minFailureFraction + kMaxExcessFailures) {
+    } else if (RecentFailureFraction(stats, aNow) >
+               minFailureFraction + kMaxExcessFailureFraction) {
       failing.push_back(&target);
     } else if (stats != nullptr && stats->refusedUntil_ > aNow) {
       refusing[Tier(aState, target)].push_back(&target);
--- a/peridotquay/request/TokenCache.cpp
+++ b/peridotquay/request/TokenCache.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Time constant of the moving average of consumed tokens.
-constexpr double kUseWindowSeconds = 1.0;
+constexpr double kUseTimeConstantSeconds = 1.0;
 
 /// More tokens are requested when the remaining ones won't last this long.
 constexpr double kRequestAheadSeconds = 0.1;
@@ -21,7 +21,7 @@
 /// A request without a reply after this time counts as lost.
 constexpr Duration kRequestTimeout = milliseconds(100);
 
-/// Minimum time for which a refusal without a retry hint holds.
+/// Minimum time for which a refusal holds if its retry hint is shorter or absent.
 constexpr Duration kMinRefusalPeriod = milliseconds(20);
 
 /// Tokens of an account that consumed none for this long are given back.
@@ -31,7 +31,7 @@
 double CurrentUse(const CachedTokens& aTokens, TimePoint aNow)
 {
   const double age = std::max(0.0, ToSeconds(aNow - aTokens.lastAcquiredAt_));
-  return aTokens.usePerSecond_ * std::exp(-age / kUseWindowSeconds);
+  return aTokens.usePerSecond_ * std::exp(-age / kUseTimeConstantSeconds);
 }
 
 /// Closes the grant in use: stores its use for the next request and continues with the next grant.
@@ -138,7 +138,7 @@
   double wanted = 0;
   if (tokens.grant_ != 0) {
     result.status_ = AcquireStatus::kAcquired;
-    tokens.usePerSecond_ = CurrentUse(tokens, aNow) + 1 / kUseWindowSeconds;
+    tokens.usePerSecond_ = CurrentUse(tokens, aNow) + 1 / kUseTimeConstantSeconds;
     tokens.lastAcquiredAt_ = aNow;
     tokens.tokens_ -= 1;
     tokens.usedOfGrant_ += 1;
--- a/peridotquay/request/TokenCache.h
+++ b/peridotquay/request/TokenCache.h
@@ -43,7 +43,7 @@
   double tokens_ = 0;       ///< Usable until expiresAt_.
   double usedOfGrant_ = 0;  ///< Tokens consumed from grant_; reported after it is closed.
   TimePoint expiresAt_{};
-  double usePerSecond_ = 0; ///< Moving average of consumed tokens.
+  double usePerSecond_ = 0; ///< Moving average of the tokens consumed per second.
   TimePoint lastAcquiredAt_{};
   std::uint64_t requestNonce_ = 0; ///< Nonce of the outstanding request; 0 if none.
   TimePoint requestedAt_{};
--- a/peridotquay/version/Config.h
+++ b/peridotquay/version/Config.h
@@ -41,8 +41,8 @@
   std::string host_;   ///< Host name that requests must have; empty for any.
   std::string prefix_; ///< Begins with '/'. The longest matching prefix wins.
   ServiceId service_;
-  std::vector<WeightedService>
-    split_; ///< If not empty, requests go to these services by weight instead of to service_.
+  /// If not empty, requests go to these services by weight instead of to service_.
+  std::vector<WeightedService> split_;
   Importance importance_ = Importance::kNormal;
   std::uint32_t priority_ = 0;   ///< 0 is the most important.
   bool repeatable_ = true;       ///< False: a request runs at most once.
@@ -65,17 +65,17 @@
 /// Settings of the policy under load. The two example deployments differ only in these.
 struct Policy
 {
-  Duration keyFreshnessBound_ =
-    seconds(10); ///< Requests with a key are refused if the configuration was last known to be the
-                 ///< newest longer ago than this; 3 s to 3,600 s.
+  /// Requests with a key are refused if the configuration was last known to be the newest longer
+  /// ago than this; 3 s to 3,600 s.
+  Duration keyFreshnessBound_ = seconds(10);
   double floorFraction_ = 0.25; ///< Fraction of each rate held as long-lived floors; 0 to 0.9.
   Duration floorLease_ = seconds(600); ///< Lease duration of floors.
   Duration elasticLease_ = seconds(5); ///< Lease duration of elastic shares.
   double retryRatio_ = 0.1;            ///< Retry tokens that a first attempt earns; 0 to 1.
   /// Maximum retry tokens that a host accumulates for one service.
   double retryBudgetCapacity_ = 10;
-  /// Fractions of a call's spare time that it waits before it goes to another data centre of its
-  /// region, or to another region; 0 to 1.
+  /// Fractions of a call's slack (its latency objective minus the expected latency) that it may
+  /// queue before it goes to another data centre of its region, or to another region; 0 to 1.
   double slackFractionWithinRegion_ = 0;
   double slackFractionBetweenRegions_ = 0;
   /// Retry tokens that a retry costs if the call may have run; other retries cost 1.
@@ -92,8 +92,8 @@
 {
   Version version_ = 0;
   std::map<ClientAccountId, ClientAccount> clientAccounts_;
-  std::map<std::string, ClientAccountId>
-    keys_; ///< By SHA-256 digest, 64 lower-case hex digits. Withdrawn keys are absent.
+  /// By SHA-256 digest, 64 lower-case hex digits. Withdrawn keys are absent.
+  std::map<std::string, ClientAccountId> keys_;
   std::vector<Route> routes_; ///< Sorted by descending prefix length, then by prefix.
   std::map<DataCentreId, Site> sites_;
   Policy policy_;
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -37,14 +37,14 @@
   Duration syncInterval_ = seconds(1);        ///< Between sync requests to the parent.
   Duration reportLifetime_ = seconds(3); ///< Reports of a child that didn't sync for this long are
                                          ///< not counted.
-  Duration replyTimeout_ =
-    milliseconds(2500);               ///< A parent that didn't reply for this long is bypassed.
-  Duration maxProofAge_ = seconds(2); ///< With an older proof a delegate syncs with the
-                                      ///< delegates of other data centres.
+  /// A parent that didn't reply for this long is bypassed.
+  Duration replyTimeout_ = milliseconds(2500);
+  Duration maxProofAge_ = seconds(2);      ///< With an older proof a delegate syncs with the
+                                           ///< delegates of other data centres.
   Duration contactInterval_ = seconds(10); ///< Between reads of contact rows, and at least between
                                            ///< writes of the own row.
-  Duration contactIntervalAlone_ =
-    seconds(2); ///< Between reads of contact rows while no other member is known.
+  /// Between reads of contact rows while no other member is known.
+  Duration contactIntervalAlone_ = seconds(2);
   Duration watermarkInterval_ = seconds(1);           ///< At least between writes of the watermark.
   std::size_t arity_ = 8;                             ///< Children of each node in both trees.
   std::size_t delegateCount_ = 2;                     ///< Delegates of each data centre.
@@ -122,14 +122,15 @@
   Duration freshnessBound_ = seconds(10); ///< Of the configuration in force.
   std::set<DataCentreId> sites_;          ///< Data centres in the configuration in force.
 
-  std::optional<TimePoint>
-    provenUntil_; ///< inForce_ was the latest version then, by a poll or a sync reply.
-  std::optional<TimePoint>
-    extendedUntil_; ///< As provenUntil_, by evidence that no data centre reaches the platform.
+  /// Latest time at which a poll or a sync reply proves that inForce_ was the latest version.
+  std::optional<TimePoint> provenUntil_;
+  /// Latest time at which inForce_ counts as the latest version because no data centre reached the
+  /// platform.
+  std::optional<TimePoint> extendedUntil_;
   std::optional<FreshnessProof> pendingProof_;   ///< Proof of a version not yet in force here.
   std::optional<TimePoint> failedPollStartedAt_; ///< Start of the last poll, if it failed.
-  std::optional<OutageEvidence>
-    otherDelegateOutage_; ///< Failed poll that the other delegate of this data centre reported.
+  /// Failed poll that the other delegate of this data centre reported.
+  std::optional<OutageEvidence> otherDelegateOutage_;
   std::map<DataCentreId, OutageEvidence> centreOutages_; ///< Reported by other data centres.
   bool loggedFresh_ = false; ///< Whether the last logged event states that this node is fresh.
 
@@ -156,7 +157,7 @@
   Version watermark_ = 0;        ///< Minimum version in force in the own data centre.
   std::string writtenWatermark_; ///< The last written row text without its time.
   std::string writtenContacts_;  ///< The last written row text without its time.
-  TimePoint aloneSince_{};       ///< Since when no other member is known.
+  TimePoint aloneSince_{};       ///< Time from which no other member is known.
 };
 
 /// A change that the owner logs.
@@ -180,8 +181,8 @@
 struct DisseminationEffects
 {
   std::vector<ControlMessage> messages_;
-  std::optional<PlatformCall>
-    call_; ///< To make, one at a time; the answer goes to HandlePlatformAnswer.
+  /// Platform call to make, one at a time. Its answer goes to HandlePlatformAnswer.
+  std::optional<PlatformCall> call_;
   std::shared_ptr<const Config> config_; ///< To publish before freshUntil_.
   std::optional<TimePoint> freshUntil_;  ///< To publish.
   std::vector<Address> contacts_;        ///< Addresses for AddContacts.
--- a/peridotquay/version/Membership.h
+++ b/peridotquay/version/Membership.h
@@ -29,15 +29,15 @@
 struct MembershipSettings
 {
   Duration probeInterval_ = seconds(1); ///< Between probes, and between summaries of a delegate.
-  Duration indirectProbeDelay_ =
-    milliseconds(300); ///< Time without an ack until other members are asked to probe.
+  /// Time without an ack until other members are asked to probe.
+  Duration indirectProbeDelay_ = milliseconds(300);
   Duration ackTimeout_ = seconds(1); ///< Not read: a probe without an ack fails when the next one
                                      ///< is due, after probeInterval_.
   Duration suspicionTimeout_ = seconds(3); ///< Time in which a suspected member can refute.
   std::uint32_t indirectProbeCount_ = 3;   ///< Members that are asked for an indirect probe.
-  std::uint32_t suspectProbesPerInterval_ =
-    2; ///< Suspected members that are probed in addition in each probeInterval_, so that they learn
-       ///< of the suspicion and refute it in time.
+  /// Suspected members that are probed in addition in each probeInterval_, so that they learn of
+  /// the suspicion and refute it in time.
+  std::uint32_t suspectProbesPerInterval_ = 2;
   Duration backlogInterval_ = milliseconds(250); ///< Between extra probes that carry updates while
                                                  ///< more are queued than one datagram holds.
   std::size_t updatesPerDatagram_ = 6; ///< Keeps a datagram below 1,200 bytes, one IP packet.
@@ -46,23 +46,23 @@
                                          ///< been separated by a network partition.
   Duration joinInterval_ = seconds(1);   ///< Between requests to the seeds until one answers.
   Duration seedInterval_ = seconds(10);  ///< Between later requests to seeds that aren't members.
-  Duration firstAntiEntropyDelay_ =
-    seconds(2); ///< From the start to the first exchange of whole tables. The delay then doubles up
-                ///< to the greater of the limits from the next two settings.
+  /// From the start to the first exchange of whole tables. The delay then doubles up to the greater
+  /// of the limits from the next two settings.
+  Duration firstAntiEntropyDelay_ = seconds(2);
   Duration antiEntropyInterval_ = seconds(30); ///< Limit of the doubling in small data centres.
-  Duration antiEntropyIntervalPerMember_ =
-    milliseconds(200); ///< Times the number of members: the limit in large data centres. Bounds the
-                       ///< traffic to about 500 bytes a second for any number of members.
-  Duration centreTimeout_ =
-    seconds(4); ///< A data centre without a summary for this long is unreachable.
+  /// Multiplied by the number of members, the limit of the doubling in large data centres. Bounds
+  /// the traffic to about 500 bytes per second for any number of members.
+  Duration antiEntropyIntervalPerMember_ = milliseconds(200);
+  Duration centreTimeout_ = seconds(4);      ///< A data centre without a summary for this long is
+                                             ///< unreachable.
   Duration confirmationPeriod_ = seconds(5); ///< Members of a data centre that is reachable again
                                              ///< are confirmed at random times within this period.
   std::size_t delegateCount_ = 2;            ///< Delegates of each data centre.
   std::size_t maxSummaryChanges_ = 64;       ///< Changed members in one summary.
   std::size_t summaryRefreshCount_ = 2;      ///< Unchanged members repeated in each summary.
-  std::size_t maxProbedConfirmations_ =
-    64; ///< If more members of a data centre await confirmation, they are used without a probe,
-        ///< because each node would probe them all.
+  /// If more members of a data centre await confirmation, they are used without a probe, because
+  /// each node would probe them all.
+  std::size_t maxProbedConfirmations_ = 64;
   std::size_t maxMembers_ = 4096; ///< Entries in the member table.
   bool operator==(const MembershipSettings&) const = default;
 };
--- a/peridotquay/version/StoreFeed.h
+++ b/peridotquay/version/StoreFeed.h
@@ -49,8 +49,8 @@
   TimePoint questionSentAt_{};   ///< When the last question was sent.
   Duration suspendedWhenSent_{}; ///< Total suspension of this host when the last question was sent.
   std::uint32_t unanswered_ = 0; ///< Consecutive unanswered questions.
-  std::uint32_t answersWithMissingRows_ =
-    0;                                 ///< Consecutive answers that name rows this host lacks.
+  /// Consecutive answers that name rows this host lacks.
+  std::uint32_t answersWithMissingRows_ = 0;
   TimePoint lastQuestionReceivedAt_{}; ///< When another host last asked this one.
 };
 
--- a/tests/request/RateShareTest.cpp
+++ b/tests/request/RateShareTest.cpp
@@ -32,7 +32,7 @@
   std::vector<RateShareState> hosts_;
   std::vector<bool> isolated_;
   std::vector<DelayedReports> delayed_;
-  std::vector<TimePoint> taken_;
+  std::vector<TimePoint> grantedAt_;
   std::size_t refused_ = 0;
   std::uint64_t nonce_ = 1;
   std::uint64_t steps_ = 0;
@@ -95,7 +95,7 @@
     request.clientAccount_ = kAccount;
     request.wanted_ = 1;
     if (GrantTokens(hosts_[aHost], request, now_).tokens_ >= 1) {
-      taken_.push_back(now_);
+      grantedAt_.push_back(now_);
     } else {
       ++refused_;
     }
@@ -113,9 +113,9 @@
       return true;
     });
     for (const DelayedReports& delayed : due) {
-      for (const OutgoingReports& step :
+      for (const OutgoingReports& outgoing :
            ApplyRateReports(hosts_[delayed.to_], delayed.reports_, now_)) {
-        Send(delayed.to_, step);
+        Send(delayed.to_, outgoing);
       }
       for (const auto& [host, levels] : CollectDueLevels(hosts_[delayed.to_], now_)) {
         // A datagram within a data centre takes less than one 10 ms step, so it isn't delayed.
@@ -126,8 +126,8 @@
       return;
     }
     for (std::size_t from = 0; from < hosts_.size(); ++from) {
-      for (const OutgoingReports& step : CollectDueReports(hosts_[from], now_)) {
-        Send(from, step);
+      for (const OutgoingReports& outgoing : CollectDueReports(hosts_[from], now_)) {
+        Send(from, outgoing);
       }
     }
   }
@@ -147,17 +147,17 @@
   }
 
   /// Maximum number of tokens granted in any window of this length.
-  std::size_t MaxTakenIn(Duration aWindow) const
+  std::size_t MaxGrantedIn(Duration aWindow) const
   {
-    std::size_t maxTaken = 0;
+    std::size_t maxGranted = 0;
     std::size_t first = 0;
-    for (std::size_t last = 0; last < taken_.size(); ++last) {
-      while (taken_[last] - taken_[first] > aWindow) {
+    for (std::size_t last = 0; last < grantedAt_.size(); ++last) {
+      while (grantedAt_[last] - grantedAt_[first] > aWindow) {
         ++first;
       }
-      maxTaken = std::max(maxTaken, last - first + 1);
+      maxGranted = std::max(maxGranted, last - first + 1);
     }
-    return maxTaken;
+    return maxGranted;
   }
 };
 
@@ -179,9 +179,9 @@
       fleet.Run(0.5 * rate, seconds(8), 16);
       fleet.Run(8 * rate, seconds(10), 16);
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.MaxTakenIn(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
       // At least nine tenths of the rate are served.
-      CHECK(static_cast<double>(fleet.taken_.size()) >= 0.9 * (4 * rate + 10 * rate));
+      CHECK(static_cast<double>(fleet.grantedAt_.size()) >= 0.9 * (4 * rate + 10 * rate));
     }
   }
 }
@@ -193,17 +193,17 @@
   for (const std::size_t activeHosts : { std::size_t{ 16 }, std::size_t{ 4 }, std::size_t{ 1 } }) {
     for (const double rate : { 10.0, 51.0, 400.0 }) {
       std::size_t refused = 0;
-      std::size_t asked = 0;
+      std::size_t requests = 0;
       for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Fleet fleet(16, rate, rate, seed);
         fleet.Run(0, seconds(8), 16);
         fleet.Run(rate / 1.6, seconds(20), activeHosts);
         refused += fleet.refused_;
-        asked += fleet.taken_.size() + fleet.refused_;
+        requests += fleet.grantedAt_.size() + fleet.refused_;
       }
       INFO("active hosts " << activeHosts << " rate " << rate << " refused " << refused << " of "
-                           << asked);
-      CHECK(static_cast<double>(refused) <= 0.01 * static_cast<double>(asked));
+                           << requests);
+      CHECK(static_cast<double>(refused) <= 0.01 * static_cast<double>(requests));
     }
   }
 }
@@ -222,7 +222,7 @@
       fleet.isolated_.assign(16, false);
       fleet.Run(6 * rate, seconds(5), 16);
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.MaxTakenIn(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
     }
   }
 }
@@ -240,7 +240,7 @@
     }
     fleet.Run(4 * rate, seconds(8), 16);
     INFO("seed " << seed);
-    CHECK(fleet.MaxTakenIn(seconds(5)) <= Allowed(rate, rate));
+    CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
   }
 }
 
@@ -254,15 +254,15 @@
       fleet.Run(0, seconds(8), hosts);
       fleet.Run(0.6 * rate, seconds(10), hosts);
       const std::size_t refused = fleet.refused_;
-      const std::size_t taken = fleet.taken_.size();
+      const std::size_t taken = fleet.grantedAt_.size();
       for (std::size_t i = 0; i < 16; ++i) {
         fleet.hosts_[i] = fleet.Start(i, 2);
         fleet.Run(0.6 * rate, seconds(1), hosts);
       }
-      const std::size_t asked = fleet.refused_ - refused + fleet.taken_.size() - taken;
+      const std::size_t requests = fleet.refused_ - refused + fleet.grantedAt_.size() - taken;
       INFO("hosts " << hosts << " rate " << rate << " refused " << fleet.refused_ - refused
-                    << " of " << asked);
-      CHECK(static_cast<double>(fleet.refused_ - refused) <= 0.05 * static_cast<double>(asked));
+                    << " of " << requests);
+      CHECK(static_cast<double>(fleet.refused_ - refused) <= 0.05 * static_cast<double>(requests));
     }
   }
 }
@@ -281,7 +281,7 @@
         fleet.Run(5 * rate, milliseconds(700), 16);
       }
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.MaxTakenIn(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
     }
   }
 }
--- a/tests/request/RouteChoiceTest.cpp
+++ b/tests/request/RouteChoiceTest.cpp
@@ -359,7 +359,7 @@
   CHECK(chosen() == "far");
 }
 
-// Guards against failuresToEject_ more failed calls, each of which costs a retry, to a dead host
+// Guards against failuresToEject_ failed calls, each of which costs a retry, to a dead host
 // after each ejection.
 TEST_CASE("an unreachable target is ejected at once and again by its first failure", "[route]")
 {
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -54,20 +54,21 @@
   {
     for (std::size_t i = 0; i < aSettings.nodes_; ++i) {
       nodes_.push_back(MakeNode(i, 1));
-      const auto life = nodes_[i].processNumber_;
-      ScheduleAt(now_ + Random(milliseconds(100)), [this, i, life] { Step(i, life); });
+      const auto processNumber = nodes_[i].processNumber_;
+      ScheduleAt(now_ + Random(milliseconds(100)),
+                 [this, i, processNumber] { Step(i, processNumber); });
     }
   }
 
   std::vector<NetworkNode> nodes_;
   FakePlatform platform_;
-  std::set<std::string>
-    centresWithoutPlatform_; ///< Data centres without a connection to the platform.
-  std::function<bool(std::size_t, std::size_t)>
-    isPartitioned_; ///< True if no message passes from the first node to the second.
+  /// Data centres without a connection to the platform.
+  std::set<std::string> centresWithoutPlatform_;
+  /// True if no message passes from the first node to the second.
+  std::function<bool(std::size_t, std::size_t)> isPartitioned_;
   std::vector<TimePoint> acceptedAt_; ///< Element i: true time at which version i + 1 was accepted.
-  bool violated_ =
-    false; ///< A version or freshness decreased, or a node claimed to be fresher than it was.
+  /// A version or freshness decreased, or a node claimed to be fresher than it was.
+  bool violated_ = false;
   std::string violation_; ///< Description of the first violation.
   TimePoint now_{ seconds(100000) };
 
@@ -116,8 +117,8 @@
   void Restart(std::size_t aNode, Incarnation aIncarnation)
   {
     nodes_[aNode] = MakeNode(aNode, aIncarnation);
-    const auto life = nodes_[aNode].processNumber_;
-    ScheduleAt(now_, [this, aNode, life] { Step(aNode, life); });
+    const auto processNumber = nodes_[aNode].processNumber_;
+    ScheduleAt(now_, [this, aNode, processNumber] { Step(aNode, processNumber); });
   }
 
   /// Delays all steps and arrivals at a node, as for a suspended process.
@@ -190,17 +191,17 @@
     return node;
   }
 
-  void Step(std::size_t aNode, std::uint64_t aLife)
+  void Step(std::size_t aNode, std::uint64_t aProcessNumber)
   {
     auto& node = nodes_[aNode];
-    if (node.stopped_ || node.processNumber_ != aLife) {
+    if (node.stopped_ || node.processNumber_ != aProcessNumber) {
       return;
     }
     if (node.pausedUntil_ > now_) {
-      ScheduleAt(node.pausedUntil_, [=, this] { Step(aNode, aLife); });
+      ScheduleAt(node.pausedUntil_, [=, this] { Step(aNode, aProcessNumber); });
       return;
     }
-    ScheduleAt(now_ + milliseconds(100), [=, this] { Step(aNode, aLife); });
+    ScheduleAt(now_ + milliseconds(100), [=, this] { Step(aNode, aProcessNumber); });
     MembershipEffects effects;
     StepMembership(node.membership_, Local(aNode), effects);
     CarryOut(aNode, effects);
@@ -283,7 +284,7 @@
   void CallPlatform(std::size_t aNode, PlatformCall aCall)
   {
     const auto started = Local(aNode);
-    const auto life = nodes_[aNode].processNumber_;
+    const auto processNumber = nodes_[aNode].processNumber_;
     const auto there = settings_.minDelay_ + Random(settings_.maxDelay_);
     const auto back = settings_.minDelay_ + Random(settings_.maxDelay_);
     ScheduleAt(now_ + there, [=, this] {
@@ -294,18 +295,18 @@
         answer = RunPlatformCall(platform_, aCall);
       }
       answer.startedAt_ = started;
-      ScheduleAt(now_ + back, [=, this] { DeliverAnswer(aNode, life, answer); });
+      ScheduleAt(now_ + back, [=, this] { DeliverAnswer(aNode, processNumber, answer); });
     });
   }
 
-  void DeliverAnswer(std::size_t aNode, std::uint64_t aLife, PlatformAnswer aAnswer)
+  void DeliverAnswer(std::size_t aNode, std::uint64_t aProcessNumber, PlatformAnswer aAnswer)
   {
     auto& node = nodes_[aNode];
-    if (node.stopped_ || node.processNumber_ != aLife) {
+    if (node.stopped_ || node.processNumber_ != aProcessNumber) {
       return;
     }
     if (node.pausedUntil_ > now_) {
-      ScheduleAt(node.pausedUntil_, [=, this] { DeliverAnswer(aNode, aLife, aAnswer); });
+      ScheduleAt(node.pausedUntil_, [=, this] { DeliverAnswer(aNode, aProcessNumber, aAnswer); });
       return;
     }
     aAnswer.finishedAt_ = Local(aNode);
@@ -320,17 +321,17 @@
   {
     auto& node = nodes_[aNode];
     const auto& versions = node.versions_;
-    const auto fresh = FreshUntil(versions);
+    const auto freshUntil = FreshUntil(versions);
     if (versions.inForce_ < node.lastVersionInForce_ ||
-        (node.lastFreshUntil_ && *fresh < *node.lastFreshUntil_)) {
+        (node.lastFreshUntil_ && *freshUntil < *node.lastFreshUntil_)) {
       RecordViolation("a version or freshness decreased at node " + std::to_string(aNode));
     }
     node.lastVersionInForce_ = versions.inForce_;
-    node.lastFreshUntil_ = fresh;
-    if (!fresh) {
+    node.lastFreshUntil_ = freshUntil;
+    if (!freshUntil) {
       return;
     }
-    const auto trueTime = *fresh - node.offset_;
+    const auto trueTime = *freshUntil - node.offset_;
     Version latest = 0;
     while (latest < acceptedAt_.size() && acceptedAt_[latest] <= trueTime) {
       ++latest;
--- a/tests/version/ControlNetworkTest.cpp
+++ b/tests/version/ControlNetworkTest.cpp
@@ -36,16 +36,17 @@
 
 Duration MaxFreshnessAge(const ControlNetwork& aNetwork, const std::string& aCentre = {})
 {
-  Duration oldest{};
+  Duration maxAge{};
   for (std::size_t i = 0; i < aNetwork.nodes_.size(); ++i) {
     const auto& node = aNetwork.nodes_[i];
     if (node.stopped_ || (!aCentre.empty() && aNetwork.CentreOf(i) != aCentre)) {
       continue;
     }
-    const auto fresh = FreshUntil(node.versions_);
-    oldest = std::max(oldest, fresh ? aNetwork.Local(i) - *fresh : Duration(seconds(1000000)));
+    const auto freshUntil = FreshUntil(node.versions_);
+    maxAge =
+      std::max(maxAge, freshUntil ? aNetwork.Local(i) - *freshUntil : Duration(seconds(1000000)));
   }
-  return oldest;
+  return maxAge;
 }
 
 // The first change: one client account and a site for each data centre.
@@ -76,7 +77,7 @@
   auto network = MakeSettledNetwork({ 64, 1, loss });
   CHECK(AllKnowAll(*network));
   CHECK(MinVersionInForce(*network) == 1);
-  // Below the default of keys.freshness_bound.
+  // Below the default of Policy::keyFreshnessBound_.
   CHECK(MaxFreshnessAge(*network) < seconds(10));
   CHECK_FALSE(network->violated_);
 }
