--- a/peridotquay/request/Admission.cpp
+++ b/peridotquay/request/Admission.cpp
@@ -595,14 +595,14 @@
 }
 
 AdmissionActions FinishCall(AdmissionState& aState,
-                            ExecutionResult aEnd,
+                            ExecutionResult aResult,
                             const ServiceTime& aServiceTime,
                             TimePoint aNow,
                             const RouteId& aRoute)
 {
   assert(aState.running_ > 0);
   aState.running_ -= aState.running_ > 0 ? 1 : 0;
-  switch (aEnd) {
+  switch (aResult) {
     case ExecutionResult::kAnswered:
     case ExecutionResult::kTimedOut:
       RecordServiceTime(aState, aServiceTime, aNow);
--- a/peridotquay/request/Admission.h
+++ b/peridotquay/request/Admission.h
@@ -180,7 +180,7 @@
 
 /// Frees the slot of a started call, adapts the limit and starts waiting calls.
 AdmissionActions FinishCall(AdmissionState& aState,
-                            ExecutionResult aEnd,
+                            ExecutionResult aResult,
                             const ServiceTime& aServiceTime,
                             TimePoint aNow,
                             const RouteId& aRoute = {});
--- a/peridotquay/request/RouteChoice.cpp
+++ b/peridotquay/request/RouteChoice.cpp
@@ -331,18 +331,19 @@
   if (aStats.ejectedUntil_ > aNow) {
     return;
   }
-  aStats.failuresInRow_ += aFailures;
-  if (aStats.failuresInRow_ < aSettings.failuresToEject_) {
+  aStats.consecutiveFailures_ += aFailures;
+  if (aStats.consecutiveFailures_ < aSettings.failuresToEject_) {
     return;
   }
   Duration ejection = aSettings.firstEjection_;
-  for (std::uint32_t i = 0; i < aStats.ejectionsInRow_ && ejection < aSettings.maxEjection_; ++i) {
+  for (std::uint32_t i = 0; i < aStats.consecutiveEjections_ && ejection < aSettings.maxEjection_;
+       ++i) {
     ejection *= 2;
   }
   aStats.ejectedUntil_ = aNow + std::min(ejection, aSettings.maxEjection_);
-  ++aStats.ejectionsInRow_;
+  ++aStats.consecutiveEjections_;
   // A single failure after the ejection ejects the target again.
-  aStats.failuresInRow_ = aSettings.failuresToEject_ > 0 ? aSettings.failuresToEject_ - 1 : 0;
+  aStats.consecutiveFailures_ = aSettings.failuresToEject_ > 0 ? aSettings.failuresToEject_ - 1 : 0;
 }
 
 } // namespace
@@ -436,14 +437,14 @@
   switch (aResult) {
     case AttemptResult::kAnswered:
       RecordLatency(*stats, aLatency, aNow);
-      stats->failuresInRow_ = 0;
-      stats->ejectionsInRow_ = 0;
+      stats->consecutiveFailures_ = 0;
+      stats->consecutiveEjections_ = 0;
       stats->refusedUntil_ = {};
       break;
     case AttemptResult::kRefused:
       // A refusal shows that the target is alive. Its latency isn't recorded: refusing is faster
       // than running a call.
-      stats->failuresInRow_ = 0;
+      stats->consecutiveFailures_ = 0;
       stats->refusedUntil_ = aNow + kRefusalPause;
       break;
     case AttemptResult::kTimedOut:
--- a/peridotquay/request/RouteChoice.h
+++ b/peridotquay/request/RouteChoice.h
@@ -41,8 +41,8 @@
   std::uint32_t inFlight_ = 0;   ///< Calls that this node sent and that haven't ended.
   double latencySeconds_ = 0;    ///< Moving average over complete answers; 0 before the first.
   TimePoint latencyUpdatedAt_{}; ///< Time of the latest sample in latencySeconds_.
-  std::uint32_t failuresInRow_ = 0;
-  std::uint32_t ejectionsInRow_ = 0;
+  std::uint32_t consecutiveFailures_ = 0;
+  std::uint32_t consecutiveEjections_ = 0;
   TimePoint ejectedUntil_{};
   double reportedLoad_ = 0; ///< (running + queued) / limit from its guard; 0 if unknown.
   TimePoint reportedAt_{};  ///< When reportedLoad_ or failureFraction_ was received last.
--- a/peridotquay/version/ConfigCompiler.cpp
+++ b/peridotquay/version/ConfigCompiler.cpp
@@ -540,8 +540,8 @@
   for (auto& [index, route] : aChecked.routes_) {
     aConfig.routes_[index] = std::move(route);
   }
-  for (const auto& [id, part] : aChecked.rateFractions_) {
-    aConfig.clientAccounts_.at(id).siteRateFraction_ = part;
+  for (const auto& [id, fraction] : aChecked.rateFractions_) {
+    aConfig.clientAccounts_.at(id).siteRateFraction_ = fraction;
   }
   aConfig.policy_ = aChecked.policy_;
 }
@@ -564,16 +564,16 @@
   if (!base.sites_.empty() && !base.sites_.contains(aDataCentre)) {
     return Fail(ErrorCode::kUnknownSite, aDataCentre.value_, "a site of the configuration");
   }
-  std::optional<CheckedOverlay> own;
+  std::optional<CheckedOverlay> ownOverlay;
   for (const auto& [dataCentre, site] : aCache.sites_) {
     BOOST_OUTCOME_TRY(checked, CheckOverlay(base, site));
     if (dataCentre == aDataCentre) {
-      own = std::move(checked);
+      ownOverlay = std::move(checked);
     }
   }
   auto compiled = std::make_shared<Config>(base);
-  if (own) {
-    ApplyOverlay(std::move(*own), *compiled);
+  if (ownOverlay) {
+    ApplyOverlay(std::move(*ownOverlay), *compiled);
   }
   compiled->version_ = aVersion;
   return std::shared_ptr<const Config>(std::move(compiled));
--- a/peridotquay/version/ConfigCompiler.h
+++ b/peridotquay/version/ConfigCompiler.h
@@ -8,8 +8,8 @@
 //   service/<id>      {}
 //   site/<dc>         {"region":"<id>"}, optional "overlay" with routes, accounts and policy
 //   policy/default    {}, all keys optional
-//   policy/replaced   {"key_freshness_bound_ms":10000,"until_ms":0}, the bound
-//                     before it was lowered
+//   policy/replaced   {"key_freshness_bound_ms":10000,"until_ms":0}, the bound before it was
+//                     last lowered
 #pragma once
 
 #include "peridotquay/process/Error.h"
@@ -52,8 +52,8 @@
 /// Checks all entities, applies the overlay of the data centre and returns its configuration. The
 /// check covers the overlays of all data centres, so it has the same result at every host. A data
 /// centre that isn't among the sites is an error, unless there are no sites at all. The subject of
-/// an error is "<entity>: <key>". Errors: kSyntax, kUnknownSetting, kWrongType,
-/// kOutOfRange, kMissingSetting, kContradiction, kUnknownReference, kUnknownSite, kOverlayWidens.
+/// an error is "<entity>: <key>". Errors: kSyntax, kUnknownSetting, kWrongType, kOutOfRange,
+/// kMissingSetting, kContradiction, kUnknownReference, kUnknownSite, kOverlayWidens.
 Result<std::shared_ptr<const Config>> CompileConfig(const Entities& aEntities,
                                                     const DataCentreId& aDataCentre,
                                                     Version aVersion);
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -316,8 +316,8 @@
                        TimePoint aNow,
                        DisseminationEffects& aEffects)
 {
-  const bool own = aSender.dataCentre_ == aState.dataCentre_;
-  if (own && aRequest.subtreeNodes_ > 0) {
+  const bool fromOwnCentre = aSender.dataCentre_ == aState.dataCentre_;
+  if (fromOwnCentre && aRequest.subtreeNodes_ > 0) {
     aState.subtreeReports_[aSender.host_] = {
       aRequest.minSubtreeVersion_, aRequest.subtreeNodes_, aRequest.lagging_, aNow
     };
@@ -327,8 +327,8 @@
   reply.version_ = aState.inForce_;
   // Extensions aren't reported to other data centres, because they would hide that this one doesn't
   // reach the platform.
-  reply.ageMs_ = AgeMs(own ? FreshUntil(aState) : aState.provenUntil_, aNow);
-  if (!own) {
+  reply.ageMs_ = AgeMs(fromOwnCentre ? FreshUntil(aState) : aState.provenUntil_, aNow);
+  if (!fromOwnCentre) {
     if (const auto outage = OwnOutage(aState, aNow)) {
       reply.outageAgeMs_ = AgeMs(outage->time_, aNow);
     }
@@ -410,8 +410,8 @@
   }
   const auto sent = found->second;
   aState.sentSyncs_.erase(found);
-  const bool own = sent.dataCentre_ == aState.dataCentre_;
-  if (own) {
+  const bool fromOwnCentre = sent.dataCentre_ == aState.dataCentre_;
+  if (fromOwnCentre) {
     aState.lastParentReplyAt_ = aNow;
   }
   if (aReply.snapshot_ && !aReply.changes_.empty()) {
@@ -437,7 +437,7 @@
       aState.otherDelegateOutage_ = OutageEvidence{ aReply.version_, *outage };
     }
   }
-  if (!own) {
+  if (!fromOwnCentre) {
     aState.centreOutages_.erase(sent.dataCentre_);
     if (outage) {
       aState.centreOutages_[sent.dataCentre_] = { aReply.version_, *outage };
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -119,7 +119,7 @@
   Version latestVersion_ = 0; ///< Highest version known to exist.
   std::deque<Change> recent_; ///< Consecutive changes; the last one is of version_.
   std::size_t recentBytes_ = 0;
-  Duration freshnessBound_ = seconds(10); ///< Of the configuration in force.
+  Duration freshnessBound_ = seconds(10); ///< Bound set by the configuration in force.
   std::set<DataCentreId> sites_;          ///< Data centres in the configuration in force.
 
   /// Latest time at which a poll or a sync reply proves that inForce_ was the latest version.
@@ -138,7 +138,7 @@
   std::uint64_t nextNonce_ = 1;                 ///< Matches the next sync request with its reply.
   std::map<std::uint64_t, SentSync> sentSyncs_; ///< By nonce.
   std::map<HostId, SubtreeReport> subtreeReports_;
-  TimePoint lastParentReplyAt_{}; ///< Also set when the parent changes.
+  TimePoint lastParentReplyAt_{}; ///< When the parent last replied or changed.
   HostId parent_;
   std::uint64_t syncCount_ = 0; ///< Selects in turn the delegates of other data centres.
   TimePoint nextSyncAt_{};
@@ -183,8 +183,8 @@
   std::vector<ControlMessage> messages_;
   /// Platform call to make, one at a time. Its answer goes to HandlePlatformAnswer.
   std::optional<PlatformCall> call_;
-  std::shared_ptr<const Config> config_; ///< To publish before freshUntil_.
-  std::optional<TimePoint> freshUntil_;  ///< To publish.
+  std::shared_ptr<const Config> config_; ///< Configuration to publish before freshUntil_.
+  std::optional<TimePoint> freshUntil_;  ///< Freshness to publish.
   std::vector<Address> contacts_;        ///< Addresses for AddContacts.
   std::vector<DisseminationEvent> events_;
 };
--- a/peridotquay/version/Membership.cpp
+++ b/peridotquay/version/Membership.cpp
@@ -411,7 +411,7 @@
 
 // Handles a message that came from the member itself: an unreachable member is alive again, and a
 // member that awaits confirmation is confirmed.
-void RecordProofOfLife(Membership& aState, const HostId& aHost, TimePoint aNow)
+void RecordDirectMessage(Membership& aState, const HostId& aHost, TimePoint aNow)
 {
   const auto found = aState.members_.find(aHost);
   if (found == aState.members_.end()) {
@@ -449,7 +449,7 @@
 {
   MergeEntry(aState, aProbe.sender_, aNow, aEffects);
   MergeAll(aState, aProbe.updates_, aNow, aEffects);
-  RecordProofOfLife(aState, aProbe.sender_.host_, aNow);
+  RecordDirectMessage(aState, aProbe.sender_.host_, aNow);
   ProbeAck ack{ aProbe.sequence_, aState.self_, CollectUpdates(aState) };
   const auto known = aState.members_.find(aProbe.sender_.host_);
   if (known != aState.members_.end() && known->second.entry_.state_ != MemberState::kAlive) {
@@ -469,7 +469,7 @@
       aState.probe_->host_ == aAck.sender_.host_) {
     aState.probe_->acked_ = true;
   }
-  RecordProofOfLife(aState, aAck.sender_.host_, aNow);
+  RecordDirectMessage(aState, aAck.sender_.host_, aNow);
   const auto relayed = aState.relayedProbes_.find(aAck.sequence_);
   if (relayed != aState.relayedProbes_.end()) {
     ProbeAck ack{ relayed->second.sequence_, aAck.sender_, {} };
@@ -486,7 +486,7 @@
 {
   MergeEntry(aState, aRequest.sender_, aNow, aEffects);
   MergeAll(aState, aRequest.updates_, aNow, aEffects);
-  RecordProofOfLife(aState, aRequest.sender_.host_, aNow);
+  RecordDirectMessage(aState, aRequest.sender_.host_, aNow);
   const auto sequence = aState.nextSequence_++;
   aState.relayedProbes_[sequence] = { aFrom, aRequest.sequence_, aNow };
   Probe probe{ sequence, aState.self_, CollectUpdates(aState) };
@@ -648,8 +648,9 @@
   }
 }
 
-// True if no other member of the own data centre is alive. The likely cause is that this node is
-// partitioned from the network, not that all others died.
+// True if no other member of the own data centre is alive and at least two are suspected or
+// unreachable. The likely cause is that this node is partitioned from the network, not that all
+// others died.
 bool AllOthersSilent(const Membership& aState)
 {
   std::size_t silentCount = 0;
@@ -696,7 +697,7 @@
 }
 
 // Extends the timeouts of other members by the time for which this process was paused.
-void DiscountPause(Membership& aState, TimePoint aNow)
+void ExtendTimeoutsAfterPause(Membership& aState, TimePoint aNow)
 {
   const auto gap = aNow - aState.lastStepAt_;
   if (gap < kMinPauseGap) {
@@ -752,7 +753,7 @@
 }
 
 // Exchanges whole tables with a random member, because updates in lost datagrams may be missing.
-void CompareTables(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
+void ExchangeTables(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
   if (aNow < aState.nextAntiEntropyAt_) {
     return;
@@ -855,21 +856,21 @@
 
 void SendSummaries(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  const auto own = RankMembers(aState, kDelegateRole, aState.self_.dataCentre_);
+  const auto ownMembers = RankMembers(aState, kDelegateRole, aState.self_.dataCentre_);
   std::size_t rank = 0;
-  while (rank < own.size() && own[rank].host_ != aState.self_.host_) {
+  while (rank < ownMembers.size() && ownMembers[rank].host_ != aState.self_.host_) {
     ++rank;
   }
-  const bool delegate =
+  const bool isDelegate =
     rank < aState.settings_.delegateCount_ && aState.self_.state_ != MemberState::kLeft;
-  if (delegate && !aState.isDelegate_) {
+  if (isDelegate && !aState.isDelegate_) {
     aState.delegateSince_ = aNow;
     for (auto& [id, centre] : aState.centres_) {
       QueueAllMembers(aState, centre);
     }
   }
-  aState.isDelegate_ = delegate;
-  if (!delegate) {
+  aState.isDelegate_ = isDelegate;
+  if (!isDelegate) {
     for (auto& [id, centre] : aState.centres_) {
       centre.pending_.clear();
       centre.pendingSet_.clear();
@@ -878,14 +879,14 @@
   }
   ++aState.summaries_;
   for (auto& [id, centre] : aState.centres_) {
-    const auto remote = RankMembers(aState, kDelegateRole, id);
-    const auto delegates = std::min(remote.size(), aState.settings_.delegateCount_);
+    const auto remoteMembers = RankMembers(aState, kDelegateRole, id);
+    const auto delegates = std::min(remoteMembers.size(), aState.settings_.delegateCount_);
     if (delegates == 0) {
       continue;
     }
     // The rank offsets the turns, so that both delegates together reach both remote delegates in
     // each round.
-    const auto& peer = remote[(aState.summaries_ + rank) % delegates];
+    const auto& peer = remoteMembers[(aState.summaries_ + rank) % delegates];
     DataCentreSummary summary;
     summary.dataCentre_ = aState.self_.dataCentre_;
     summary.members_ = SummaryMembers(aState, centre);
@@ -961,7 +962,7 @@
 
 void StepMembership(Membership& aState, TimePoint aNow, MembershipEffects& aEffects)
 {
-  DiscountPause(aState, aNow);
+  ExtendTimeoutsAfterPause(aState, aNow);
   aState.lastStepAt_ = aNow;
   ContactSeeds(aState, aNow, aEffects);
   SendIndirectProbes(aState, aNow, aEffects);
@@ -976,7 +977,7 @@
     });
   }
   SendBacklog(aState, aNow, aEffects);
-  CompareTables(aState, aNow, aEffects);
+  ExchangeTables(aState, aNow, aEffects);
   ProbeDeadMember(aState, aNow, aEffects);
   if (aNow >= aState.nextSummaryAt_) {
     aState.nextSummaryAt_ = aNow + aState.settings_.probeInterval_;
--- a/tests/request/AdmissionTest.cpp
+++ b/tests/request/AdmissionTest.cpp
@@ -327,15 +327,15 @@
   for (std::uint64_t id = 100; id < 120; ++id) {
     OfferCall(state, MakeCall(id, "back", kStart), kStart);
   }
-  int back = 0;
+  int startsOfIdleAccount = 0;
   for (int i = 0; i < 20; ++i) {
-    back +=
+    startsOfIdleAccount +=
       FinishCall(state, ExecutionResult::kAnswered, milliseconds(1), kStart).start_.at(0) >= 100
         ? 1
         : 0;
   }
-  CHECK(back >= 9);
-  CHECK(back <= 11);
+  CHECK(startsOfIdleAccount >= 9);
+  CHECK(startsOfIdleAccount <= 11);
 }
 
 // Guards against starvation of an account with a single call by an account with many.
@@ -367,11 +367,11 @@
   OfferCall(state, MakeCall(4, "b", kStart), kStart);
   OfferCall(state, MakeCall(5, "c", kStart, Importance::kLow), kStart);
   const auto victim = [&](const WaitingCall& aCall) {
-    const AdmissionActions step = OfferCall(state, aCall, kStart);
-    CHECK(step.start_.empty());
-    REQUIRE(step.refuse_.size() == 1);
-    CHECK(step.refuse_[0].code_ == ErrorCode::kShed);
-    return step.refuse_[0].id_;
+    const AdmissionActions actions = OfferCall(state, aCall, kStart);
+    CHECK(actions.start_.empty());
+    REQUIRE(actions.refuse_.size() == 1);
+    CHECK(actions.refuse_[0].code_ == ErrorCode::kShed);
+    return actions.refuse_[0].id_;
   };
   CHECK(victim(MakeCall(6, "c", kStart, Importance::kLow)) == 6);
   CHECK(victim(MakeCall(7, "b", kStart, Importance::kCritical)) == 5);
@@ -399,12 +399,12 @@
   CHECK(DropLateCalls(state, kStart + milliseconds(99)).refuse_.empty());
   // Call 3 has waited for half of its time. Call 4 is critical and waits while its deadline can be
   // met.
-  const AdmissionActions half = DropLateCalls(state, kStart + milliseconds(101));
-  REQUIRE(half.refuse_.size() == 1);
-  CHECK(half.refuse_[0].id_ == 3);
-  const AdmissionActions last = DropLateCalls(state, kStart + milliseconds(200));
-  REQUIRE(last.refuse_.size() == 1);
-  CHECK(last.refuse_[0].id_ == 4);
+  const AdmissionActions normalDropped = DropLateCalls(state, kStart + milliseconds(101));
+  REQUIRE(normalDropped.refuse_.size() == 1);
+  CHECK(normalDropped.refuse_[0].id_ == 3);
+  const AdmissionActions criticalDropped = DropLateCalls(state, kStart + milliseconds(200));
+  REQUIRE(criticalDropped.refuse_.size() == 1);
+  CHECK(criticalDropped.refuse_[0].id_ == 4);
 
   FinishCall(state, ExecutionResult::kAnswered, seconds(60), kStart + seconds(1));
   const TimePoint later = kStart + seconds(1);
--- a/tests/request/NaivePolicyTest.cpp
+++ b/tests/request/NaivePolicyTest.cpp
@@ -32,12 +32,12 @@
   NaiveState state;
   const ClientAccount account{ { "kiln" }, 100, 20 };
   const TimePoint start{ seconds(50) };
-  int taken = 0;
+  int consumed = 0;
   for (int ms = 0; ms <= 2000; ++ms) {
-    taken += TakeNaiveToken(state, account, start + milliseconds(ms)) ? 1 : 0;
+    consumed += TakeNaiveToken(state, account, start + milliseconds(ms)) ? 1 : 0;
   }
-  CHECK(taken >= 219);
-  CHECK(taken <= 220);
+  CHECK(consumed >= 219);
+  CHECK(consumed <= 220);
   CHECK(NaiveRetries(2));
   CHECK_FALSE(NaiveRetries(3));
 }
--- a/tests/request/RateShareTest.cpp
+++ b/tests/request/RateShareTest.cpp
@@ -59,12 +59,12 @@
     Config config;
     config.clientAccounts_[kAccount] = { kAccount, rate_, burst_ };
     SetRateLimits(state, config, now_);
-    std::map<HostId, HostLocation> all;
+    std::map<HostId, HostLocation> hosts;
     for (std::size_t i = 0; i < isolated_.size(); ++i) {
-      all[{ "h" + std::to_string(i) }] = LocationOf(i);
+      hosts[{ "h" + std::to_string(i) }] = LocationOf(i);
     }
     state.location_ = LocationOf(aHost);
-    SetShareHosts(state, all, now_);
+    SetShareHosts(state, hosts, now_);
     return state;
   }
 
@@ -74,14 +74,14 @@
     return { { "d" + std::to_string(aHost % 4) }, { aHost % 2 == 0 ? "east" : "west" } };
   }
 
-  void Send(std::size_t aFrom, const OutgoingReports& aStep)
+  void Send(std::size_t aFrom, const OutgoingReports& aOutgoing)
   {
-    for (const HostId& host : aStep.to_) {
+    for (const HostId& host : aOutgoing.to_) {
       const std::size_t to = std::stoul(host.value_.substr(1));
       if (!isolated_[aFrom] && !isolated_[to]) {
         const bool near = LocationOf(aFrom).region_ == LocationOf(to).region_;
-        delayed_.push_back({ now_ + (near ? nearDelay_ : farDelay_), to, aStep.reports_ });
-        const std::size_t bytes = EncodePeerMessage(aStep.reports_).size();
+        delayed_.push_back({ now_ + (near ? nearDelay_ : farDelay_), to, aOutgoing.reports_ });
+        const std::size_t bytes = EncodePeerMessage(aOutgoing.reports_).size();
         regionBytes_ += near ? 0 : bytes;
         dataCentreBytes_ += LocationOf(aFrom) == LocationOf(to) ? 0 : bytes;
       }
@@ -253,16 +253,18 @@
       Fleet fleet(hosts, rate, rate, 1);
       fleet.Run(0, seconds(8), hosts);
       fleet.Run(0.6 * rate, seconds(10), hosts);
-      const std::size_t refused = fleet.refused_;
-      const std::size_t taken = fleet.grantedAt_.size();
+      const std::size_t refusedBefore = fleet.refused_;
+      const std::size_t grantedBefore = fleet.grantedAt_.size();
       for (std::size_t i = 0; i < 16; ++i) {
         fleet.hosts_[i] = fleet.Start(i, 2);
         fleet.Run(0.6 * rate, seconds(1), hosts);
       }
-      const std::size_t requests = fleet.refused_ - refused + fleet.grantedAt_.size() - taken;
-      INFO("hosts " << hosts << " rate " << rate << " refused " << fleet.refused_ - refused
+      const std::size_t requests =
+        fleet.refused_ - refusedBefore + fleet.grantedAt_.size() - grantedBefore;
+      INFO("hosts " << hosts << " rate " << rate << " refused " << fleet.refused_ - refusedBefore
                     << " of " << requests);
-      CHECK(static_cast<double>(fleet.refused_ - refused) <= 0.05 * static_cast<double>(requests));
+      CHECK(static_cast<double>(fleet.refused_ - refusedBefore) <=
+            0.05 * static_cast<double>(requests));
     }
   }
 }
--- a/tests/request/RouteChoiceTest.cpp
+++ b/tests/request/RouteChoiceTest.cpp
@@ -77,7 +77,7 @@
   };
   std::vector<Running> running;
   std::map<std::string, int> inFlight;
-  double first = 0;
+  double callsToFirst = 0;
   constexpr int kCalls = 5000;
   for (int ms = 0; ms < kCalls; ++ms) {
     const TimePoint now = kStart + milliseconds(ms);
@@ -96,12 +96,12 @@
     });
     const Target target = *ChooseTarget(state, aView, kService, {}, now);
     const std::string& host = target.host_.value_;
-    first += host == aView.targets_.at(kService).front().host_.value_ ? 1 : 0;
+    callsToFirst += host == aView.targets_.at(kService).front().host_.value_ ? 1 : 0;
     ++inFlight[host];
     RecordCallSent(state, target);
     running.push_back({ target, now, now + milliseconds(aLatencyMs(target, inFlight[host])) });
   }
-  return first / kCalls;
+  return callsToFirst / kCalls;
 }
 
 } // namespace
@@ -262,9 +262,9 @@
     return aTarget.host_.value_ == "a" ? 100 : 10;
   };
   const auto noLoad = [](const Target&) { return -1.0; };
-  const double share = FractionToFirst(view, slow, noLoad);
-  CHECK(share < 0.15);
-  CHECK(share > 0);
+  const double fraction = FractionToFirst(view, slow, noLoad);
+  CHECK(fraction < 0.15);
+  CHECK(fraction > 0);
 
   RoutingState state = MakeState();
   const auto& targets = view.targets_.at(kService);
@@ -295,7 +295,7 @@
 // Guards against full load on a target that has just started.
 TEST_CASE("a cold target ramps up", "[route]")
 {
-  double last = 0;
+  double previousFraction = 0;
   for (const int age : { 0, 2, 5, 10 }) {
     std::vector<Target> targets{
       MakeTarget("a"), MakeTarget("b"), MakeTarget("c"), MakeTarget("d")
@@ -303,12 +303,12 @@
     targets[0].state_ = TargetState::kCold;
     targets[0].readySince_ = kStart - seconds(age);
     RoutingState state = MakeState();
-    const double share = CountChoices(state, MakeView(targets), kStart)["a"] / 2000.0;
-    CHECK(share <= 0.07 * age + 0.03);
-    CHECK(share >= last);
-    last = share;
+    const double fraction = CountChoices(state, MakeView(targets), kStart)["a"] / 2000.0;
+    CHECK(fraction <= 0.07 * age + 0.03);
+    CHECK(fraction >= previousFraction);
+    previousFraction = fraction;
   }
-  CHECK(last > 0.2);
+  CHECK(previousFraction > 0.2);
 }
 
 // Guards against memory that grows with every host that was ever a target.
--- a/tests/request/TokenCacheTest.cpp
+++ b/tests/request/TokenCacheTest.cpp
@@ -24,10 +24,10 @@
   int reportedStep_ = std::numeric_limits<int>::max();
 };
 
-struct ModelTake
+struct ConsumedToken
 {
   int step_ = 0;
-  TimePoint takenAt_{};
+  TimePoint consumedAt_{};
 };
 
 /// Records the grants, reports and consumed tokens of one run and checks them.
@@ -35,7 +35,7 @@
 {
   std::map<std::uint64_t, ModelGrant> grants_;
   std::uint64_t nextGrant_ = 1;
-  std::vector<ModelTake> takes_;
+  std::vector<ConsumedToken> consumed_;
 
   void ApplyReport(const ShareRequest& aRequest, int aStep)
   {
@@ -54,23 +54,23 @@
   /// Each consumed token must come from a grant that had arrived, had not expired and wasn't
   /// reported yet, and no token may be consumed twice. Assigning the usable grant that ends first
   /// finds an assignment if there is one.
-  void CheckTakes() const
+  void CheckConsumedTokens() const
   {
     std::vector<ModelGrant> grants;
     for (const auto& entry : grants_) {
       grants.push_back(entry.second);
-      for (const ModelTake& take : takes_) {
-        if (take.takenAt_ >= entry.second.expiresAt_) {
-          grants.back().reportedStep_ = std::min(grants.back().reportedStep_, take.step_);
+      for (const ConsumedToken& token : consumed_) {
+        if (token.consumedAt_ >= entry.second.expiresAt_) {
+          grants.back().reportedStep_ = std::min(grants.back().reportedStep_, token.step_);
           break;
         }
       }
     }
-    for (const ModelTake& take : takes_) {
+    for (const ConsumedToken& token : consumed_) {
       ModelGrant* best = nullptr;
       for (ModelGrant& grant : grants) {
-        const bool usable = grant.arrivedStep_ <= take.step_ && take.step_ < grant.reportedStep_ &&
-                            grant.tokens_ >= 1;
+        const bool usable = grant.arrivedStep_ <= token.step_ &&
+                            token.step_ < grant.reportedStep_ && grant.tokens_ >= 1;
         if (usable && (best == nullptr || grant.reportedStep_ < best->reportedStep_)) {
           best = &grant;
         }
@@ -105,33 +105,33 @@
       now += milliseconds(*rc::gen::inRange(0, pace + 1));
       const int action = *rc::gen::inRange(0, 10);
       if (action < 6) {
-        const AcquireResult step = AcquireToken(cache, kAccount, 0, now);
-        if (step.shareRequest_) {
-          RC_ASSERT(step.shareRequest_->wanted_ >= 1);
+        const AcquireResult result = AcquireToken(cache, kAccount, 0, now);
+        if (result.shareRequest_) {
+          RC_ASSERT(result.shareRequest_->wanted_ >= 1);
           // A report is sent after the token of the same step was consumed.
-          model.ApplyReport(*step.shareRequest_, 2 * i + 1);
-          pendingRequests.push_back({ *step.shareRequest_, now });
+          model.ApplyReport(*result.shareRequest_, 2 * i + 1);
+          pendingRequests.push_back({ *result.shareRequest_, now });
         }
-        if (step.status_ == AcquireStatus::kAcquired) {
-          model.takes_.push_back({ 2 * i, now });
+        if (result.status_ == AcquireStatus::kAcquired) {
+          model.consumed_.push_back({ 2 * i, now });
         } else {
-          RC_ASSERT((step.status_ == AcquireStatus::kRefused) == (step.retryAfterMs_ > 0));
+          RC_ASSERT((result.status_ == AcquireStatus::kRefused) == (result.retryAfterMs_ > 0));
         }
       } else if (action < 8 && !pendingRequests.empty()) {
-        const PendingRequest ask = pendingRequests.front();
+        const PendingRequest pending = pendingRequests.front();
         pendingRequests.pop_front();
-        ShareGrant grant{ ask.request_.nonce_, kAccount, model.nextGrant_++, 0, 1000, 30 };
-        grant.tokens_ = *rc::gen::element(0.0, 0.5, 1.0, 2.5, ask.request_.wanted_);
+        ShareGrant grant{ pending.request_.nonce_, kAccount, model.nextGrant_++, 0, 1000, 30 };
+        grant.tokens_ = *rc::gen::element(0.0, 0.5, 1.0, 2.5, pending.request_.wanted_);
         grant.lifetimeMs_ = *rc::gen::element(10U, 1000U);
         if (grant.tokens_ == 0) {
           grant.grant_ = 0;
         } else {
           model.grants_[grant.grant_] = { grant.tokens_,
-                                          ask.requestedAt_ + milliseconds(grant.lifetimeMs_),
+                                          pending.requestedAt_ + milliseconds(grant.lifetimeMs_),
                                           2 * i };
         }
-        AddGrant(cache, grant, ask.requestedAt_);
-        lastGrant = std::pair(grant, ask.requestedAt_);
+        AddGrant(cache, grant, pending.requestedAt_);
+        lastGrant = std::pair(grant, pending.requestedAt_);
       } else if (action == 8 && !pendingRequests.empty()) {
         pendingRequests.pop_front();
       } else if (action == 9 && lastGrant) {
@@ -143,7 +143,7 @@
         }
       }
     }
-    model.CheckTakes();
+    model.CheckConsumedTokens();
   }));
 }
 
@@ -173,11 +173,11 @@
     if (ms % 10 != 0) {
       continue;
     }
-    const AcquireResult step = AcquireToken(cache, kAccount, 0, now);
-    CHECK(step.status_ != AcquireStatus::kRefused);
-    waited += step.status_ == AcquireStatus::kPending && ms > 1000 ? 1 : 0;
-    if (step.shareRequest_) {
-      pendingRequests.push_back({ *step.shareRequest_, now });
+    const AcquireResult result = AcquireToken(cache, kAccount, 0, now);
+    CHECK(result.status_ != AcquireStatus::kRefused);
+    waited += result.status_ == AcquireStatus::kPending && ms > 1000 ? 1 : 0;
+    if (result.shareRequest_) {
+      pendingRequests.push_back({ *result.shareRequest_, now });
       ++requests;
     }
   }
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -285,9 +285,9 @@
   {
     const auto started = Local(aNode);
     const auto processNumber = nodes_[aNode].processNumber_;
-    const auto there = settings_.minDelay_ + Random(settings_.maxDelay_);
-    const auto back = settings_.minDelay_ + Random(settings_.maxDelay_);
-    ScheduleAt(now_ + there, [=, this] {
+    const auto callDelay = settings_.minDelay_ + Random(settings_.maxDelay_);
+    const auto answerDelay = settings_.minDelay_ + Random(settings_.maxDelay_);
+    ScheduleAt(now_ + callDelay, [=, this] {
       PlatformAnswer answer;
       if (centresWithoutPlatform_.count(CentreOf(aNode)) != 0) {
         answer.error_ = Error{ ErrorCode::kPlatformUnavailable, {}, {}, {} };
@@ -295,7 +295,7 @@
         answer = RunPlatformCall(platform_, aCall);
       }
       answer.startedAt_ = started;
-      ScheduleAt(now_ + back, [=, this] { DeliverAnswer(aNode, processNumber, answer); });
+      ScheduleAt(now_ + answerDelay, [=, this] { DeliverAnswer(aNode, processNumber, answer); });
     });
   }
 
--- a/tests/version/StoreFeedTest.cpp
+++ b/tests/version/StoreFeedTest.cpp
@@ -53,11 +53,11 @@
 {
   Follower follower;
   const FeedQuestion question = follower.NextQuestion();
-  const TimePoint asked = follower.now_;
+  const TimePoint sentAt = follower.now_;
   follower.now_ += milliseconds(80);
   const FeedAnswerResult result = follower.ReceiveAnswer(question, 300);
   REQUIRE(result.provedAt_);
-  CHECK(*result.provedAt_ == asked - milliseconds(300));
+  CHECK(*result.provedAt_ == sentAt - milliseconds(300));
   CHECK(follower.state_.followingSource_);
 }
 
