--- a/peridotquay/version/ConfigCompiler.cpp
+++ b/peridotquay/version/ConfigCompiler.cpp
@@ -540,8 +540,8 @@
   for (auto& [index, route] : aChecked.routes_) {
     aConfig.routes_[index] = std::move(route);
   }
-  for (const auto& [id, fraction] : aChecked.rateFractions_) {
-    aConfig.clientAccounts_.at(id).siteRateFraction_ = fraction;
+  for (const auto& [id, rateFraction] : aChecked.rateFractions_) {
+    aConfig.clientAccounts_.at(id).siteRateFraction_ = rateFraction;
   }
   aConfig.policy_ = aChecked.policy_;
 }
--- a/peridotquay/version/Membership.cpp
+++ b/peridotquay/version/Membership.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Steps this far apart mean that the process was paused. Missing messages then say nothing about
-// the other members.
+// Steps this far apart mean that the process was paused. Missing messages are then no evidence
+// against the other members.
 constexpr Duration kMinPauseGap = milliseconds(700);
 
 // A delegate contradicts that a data centre is unreachable if its last summary is more recent.
--- a/tests/request/RateShareTest.cpp
+++ b/tests/request/RateShareTest.cpp
@@ -59,12 +59,12 @@
     Config config;
     config.clientAccounts_[kAccount] = { kAccount, rate_, burst_ };
     SetRateLimits(state, config, now_);
-    std::map<HostId, HostLocation> hosts;
+    std::map<HostId, HostLocation> allHosts;
     for (std::size_t i = 0; i < isolated_.size(); ++i) {
-      hosts[{ "h" + std::to_string(i) }] = LocationOf(i);
+      allHosts[{ "h" + std::to_string(i) }] = LocationOf(i);
     }
     state.location_ = LocationOf(aHost);
-    SetShareHosts(state, hosts, now_);
+    SetShareHosts(state, allHosts, now_);
     return state;
   }
 
--- a/tests/request/RouteChoiceTest.cpp
+++ b/tests/request/RouteChoiceTest.cpp
@@ -351,7 +351,7 @@
   CHECK(chosen() == "own");
   report(0, 1.1);
   CHECK(chosen() == "near");
-  // Between regions the link is slow and paid for, so a short queue is preferred.
+  // The link between regions is slow and paid by volume, so a short queue is preferred.
   report(1, 1.1);
   CHECK(chosen() == "own");
   report(0, 1.5);
