--- a/peridotquay/request/RouteChoice.cpp
+++ b/peridotquay/request/RouteChoice.cpp
@@ -40,7 +40,7 @@
 /// A target is avoided if its failure fraction exceeds that of the service's best target by more
 /// than this. Only the excess counts: failures that all targets share have their cause elsewhere,
 /// for example in a service that they all call.
-constexpr double kMaxExcessFailures = 0.12;
+constexpr double kMaxExcessFailureFraction = 0.12;
 
 /// A reported failure fraction halves in this time, so that an avoided target is tried again.
 constexpr double kFailureHalfLifeSeconds = 2.0;
@@ -331,18 +331,19 @@
   if (aStats.ejectedUntil_ > aNow) {
     return;
   }
-  aStats.failuresInRow_ += aFailures;
-  if (aStats.failuresInRow_ < aSettings.failuresToEject_) {
+  aStats.consecutiveFailures_ += aFailures;
+  if (aStats.consecutiveFailures_ < aSettings.failuresToEject_) {
     return;
   }
   Duration ejection = aSettings.firstEjection_;
-  for (std::uint32_t i = 0; i < aStats.ejectionsInRow_ && ejection < aSettings.maxEjection_; ++i) {
+  for (std::uint32_t i = 0; i < aStats.consecutiveEjections_ && ejection < aSettings.maxEjection_;
+       ++i) {
     ejection *= 2;
   }
   aStats.ejectedUntil_ = aNow + std::min(ejection, aSettings.maxEjection_);
-  ++aStats.ejectionsInRow_;
+  ++aStats.consecutiveEjections_;
   // A single failure after the ejection ejects the target again.
-  aStats.failuresInRow_ = aSettings.failuresToEject_ > 0 ? aSettings.failuresToEject_ - 1 : 0;
+  aStats.consecutiveFailures_ = aSettings.failuresToEject_ > 0 ? aSettings.failuresToEject_ - 1 : 0;
 }
 
 } // namespace
@@ -381,7 +382,8 @@
     const TargetStats* stats = FindStats(aState, target);
     if (Contains(ejected, target.host_)) {
       ejectedTargets.push_back(&target);
-    } else if (RecentFailureFraction(stats, aNow) > minFailureFraction + kMaxExcessFailures) {
+    } else if (RecentFailureFraction(stats, aNow) >
+               minFailureFraction + kMaxExcessFailureFraction) {
       failing.push_back(&target);
     } else if (stats != nullptr && stats->refusedUntil_ > aNow) {
       refusing[Tier(aState, target)].push_back(&target);
@@ -435,14 +437,14 @@
   switch (aResult) {
     case AttemptResult::kAnswered:
       RecordLatency(*stats, aLatency, aNow);
-      stats->failuresInRow_ = 0;
-      stats->ejectionsInRow_ = 0;
+      stats->consecutiveFailures_ = 0;
+      stats->consecutiveEjections_ = 0;
       stats->refusedUntil_ = {};
       break;
     case AttemptResult::kRefused:
       // A refusal shows that the target is alive. Its latency isn't recorded: refusing is faster
       // than running a call.
-      stats->failuresInRow_ = 0;
+      stats->consecutiveFailures_ = 0;
       stats->refusedUntil_ = aNow + kRefusalPause;
       break;
     case AttemptResult::kTimedOut:
