--- a/peridotquay/process/BlockingHttp.cpp
+++ b/peridotquay/process/BlockingHttp.cpp
@@ -52,14 +52,14 @@
   asio::io_context context_;
   std::optional<beast::tcp_stream> stream_;
   Address connectedTo_;
-  TimePoint lastUsed_{};
+  TimePoint lastUsedAt_{};
 };
 
 /// Whether the open connection can be reused. An idle connection is readable only if the server
 /// closed it or sent data that no request asked for.
 bool BlockingHttp::State::IsConnectionUsable(TimePoint aNow)
 {
-  if (!stream_ || aNow - lastUsed_ > kMaxIdleTime) {
+  if (!stream_ || aNow - lastUsedAt_ > kMaxIdleTime) {
     return false;
   }
   beast::error_code code;
@@ -104,7 +104,7 @@
 BlockingHttp::~BlockingHttp() = default;
 
 BlockingHttpResult BlockingHttp::Send(const Address& aAddress,
-                                      const BlockingHttpRequest& aCall,
+                                      const BlockingHttpRequest& aRequest,
                                       TimePoint aDeadline)
 {
   BlockingHttpResult result;
@@ -113,11 +113,11 @@
   }
   Request request;
   request.version(11);
-  request.method_string(aCall.method_);
-  request.target(aCall.target_);
+  request.method_string(aRequest.method_);
+  request.target(aRequest.target_);
   request.set(http::field::host, aAddress.ip_ + ":" + std::to_string(aAddress.port_));
   request.set(http::field::content_type, "application/json");
-  request.body() = aCall.body_;
+  request.body() = aRequest.body_;
   request.prepare_payload();
   result.progress_ = HttpProgress::kMaybeSent;
   auto& stream = *state_->stream_;
@@ -140,7 +140,7 @@
   result.progress_ = HttpProgress::kAnswered;
   result.status_ = response.result_int();
   result.body_ = std::move(response.body());
-  state_->lastUsed_ = Clock::now();
+  state_->lastUsedAt_ = Clock::now();
   if (!response.keep_alive()) {
     state_->stream_.reset();
   }
--- a/peridotquay/process/BlockingHttp.h
+++ b/peridotquay/process/BlockingHttp.h
@@ -47,7 +47,7 @@
   /// Sends a request once, connecting first if needed, and waits for the whole answer until the
   /// deadline.
   BlockingHttpResult Send(const Address& aAddress,
-                          const BlockingHttpRequest& aCall,
+                          const BlockingHttpRequest& aRequest,
                           TimePoint aDeadline);
 
 private:
--- a/peridotquay/process/ConfigStore.h
+++ b/peridotquay/process/ConfigStore.h
@@ -46,9 +46,8 @@
 /// - those of ApplyChange and CheckEntities: nothing was written;
 /// - kVersionConflict: another change became the next version, nothing was written;
 /// - kPlatformUnavailable: nothing was written;
-/// - kPlatformUnknown: the change may have been written, and the platform couldn't be read until
-/// the
-///   timeout; subject_ is the operation id.
+/// - kPlatformUnknown: the platform couldn't be read until the timeout, so the change may have been
+///   written; subject_ is the operation id.
 Result<Version> CommitChange(Platform& aPlatform,
                              const StoredConfig& aBase,
                              Change aChange,
--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -58,10 +58,11 @@
   const auto& dissemination = aState.dissemination_;
   ControlStatus status;
   status.version_ = dissemination.inForce_;
-  const auto fresh = FreshUntil(dissemination);
+  const auto freshAsOf = FreshUntil(dissemination);
   status.freshnessAgeMs_ =
-    fresh ? static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *fresh).count())
-          : kUnknownAgeMs;
+    freshAsOf
+      ? static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *freshAsOf).count())
+      : kUnknownAgeMs;
   status.delegate_ = IsDelegate(dissemination);
   status.platformReachable_ = dissemination.platformReachable_;
   status.minDataCentreVersion_ = dissemination.watermark_;
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -1,4 +1,4 @@
-// Checks and admits requests at the host where they enter; applies state from the control side.
+// Checks and admits requests at the host where they enter; applies state from the control plane.
 #include "peridotquay/process/Dispatcher.h"
 
 #include "peridotquay/process/DispatcherInternal.h"
@@ -388,8 +388,8 @@
     }
     return;
   }
-  const auto queue = waiting_.find(account);
-  const bool othersWait = queue != waiting_.end() && !queue->second.empty();
+  const auto queue = waitingForTokens_.find(account);
+  const bool othersWait = queue != waitingForTokens_.end() && !queue->second.empty();
   AcquireResult acquired = AcquireToken(
     tokens_, account, othersWait ? static_cast<std::uint32_t>(queue->second.size()) : 0, now);
   if (acquired.shareRequest_ && requestTokens_) {
@@ -406,38 +406,39 @@
     case AcquireStatus::kPending:
       break;
   }
-  waiting_[account].push_back(aCall);
+  waitingForTokens_[account].push_back(aCall);
   WaitForTokens(aCall, kMaxTokenWait, true);
 }
 
-void Dispatcher::WaitForTokens(const CallPointer& aCall, Duration aWait, bool aExtend)
+void Dispatcher::WaitForTokens(const CallPointer& aCall, Duration aWait, bool aExtendAfterStall)
 {
-  const TimePoint due = loop_.Now() + aWait;
-  aCall->tokenTimer_ = loop_.After(aWait, [this, weak = std::weak_ptr(aCall), due, aExtend] {
-    const auto call = weak.lock();
-    if (!call || call->tokenTimer_ == 0) {
-      return;
-    }
-    // After a stall of this thread the grant may be among the events that aren't handled yet.
-    if (aExtend && loop_.Now() - due > kStallThreshold) {
-      WaitForTokens(call, kStallThreshold, false);
-      return;
-    }
-    call->tokenTimer_ = 0;
-    std::erase(waiting_[call->call_.clientAccount_], call);
-    metrics_.Add(Counter::kRefusedRate);
-    Refuse(call, ErrorCode::kOverRate, kShedRetryAfterMs);
-  });
+  const TimePoint dueAt = loop_.Now() + aWait;
+  aCall->tokenTimer_ =
+    loop_.After(aWait, [this, weak = std::weak_ptr(aCall), dueAt, aExtendAfterStall] {
+      const auto call = weak.lock();
+      if (!call || call->tokenTimer_ == 0) {
+        return;
+      }
+      // After a stall of this thread the grant may be among the events that aren't handled yet.
+      if (aExtendAfterStall && loop_.Now() - dueAt > kStallThreshold) {
+        WaitForTokens(call, kStallThreshold, false);
+        return;
+      }
+      call->tokenTimer_ = 0;
+      std::erase(waitingForTokens_[call->call_.clientAccount_], call);
+      metrics_.Add(Counter::kRefusedRate);
+      Refuse(call, ErrorCode::kOverRate, kShedRetryAfterMs);
+    });
 }
 
 void Dispatcher::ResumeWaitingCalls(const ClientAccountId& aAccount)
 {
-  const auto entry = waiting_.find(aAccount);
-  if (entry == waiting_.end()) {
+  const auto entry = waitingForTokens_.find(aAccount);
+  if (entry == waitingForTokens_.end()) {
     return;
   }
   std::deque<CallPointer> calls = std::move(entry->second);
-  waiting_.erase(entry);
+  waitingForTokens_.erase(entry);
   while (!calls.empty()) {
     const CallPointer call = calls.front();
     calls.pop_front();
@@ -460,7 +461,7 @@
     }
   }
   if (!calls.empty()) {
-    auto& queue = waiting_[aAccount];
+    auto& queue = waitingForTokens_[aAccount];
     queue.insert(queue.begin(), calls.begin(), calls.end());
   }
 }
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -97,7 +97,7 @@
   /// JSON text with the decision that a call to the path would get now, and its inputs.
   std::string Explain(std::string_view aPath, std::string_view aAccount);
 
-  /// Sends a request for tokens to the control side.
+  /// Sends a request for tokens to the control plane.
   std::function<void(ShareRequest)> requestTokens_;
 
 private:
@@ -130,9 +130,9 @@
     bool queriesStatus_ = false; ///< The connection was lost and the call's status is queried.
     std::uint32_t statusQueries_ = 0;
     bool mayHaveRun_ = false; ///< An attempt ended with outcome unknown.
-    Target target_;           ///< Of the current attempt.
+    Target target_;           ///< Target of the current attempt.
     Hello guard_;             ///< Process that received the current attempt.
-    TimePoint sent_{};
+    TimePoint sentAt_{};
     std::uint32_t lentRetries_ = 0;     ///< Retries lent to the current attempt.
     std::uint64_t localCallNumber_ = 0; ///< Call number at the local guard; 0 if there is none.
     std::uint64_t tokenTimer_ = 0;      ///< Set while the call waits for tokens.
@@ -155,7 +155,7 @@
   void RegisterCall(const CallPointer& aCall, const std::shared_ptr<HttpExchange>& aExchange);
   void IssueIds(const std::shared_ptr<HttpExchange>& aExchange);
   void ApplyRateLimit(const CallPointer& aCall);
-  void WaitForTokens(const CallPointer& aCall, Duration aWait, bool aExtend);
+  void WaitForTokens(const CallPointer& aCall, Duration aWait, bool aExtendAfterStall);
   void ResumeWaitingCalls(const ClientAccountId& aAccount);
   void StartCall(const CallPointer& aCall);
 
@@ -176,7 +176,7 @@
   void QueryCallStatus(const CallPointer& aCall);
   bool AcquireRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget);
   RetryRatioSettings RetrySettings(const ActiveCall& aCall) const;
-  void RetryOrEnd(const CallPointer& aCall, Answer aAnswer, bool aExclude = true);
+  void RetryOrEnd(const CallPointer& aCall, Answer aAnswer, bool aExcludeHost = true);
 
   // End of a call.
   void OnDeadline(const CallPointer& aCall);
@@ -217,7 +217,7 @@
   std::map<std::tuple<HostId, Incarnation, std::uint64_t>, std::vector<CallPointer>>
     waitingDuplicates_;
   /// Calls that wait for tokens, oldest first.
-  std::map<ClientAccountId, std::deque<CallPointer>> waiting_;
+  std::map<ClientAccountId, std::deque<CallPointer>> waitingForTokens_;
   std::unordered_map<ActiveCall*, CallPointer> calls_;
   std::unordered_map<std::string, std::vector<CallPointer>> deeperCalls_; ///< By context token.
   std::unordered_map<std::uint64_t, CallPointer> attempts_;               ///< By call id.
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -13,7 +13,7 @@
 // Maximum number of status queries for one lost call, each on a new connection.
 constexpr std::uint32_t kMaxStatusQueries = 3;
 
-// Maximum number of refusals by guards after which a call is still sent to another one.
+// Maximum number of times that a call is sent to another guard after a guard refused it.
 constexpr std::uint32_t kMaxGuardRefusals = 4;
 
 // Whether another target may run a call that was refused with this code.
@@ -89,7 +89,7 @@
   ActiveCall& call = *aCall;
   call.target_ = aTarget;
   ++call.attemptCount_;
-  call.sent_ = now;
+  call.sentAt_ = now;
   call.queriesStatus_ = false;
   call.statusQueries_ = 0;
   call.guard_ = {};
@@ -98,9 +98,9 @@
   call.lentRetries_ = dialect_.hasContexts_ ? LendRetries(call.budget_) : 0;
   call.call_.callId_ = call.attemptCallId_;
   call.call_.retries_ = call.lentRetries_;
-  const auto left =
+  const auto leftMs =
     std::chrono::duration_cast<milliseconds>(call.deadline_ - now - AnswerReserve(aTarget)).count();
-  call.call_.deadlineMs_ = static_cast<std::uint32_t>(std::max<std::int64_t>(1, left));
+  call.call_.deadlineMs_ = static_cast<std::uint32_t>(std::max<std::int64_t>(1, leftMs));
   attempts_[call.attemptCallId_] = aCall;
   if (!settings_.naive_) {
     RecordCallSent(routing_, aTarget);
@@ -151,7 +151,7 @@
   RecordCallEnded(routing_,
                   call.target_,
                   aResult,
-                  now - call.sent_,
+                  now - call.sentAt_,
                   aAnswer == nullptr ? -1 : ReportedLoadFraction(*aAnswer),
                   now);
   if (aAnswer != nullptr && aAnswer->limit_ != 0) {
@@ -227,7 +227,7 @@
   return SpendRetry(aCall->budget_);
 }
 
-void Dispatcher::RetryOrEnd(const CallPointer& aCall, Answer aAnswer, bool aExclude)
+void Dispatcher::RetryOrEnd(const CallPointer& aCall, Answer aAnswer, bool aExcludeHost)
 {
   const auto code = static_cast<ErrorCode>(aAnswer.error_);
   // Status 504 from a target is an answer and is passed on.
@@ -239,7 +239,7 @@
     End(aCall, std::move(aAnswer));
     return;
   }
-  if (aExclude) {
+  if (aExcludeHost) {
     aCall->excludedHosts_.push_back(aCall->target_.host_);
   }
   bool shedUpstream = false;
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -131,8 +131,8 @@
   loop_.CancelTimer(call.tokenTimer_);
   if (call.tokenTimer_ != 0) {
     call.tokenTimer_ = 0;
-    const auto queue = waiting_.find(call.call_.clientAccount_);
-    if (queue != waiting_.end()) {
+    const auto queue = waitingForTokens_.find(call.call_.clientAccount_);
+    if (queue != waitingForTokens_.end()) {
       std::erase(queue->second, aCall);
     }
   }
@@ -230,7 +230,7 @@
 void Dispatcher::LogUnknown(const ActiveCall& aCall, ErrorCode aCode)
 {
   std::uint64_t skipped = 0;
-  // A cancelled call has no caller left that would receive the unknown outcome.
+  // The unknown outcome of a cancelled call isn't logged, because no caller receives it.
   if (aCode != ErrorCode::kCancelled && unknownOutcomeThrottle_.Allow(loop_.Now(), skipped)) {
     LogEvent(Event::kOutcomeUnknown,
              { { "route", aCall.call_.route_.value_ },
@@ -264,8 +264,8 @@
 {
   HttpResponse response;
   const auto code = static_cast<ErrorCode>(aAnswer.error_);
-  // An answer with a status is passed on, also a failure, unless the outcome is unknown. Only a 504
-  // of the target is passed on in that case too.
+  // An answer of the target is passed on, also with the status of a failure. If the outcome is
+  // unknown, it is passed on only with status 504.
   if (aAnswer.status_ == 0 || (aAnswer.outcome_ == Outcome::kUnknown && aAnswer.status_ != 504)) {
     const auto shown = aAnswer.error_ == 0 ? ErrorCode::kOutcomeUnknown : code;
     response =
--- a/peridotquay/process/DispatcherRequestIds.cpp
+++ b/peridotquay/process/DispatcherRequestIds.cpp
@@ -97,14 +97,14 @@
 {
   aCall->isOwnerCall_ = true;
   aCall->attemptCallId_ = nextCallId_++;
-  aCall->sent_ = loop_.Now();
+  aCall->sentAt_ = loop_.Now();
   aCall->lentRetries_ = LendRetries(aCall->budget_);
   aCall->call_.callId_ = aCall->attemptCallId_;
   aCall->call_.retries_ = aCall->lentRetries_;
-  const auto left =
-    std::chrono::duration_cast<milliseconds>(aCall->deadline_ - aCall->sent_ - kAnswerReserve)
+  const auto leftMs =
+    std::chrono::duration_cast<milliseconds>(aCall->deadline_ - aCall->sentAt_ - kAnswerReserve)
       .count();
-  aCall->call_.deadlineMs_ = static_cast<std::uint32_t>(std::max<std::int64_t>(1, left));
+  aCall->call_.deadlineMs_ = static_cast<std::uint32_t>(std::max<std::int64_t>(1, leftMs));
   attempts_[aCall->attemptCallId_] = aCall;
   hub_.SendCall(aOwner, aCall->attemptCallId_, OwnerCall{ aCall->requestId_, aCall->call_ });
 }
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -18,14 +18,14 @@
 // After this many consecutive polls without a connection the target is announced as draining.
 constexpr std::uint32_t kMaxFailedPolls = 3;
 
-// For each of the target's health and load endpoints.
+// Timeout of a request to the target's health or load endpoint.
 constexpr Duration kPollTimeout = milliseconds(900);
 
 // After this long without an answer to a call, a kept connection is compared with a fresh one.
 constexpr Duration kSilenceTimeout = milliseconds(300);
 constexpr Duration kSilenceCheckInterval = milliseconds(100);
 
-// For the health checks on both connections.
+// Timeout of the health checks that compare the two connections.
 constexpr Duration kProbeTimeout = milliseconds(250);
 
 Answer RefusedAnswer(const Call& aCall, ErrorCode aCode, std::uint32_t aRetryAfterMs)
@@ -98,11 +98,11 @@
   const std::uint64_t number = nextCallNumber_++;
   const TimePoint now = loop_.Now();
   metrics_.Add(Counter::kGuardCalls);
-  GuardedCall& running = calls_[number];
-  running.call_ = aCall;
-  running.done_ = std::move(aDone);
-  running.arrived_ = now;
-  running.deadline_ = now + milliseconds(aCall.deadlineMs_);
+  GuardedCall& guardedCall = calls_[number];
+  guardedCall.call_ = aCall;
+  guardedCall.done_ = std::move(aDone);
+  guardedCall.arrivedAt_ = now;
+  guardedCall.deadline_ = now + milliseconds(aCall.deadlineMs_);
   aStarted(number);
   if (draining_ || IsTargetLeaving()) {
     Refuse(number, ErrorCode::kDraining, 0);
@@ -116,8 +116,8 @@
     Refuse(number, ErrorCode::kDepthExceeded, 0);
     return;
   }
-  running.deadlineTimer_ =
-    loop_.After(running.deadline_ - now, [this, number] { OnDeadline(number); });
+  guardedCall.deadlineTimer_ =
+    loop_.After(guardedCall.deadline_ - now, [this, number] { OnDeadline(number); });
   if (settings_.naive_) {
     Start(number);
     return;
@@ -133,7 +133,7 @@
       account == config_->clientAccounts_.end() ? 1 : account->second.ratePerSecond_;
   }
   waiting.arrived_ = now;
-  waiting.deadline_ = running.deadline_;
+  waiting.deadline_ = guardedCall.deadline_;
   Apply(OfferCall(admission_, waiting, now));
   ScheduleQueueCheck();
 }
@@ -148,77 +148,80 @@
   }
 }
 
-void Guard::Start(std::uint64_t aCall)
+void Guard::Start(std::uint64_t aCallNumber)
 {
-  const auto entry = calls_.find(aCall);
+  const auto entry = calls_.find(aCallNumber);
   if (entry == calls_.end()) {
     return;
   }
-  GuardedCall& running = entry->second;
-  running.started_ = loop_.Now();
-  metrics_.RecordTime(Stage::kQueue, running.started_ - running.arrived_);
+  GuardedCall& guardedCall = entry->second;
+  guardedCall.startedAt_ = loop_.Now();
+  metrics_.RecordTime(Stage::kQueue, guardedCall.startedAt_ - guardedCall.arrivedAt_);
   CallContext context;
-  context.budget_.left_ = running.call_.retries_;
-  context.deadline_ = running.deadline_;
-  context.clientAccount_ = running.call_.clientAccount_;
-  context.importance_ = running.call_.importance_;
-  context.depth_ = running.call_.depth_;
+  context.budget_.left_ = guardedCall.call_.retries_;
+  context.deadline_ = guardedCall.deadline_;
+  context.clientAccount_ = guardedCall.call_.clientAccount_;
+  context.importance_ = guardedCall.call_.importance_;
+  context.depth_ = guardedCall.call_.depth_;
   std::string token = NewContextToken();
   if (!OpenContext(contexts_, token, context)) {
-    Finish(aCall,
+    Finish(aCallNumber,
            ExecutionResult::kCancelled,
-           RefusedAnswer(running.call_, ErrorCode::kLimitReached, 0));
+           RefusedAnswer(guardedCall.call_, ErrorCode::kLimitReached, 0));
     return;
   }
-  running.contextToken_ = std::move(token);
+  guardedCall.contextToken_ = std::move(token);
   metrics_.Add(Counter::kTargetCalls);
-  running.targetRequest_ = client_.Send(
-    TargetRequest(running),
-    [this, aCall](TargetResult aResult) { OnTargetResult(aCall, std::move(aResult)); },
-    running.call_.repeatable_ ? ConnectionReuse::kAny : ConnectionReuse::kRecentlyUsed);
+  guardedCall.targetRequest_ = client_.Send(
+    TargetRequest(guardedCall),
+    [this, aCallNumber](TargetResult aResult) { OnTargetResult(aCallNumber, std::move(aResult)); },
+    guardedCall.call_.repeatable_ ? ConnectionReuse::kAny : ConnectionReuse::kRecentlyUsed);
   ScheduleSilenceCheck();
 }
 
-HttpRequest Guard::TargetRequest(const GuardedCall& aRunning) const
+HttpRequest Guard::TargetRequest(const GuardedCall& aGuardedCall) const
 {
-  const Call& call = aRunning.call_;
+  const Call& call = aGuardedCall.call_;
   HttpRequest request{ call.method_, call.path_, call.headers_, call.body_ };
-  const auto left =
-    std::chrono::duration_cast<milliseconds>(aRunning.deadline_ - aRunning.started_).count();
+  const auto leftMs =
+    std::chrono::duration_cast<milliseconds>(aGuardedCall.deadline_ - aGuardedCall.startedAt_)
+      .count();
   dialect_.rewriteForTarget_(request.headers_,
                              { call,
-                               aRunning.contextToken_,
+                               aGuardedCall.contextToken_,
                                target_ ? std::string_view(target_->id_) : std::string_view(),
-                               std::max<std::int64_t>(1, left) });
+                               std::max<std::int64_t>(1, leftMs) });
   return request;
 }
 
-void Guard::OnTargetResult(std::uint64_t aCall, TargetResult aResult)
+void Guard::OnTargetResult(std::uint64_t aCallNumber, TargetResult aResult)
 {
-  const auto entry = calls_.find(aCall);
+  const auto entry = calls_.find(aCallNumber);
   if (entry == calls_.end()) {
     return;
   }
-  GuardedCall& running = entry->second;
-  const Call& call = running.call_;
+  GuardedCall& guardedCall = entry->second;
+  const Call& call = guardedCall.call_;
   switch (aResult.requestStatus_) {
     case TargetRequestStatus::kNotSent:
-      Finish(aCall,
+      Finish(aCallNumber,
              ExecutionResult::kTargetRefused,
              RefusedAnswer(call, ErrorCode::kTargetUnreachable, 0));
       return;
     case TargetRequestStatus::kLost:
       metrics_.Add(Counter::kTargetAnswersLost);
-      Finish(aCall, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kOutcomeUnknown));
+      Finish(
+        aCallNumber, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kOutcomeUnknown));
       return;
     case TargetRequestStatus::kTruncated:
       metrics_.Add(Counter::kTargetAnswersTruncated);
-      Finish(aCall, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kTruncatedAnswer));
+      Finish(
+        aCallNumber, ExecutionResult::kCancelled, UnknownAnswer(call, ErrorCode::kTruncatedAnswer));
       return;
     case TargetRequestStatus::kAnswered:
       break;
   }
-  metrics_.RecordTime(Stage::kTarget, loop_.Now() - running.started_);
+  metrics_.RecordTime(Stage::kTarget, loop_.Now() - guardedCall.startedAt_);
   if (const auto load = dialect_.load_(aResult.response_)) {
     SetSlots(load->slots_);
   }
@@ -229,39 +232,39 @@
       LogEvent(Event::kTargetRefusing,
                { { "route", call.route_.value_ }, { "skipped", std::to_string(skipped) } });
     }
-    Finish(aCall,
+    Finish(aCallNumber,
            ExecutionResult::kTargetRefused,
            RefusedAnswer(call, ErrorCode::kTargetRefused, *hint));
     return;
   }
-  Finish(aCall,
+  Finish(aCallNumber,
          ExecutionResult::kAnswered,
          AnswerFromResponse(dialect_, call, std::move(aResult.response_)));
 }
 
-void Guard::OnDeadline(std::uint64_t aCall)
+void Guard::OnDeadline(std::uint64_t aCallNumber)
 {
-  const auto entry = calls_.find(aCall);
+  const auto entry = calls_.find(aCallNumber);
   if (entry == calls_.end()) {
     return;
   }
-  GuardedCall& running = entry->second;
-  running.deadlineTimer_ = 0;
-  if (running.targetRequest_ == 0) {
-    CancelWaiting(admission_, aCall);
-    Refuse(aCall, ErrorCode::kDeadlineExceeded, 0);
+  GuardedCall& guardedCall = entry->second;
+  guardedCall.deadlineTimer_ = 0;
+  if (guardedCall.targetRequest_ == 0) {
+    CancelWaiting(admission_, aCallNumber);
+    Refuse(aCallNumber, ErrorCode::kDeadlineExceeded, 0);
     return;
   }
-  const bool sent = client_.Cancel(running.targetRequest_);
-  Finish(aCall,
+  const bool sent = client_.Cancel(guardedCall.targetRequest_);
+  Finish(aCallNumber,
          sent ? ExecutionResult::kTimedOut : ExecutionResult::kTargetRefused,
-         sent ? UnknownAnswer(running.call_, ErrorCode::kDeadlineExceeded)
-              : RefusedAnswer(running.call_, ErrorCode::kDeadlineExceeded, 0));
+         sent ? UnknownAnswer(guardedCall.call_, ErrorCode::kDeadlineExceeded)
+              : RefusedAnswer(guardedCall.call_, ErrorCode::kDeadlineExceeded, 0));
 }
 
-void Guard::Refuse(std::uint64_t aCall, ErrorCode aCode, std::uint32_t aRetryAfterMs)
+void Guard::Refuse(std::uint64_t aCallNumber, ErrorCode aCode, std::uint32_t aRetryAfterMs)
 {
-  const auto entry = calls_.find(aCall);
+  const auto entry = calls_.find(aCallNumber);
   if (entry == calls_.end()) {
     return;
   }
@@ -275,65 +278,66 @@
   done(std::move(answer));
 }
 
-void Guard::Finish(std::uint64_t aCall, ExecutionResult aEnd, Answer aAnswer)
+void Guard::Finish(std::uint64_t aCallNumber, ExecutionResult aExecutionResult, Answer aAnswer)
 {
-  const auto entry = calls_.find(aCall);
-  const GuardedCall running = std::move(entry->second);
+  const auto entry = calls_.find(aCallNumber);
+  const GuardedCall guardedCall = std::move(entry->second);
   calls_.erase(entry);
-  loop_.CancelTimer(running.deadlineTimer_);
+  loop_.CancelTimer(guardedCall.deadlineTimer_);
   const TimePoint now = loop_.Now();
   Duration deeperTime{};
-  if (!running.contextToken_.empty()) {
-    if (const CallContext* context = Context(running.contextToken_)) {
+  if (!guardedCall.contextToken_.empty()) {
+    if (const CallContext* context = Context(guardedCall.contextToken_)) {
       deeperTime = DeeperTime(*context, now);
     }
-    aAnswer.retriesUnused_ = CloseContext(contexts_, running.contextToken_);
+    aAnswer.retriesUnused_ = CloseContext(contexts_, guardedCall.contextToken_);
     if (onContextClosed_) {
-      onContextClosed_(running.contextToken_);
+      onContextClosed_(guardedCall.contextToken_);
     }
   }
   AdmissionActions actions;
   if (!settings_.naive_) {
-    const Duration total = now - running.started_;
-    actions =
-      FinishCall(admission_, aEnd, { total, total - deeperTime }, now, running.call_.route_);
-    RecordTargetOutcome(aEnd, aAnswer);
+    const Duration total = now - guardedCall.startedAt_;
+    actions = FinishCall(
+      admission_, aExecutionResult, { total, total - deeperTime }, now, guardedCall.call_.route_);
+    RecordTargetOutcome(aExecutionResult, aAnswer);
   }
   FillLoad(aAnswer);
-  LogEnd(running, aAnswer);
-  if (running.done_) {
-    running.done_(std::move(aAnswer));
+  LogEnd(guardedCall, aAnswer);
+  if (guardedCall.done_) {
+    guardedCall.done_(std::move(aAnswer));
   }
   Apply(actions);
 }
 
 // Cancelled calls and refusals don't count: they don't show whether the target fails calls that it
 // accepts.
-void Guard::RecordTargetOutcome(ExecutionResult aEnd, const Answer& aAnswer)
+void Guard::RecordTargetOutcome(ExecutionResult aExecutionResult, const Answer& aAnswer)
 {
   const bool lost = aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kOutcomeUnknown) ||
                     aAnswer.error_ == static_cast<std::uint16_t>(ErrorCode::kTruncatedAnswer);
-  if (aEnd == ExecutionResult::kAnswered || aEnd == ExecutionResult::kTimedOut || lost) {
-    const bool failed = aEnd != ExecutionResult::kAnswered || aAnswer.status_ >= 500;
+  if (aExecutionResult == ExecutionResult::kAnswered ||
+      aExecutionResult == ExecutionResult::kTimedOut || lost) {
+    const bool failed = aExecutionResult != ExecutionResult::kAnswered || aAnswer.status_ >= 500;
     RecordAnswer(failures_, failed, loop_.Now());
   }
 }
 
-void Guard::LogEnd(const GuardedCall& aRunning, const Answer& aAnswer)
+void Guard::LogEnd(const GuardedCall& aGuardedCall, const Answer& aAnswer)
 {
   // Calls can be logged only where the platform gives each request an id header.
   if (dialect_.echoHeader_.empty()) {
     return;
   }
   const std::string_view id =
-    FindHeader(aRunning.call_.headers_, dialect_.echoHeader_).value_or("-");
+    FindHeader(aGuardedCall.call_.headers_, dialect_.echoHeader_).value_or("-");
   const bool failed = aAnswer.outcome_ != Outcome::kRan || aAnswer.status_ >= 500;
   const TimePoint now = loop_.Now();
   std::uint64_t leftOut = 0;
   if (!AllowRequestLine(requestLog_, id, failed, now, leftOut)) {
     return;
   }
-  const bool started = aRunning.started_ != TimePoint{};
+  const bool started = aGuardedCall.startedAt_ != TimePoint{};
   const auto ms = [](Duration aDuration) {
     return std::to_string(std::chrono::duration_cast<milliseconds>(aDuration).count());
   };
@@ -341,8 +345,8 @@
     Event::kCallEnded,
     { { "id", std::string(id) },
       { "target", target_ ? target_->id_ : "" },
-      { "queue_ms", ms((started ? aRunning.started_ : now) - aRunning.arrived_) },
-      { "target_ms", started ? ms(now - aRunning.started_) : "-" },
+      { "queue_ms", ms((started ? aGuardedCall.startedAt_ : now) - aGuardedCall.arrivedAt_) },
+      { "target_ms", started ? ms(now - aGuardedCall.startedAt_) : "-" },
       { "running", std::to_string(aAnswer.inFlight_) },
       { "queued", std::to_string(aAnswer.queued_) },
       { "limit", std::to_string(aAnswer.limit_) },
@@ -389,15 +393,16 @@
     silenceCheckScheduled_ = false;
     const TimePoint now = loop_.Now();
     bool suspected = false;
-    bool running = false;
+    bool anyRunning = false;
     for (const auto& [number, call] : calls_) {
-      running = running || call.targetRequest_ != 0;
-      suspected = suspected || (call.targetRequest_ != 0 && now - call.started_ >= kSilenceTimeout);
+      anyRunning = anyRunning || call.targetRequest_ != 0;
+      suspected =
+        suspected || (call.targetRequest_ != 0 && now - call.startedAt_ >= kSilenceTimeout);
     }
     if (suspected) {
       ProbeConnections();
     }
-    if (running) {
+    if (anyRunning) {
       ScheduleSilenceCheck();
     }
   });
@@ -416,7 +421,7 @@
     bool freshConnectionAnswered_ = false;
   };
   auto probe = std::make_shared<ProbeResult>();
-  const TimePoint start = loop_.Now();
+  const TimePoint probeStartedAt = loop_.Now();
   const HttpRequest health{ "GET", "/health", {}, "" };
   // The end of the kept connection counts as an answer, because it isn't silent then.
   const auto kept = pollClient_.Send(
@@ -425,7 +430,7 @@
   const auto fresh = freshClient_.Send(health, [probe](const TargetResult& aResult) {
     probe->freshConnectionAnswered_ = aResult.requestStatus_ == TargetRequestStatus::kAnswered;
   });
-  loop_.After(kProbeTimeout, [this, probe, start, kept, fresh] {
+  loop_.After(kProbeTimeout, [this, probe, probeStartedAt, kept, fresh] {
     probing_ = false;
     freshClient_.Cancel(fresh);
     freshClient_.DropIdle();
@@ -433,12 +438,12 @@
       pollClient_.Cancel(kept);
     }
     if (!probe->keptConnectionAnswered_ && probe->freshConnectionAnswered_) {
-      FailSilentCalls(start);
+      FailSilentCalls(probeStartedAt);
     }
   });
 }
 
-void Guard::FailSilentCalls(TimePoint aBefore)
+void Guard::FailSilentCalls(TimePoint aProbeStartedAt)
 {
   client_.DropIdle();
   pollClient_.DropIdle();
@@ -446,7 +451,7 @@
   for (const auto& [number, call] : calls_) {
     // A call that can't be repeated continues to wait: abandoning it would gain nothing.
     if (call.targetRequest_ != 0 && call.call_.repeatable_ &&
-        aBefore - call.started_ >= kSilenceTimeout) {
+        aProbeStartedAt - call.startedAt_ >= kSilenceTimeout) {
       silent.push_back(number);
     }
   }
@@ -463,22 +468,22 @@
   }
 }
 
-void Guard::Cancel(std::uint64_t aCall)
+void Guard::Cancel(std::uint64_t aCallNumber)
 {
-  const auto entry = calls_.find(aCall);
+  const auto entry = calls_.find(aCallNumber);
   if (entry == calls_.end()) {
     return;
   }
-  GuardedCall& running = entry->second;
-  running.done_ = nullptr;
-  if (running.targetRequest_ == 0) {
-    CancelWaiting(admission_, aCall);
-    loop_.CancelTimer(running.deadlineTimer_);
+  GuardedCall& guardedCall = entry->second;
+  guardedCall.done_ = nullptr;
+  if (guardedCall.targetRequest_ == 0) {
+    CancelWaiting(admission_, aCallNumber);
+    loop_.CancelTimer(guardedCall.deadlineTimer_);
     calls_.erase(entry);
     return;
   }
-  client_.Cancel(running.targetRequest_);
-  Finish(aCall, ExecutionResult::kCancelled, Answer{});
+  client_.Cancel(guardedCall.targetRequest_);
+  Finish(aCallNumber, ExecutionResult::kCancelled, Answer{});
 }
 
 void Guard::Abort()
@@ -534,8 +539,8 @@
 void Guard::RefuseWaiting(ErrorCode aCode)
 {
   std::vector<std::uint64_t> waiting;
-  for (const auto& [number, running] : calls_) {
-    if (running.targetRequest_ == 0) {
+  for (const auto& [number, guardedCall] : calls_) {
+    if (guardedCall.targetRequest_ == 0) {
       waiting.push_back(number);
     }
   }
@@ -612,8 +617,8 @@
 void Guard::SetSlots(std::uint32_t aSlots)
 {
   health_.slots_ = aSlots;
-  // Before the first call the concurrency limit starts at the announced slots. From a small fixed
-  // value it took seconds to reach the target's capacity, and queued calls missed their deadlines.
+  // Before the first call the concurrency limit starts at the announced slots. A small fixed value
+  // would take seconds to reach the target's capacity, and queued calls would miss their deadlines.
   if (admission_.announcedSlots_ == 0 && admission_.running_ == 0 && admission_.queued_ == 0) {
     AdmissionState fresh;
     fresh.settings_ = admission_.settings_;
--- a/peridotquay/process/Guard.h
+++ b/peridotquay/process/Guard.h
@@ -35,7 +35,7 @@
   bool operator==(const TargetHealth&) const = default;
 };
 
-/// The local target as the control side knows it, on platforms where targets announce themselves.
+/// The local target as the control plane knows it, on platforms where targets announce themselves.
 struct LocalTarget
 {
   std::string id_; ///< Incarnation of the target; empty if none is known.
@@ -63,7 +63,7 @@
   /// happens. aDone is called once, unless the call is cancelled first.
   void Run(const Call& aCall, const std::function<void(std::uint64_t)>& aStarted, Done aDone);
   /// Cancels a call: removes it from the queue, or closes its connection to the target.
-  void Cancel(std::uint64_t aCall);
+  void Cancel(std::uint64_t aCallNumber);
   /// Ends all calls: refuses those that wait, ends those that run with outcome unknown.
   void Abort();
 
@@ -93,8 +93,8 @@
   {
     Call call_;
     Done done_;
-    TimePoint arrived_{};
-    TimePoint started_{};
+    TimePoint arrivedAt_{};
+    TimePoint startedAt_{};
     TimePoint deadline_{};
     std::string contextToken_;        ///< Empty while the call waits.
     std::uint64_t targetRequest_ = 0; ///< Number at client_; 0 while the call waits.
@@ -102,22 +102,22 @@
   };
 
   void Apply(const AdmissionActions& aActions);
-  void Start(std::uint64_t aCall);
-  void OnTargetResult(std::uint64_t aCall, TargetResult aResult);
-  void OnDeadline(std::uint64_t aCall);
-  void Refuse(std::uint64_t aCall, ErrorCode aCode, std::uint32_t aRetryAfterMs);
+  void Start(std::uint64_t aCallNumber);
+  void OnTargetResult(std::uint64_t aCallNumber, TargetResult aResult);
+  void OnDeadline(std::uint64_t aCallNumber);
+  void Refuse(std::uint64_t aCallNumber, ErrorCode aCode, std::uint32_t aRetryAfterMs);
   /// Ends a started call: frees its slot, closes its context and passes the answer on.
-  void Finish(std::uint64_t aCall, ExecutionResult aEnd, Answer aAnswer);
-  void RecordTargetOutcome(ExecutionResult aEnd, const Answer& aAnswer);
+  void Finish(std::uint64_t aCallNumber, ExecutionResult aExecutionResult, Answer aAnswer);
+  void RecordTargetOutcome(ExecutionResult aExecutionResult, const Answer& aAnswer);
   void FillLoad(Answer& aAnswer);
-  void LogEnd(const GuardedCall& aRunning, const Answer& aAnswer);
+  void LogEnd(const GuardedCall& aGuardedCall, const Answer& aAnswer);
   void ScheduleQueueCheck();
   void ScheduleSilenceCheck();
   /// Queries the target's health on a kept connection and on a fresh one. If only the fresh one
   /// answers, the open connections have gone silent and are abandoned.
   void ProbeConnections();
-  void FailSilentCalls(TimePoint aBefore);
-  HttpRequest TargetRequest(const GuardedCall& aRunning) const;
+  void FailSilentCalls(TimePoint aProbeStartedAt);
+  HttpRequest TargetRequest(const GuardedCall& aGuardedCall) const;
   void ReadLoad(const TargetResult& aResult);
   void SetSlots(std::uint32_t aSlots);
   void RefuseWaiting(ErrorCode aCode);
--- a/peridotquay/process/LogOutput.cpp
+++ b/peridotquay/process/LogOutput.cpp
@@ -81,7 +81,7 @@
     }
   }
   buffer_.erase(0, written);
-  // Once the buffer is empty, a line reports how many were dropped.
+  // Once the buffer is empty, a line reports the number of dropped lines.
   if (buffer_.empty() && dropped_ > reportedDropped_) {
     buffer_ = "time=" + TimeText() + " host=" + host_ + " event=1007 name=LogLinesDropped count=" +
               std::to_string(dropped_ - reportedDropped_) + "\n";
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -75,8 +75,8 @@
          ")\n" + EditsText(aChange.edits_);
 }
 
-/// Reports that a change was written for a version that is no longer the latest, and lists the
-/// changes since.
+/// Reports that a change was written for a version that is no longer the latest: the latest version
+/// and the changes that led to it.
 OperatorReport ReportConflict(Platform& aPlatform, const Error& aError, Version aExpectedVersion)
 {
   auto report = ReportError(aError);
@@ -99,16 +99,16 @@
   return report;
 }
 
-Json SitesJson(const RolloutStatus& aView)
+Json RolloutJson(const RolloutStatus& aRollout)
 {
   auto json = Json::array();
-  for (const auto& site : aView.dataCentres_) {
-    json.push_back({ { "data_centre", site.dataCentre_.value_ },
-                     { "reported", site.reported_ },
-                     { "version", site.version_ },
-                     { "in_force", site.inForce_ },
-                     { "lagging", site.lagging_ },
-                     { "unreachable", site.unreachable_ } });
+  for (const auto& dataCentre : aRollout.dataCentres_) {
+    json.push_back({ { "data_centre", dataCentre.dataCentre_.value_ },
+                     { "reported", dataCentre.reported_ },
+                     { "version", dataCentre.version_ },
+                     { "in_force", dataCentre.inForce_ },
+                     { "lagging", dataCentre.lagging_ },
+                     { "unreachable", dataCentre.unreachable_ } });
   }
   return json;
 }
@@ -122,15 +122,16 @@
   return text;
 }
 
-std::string SitesText(const RolloutStatus& aView)
+std::string RolloutText(const RolloutStatus& aRollout)
 {
   std::string text;
-  for (const auto& site : aView.dataCentres_) {
-    text += "  " + site.dataCentre_.value_ + ": ";
-    text += site.reported_ ? "version " + std::to_string(site.version_) : "no report";
-    text += site.inForce_ ? ", in force" : ", not in force";
-    text += site.lagging_.empty() ? "" : ", lagging:" + JoinNames(site.lagging_);
-    text += site.unreachable_.empty() ? "" : ", unreachable:" + JoinNames(site.unreachable_);
+  for (const auto& dataCentre : aRollout.dataCentres_) {
+    text += "  " + dataCentre.dataCentre_.value_ + ": ";
+    text += dataCentre.reported_ ? "version " + std::to_string(dataCentre.version_) : "no report";
+    text += dataCentre.inForce_ ? ", in force" : ", not in force";
+    text += dataCentre.lagging_.empty() ? "" : ", lagging:" + JoinNames(dataCentre.lagging_);
+    text +=
+      dataCentre.unreachable_.empty() ? "" : ", unreachable:" + JoinNames(dataCentre.unreachable_);
     text += "\n";
   }
   return text;
@@ -155,12 +156,12 @@
   aReport.json_["in_force"] = result.inForce_;
   aReport.json_["by_freshness_bound"] = result.byFreshnessBound_;
   aReport.json_["waited_ms"] = ms;
-  aReport.json_["sites"] = SitesJson(result.rollout_);
+  aReport.json_["sites"] = RolloutJson(result.rollout_);
   aReport.text_ += result.inForce_ ? "in force everywhere" : "not in force everywhere";
   aReport.text_ += " after " + std::to_string(ms) + " ms";
   aReport.text_ +=
     result.byFreshnessBound_ ? "; hosts without it have passed the freshness bound\n" : "\n";
-  aReport.text_ += SitesText(result.rollout_);
+  aReport.text_ += RolloutText(result.rollout_);
 }
 
 /// A change to be written.
@@ -510,17 +511,17 @@
     return ReportError(stored.assume_error());
   }
   const auto& config = stored.assume_value();
-  const auto view =
+  const auto rollout =
     ReadRolloutStatus(aPlatform, ConfiguredDataCentres(config.entities_), config.version_);
-  if (view.has_error()) {
-    return ReportError(view.assume_error());
+  if (rollout.has_error()) {
+    return ReportError(rollout.assume_error());
   }
   OperatorReport report;
   report.json_ = { { "version", config.version_ },
-                   { "in_force", view.assume_value().InForceEverywhere() },
-                   { "sites", SitesJson(view.assume_value()) } };
+                   { "in_force", rollout.assume_value().InForceEverywhere() },
+                   { "sites", RolloutJson(rollout.assume_value()) } };
   report.text_ =
-    "version " + std::to_string(config.version_) + "\n" + SitesText(view.assume_value());
+    "version " + std::to_string(config.version_) + "\n" + RolloutText(rollout.assume_value());
   return report;
 }
 
--- a/peridotquay/process/ShareLease.cpp
+++ b/peridotquay/process/ShareLease.cpp
@@ -21,7 +21,8 @@
 // Maximum number of lease rows in one read, far above the number of data centres.
 constexpr std::uint32_t kMaxLeaseRows = 256;
 
-// Units that an account short of tokens wants in addition to its use or double what it holds.
+// Units that an account short of tokens wants in addition to its use or to double what it holds,
+// whichever is more.
 constexpr std::uint32_t kMinNeedUnits = kShareUnits / 20;
 
 // Factor on the measured use for the units to keep, so that small variations cause no moves.
@@ -618,7 +619,7 @@
     auto decoded = DecodeSharePool(aAnswer.rows_.front().value_);
     revision = aAnswer.rows_.front().revision_;
     if (decoded.has_error()) {
-      // A malformed pool row must not end the lease.
+      // The lease is renewed even if the pool row is malformed or, as below, can't be read.
       StartWrite(aLease, MakeRenewal(aLease, aNow), {}, aNow, aEffects);
       return;
     }
--- a/peridotquay/process/ShareLedger.cpp
+++ b/peridotquay/process/ShareLedger.cpp
@@ -98,7 +98,7 @@
   if (limit.ratePerSecond_ > 0 && limit.burst_ >= 1) {
     waitMs = (1 - aAccount.level_) / limit.ratePerSecond_ * 1000;
   }
-  // No token can accrue before outstanding grants expire.
+  // The burst leaves no room for a token until outstanding grants end.
   if (aAccount.level_ + aAccount.outstanding_ + 1 > limit.burst_) {
     for (const auto& [id, grant] : aAccount.grants_) {
       waitMs =
--- a/tests/process/ControlActorTest.cpp
+++ b/tests/process/ControlActorTest.cpp
@@ -36,9 +36,9 @@
       publishedTargets_ = std::move(aView);
     };
     context.callbacks_.publishFreshness_ = [this](TimePoint aTime) { publishedFreshness_ = aTime; };
-    context.callbacks_.deliverGrant_ = [this](ShareGrant aGrant, TimePoint aAsked) {
+    context.callbacks_.deliverGrant_ = [this](ShareGrant aGrant, TimePoint aRequestedAt) {
       grant_ = std::move(aGrant);
-      asked_ = aAsked;
+      grantRequestedAt_ = aRequestedAt;
     };
     const auto platform = system_.spawn([this](caf::event_based_actor* aSelf) -> caf::behavior {
       return { [this, aSelf](const PlatformCallRequest& aRequest) {
@@ -79,7 +79,7 @@
 
   void Advance(Duration aLength)
   {
-    for (auto left = aLength; left > Duration{}; left -= milliseconds(100)) {
+    for (auto remaining = aLength; remaining > Duration{}; remaining -= milliseconds(100)) {
       scheduler_.advance_time(milliseconds(100));
       scheduler_.run();
     }
@@ -117,7 +117,7 @@
   std::shared_ptr<const TargetView> publishedTargets_;
   std::optional<TimePoint> publishedFreshness_;
   std::optional<ShareGrant> grant_;
-  TimePoint asked_{};
+  TimePoint grantRequestedAt_{};
   int messagesSent_ = 0;
   TestConfig config_;
   caf::actor_system system_;
@@ -170,10 +170,10 @@
   ManualClockNode node;
   node.CommitVersion(1, R"({"burst":20,"rate":10})");
   node.Advance(seconds(6));
-  const auto asked = node.Now();
+  const auto requestedAt = node.Now();
   CHECK(node.RequestTokens(2) == 2);
   CHECK(node.grant_->nonce_ == 77);
-  CHECK(node.asked_ == asked);
+  CHECK(node.grantRequestedAt_ == requestedAt);
   node.platform_.down_ = true;
   node.Pause(seconds(700));
   CHECK(node.RequestTokens(2) == 0);
--- a/tests/process/LogOutputTest.cpp
+++ b/tests/process/LogOutputTest.cpp
@@ -26,7 +26,7 @@
   }
   CHECK(Clock::now() - start < seconds(2));
   CHECK(output.Dropped() > 1000);
-  // Once the reader continues, a line reports how many were dropped.
+  // Once the reader continues, a line reports the number of dropped lines.
   std::string read;
   std::string chunk(65536, '\0');
   for (int i = 0; i < 100; ++i) {
--- a/tests/process/ShareLeaseTest.cpp
+++ b/tests/process/ShareLeaseTest.cpp
@@ -136,18 +136,18 @@
     if (candidate.pausedUntil_ > now_) {
       return 0;
     }
-    const auto asked = aWithoutDelay ? now_ : now_ - Random(milliseconds(100));
+    const auto sentAt = aWithoutDelay ? now_ : now_ - Random(milliseconds(100));
     const auto grant = HandleShareRequest(candidate.lease_,
                                           candidate.ledger_,
                                           { "caller" },
                                           { 1, kAccount, 0, 0, aWanted },
                                           LocalTime(aIndex));
-    const auto expires = asked + milliseconds(grant.lifetimeMs_);
-    if (grant.tokens_ == 0 || expires <= now_) {
+    const auto expiresAt = sentAt + milliseconds(grant.lifetimeMs_);
+    if (grant.tokens_ == 0 || expiresAt <= now_) {
       return 0;
     }
     uses_.push_back(
-      { now_ + (aWithoutDelay ? Duration{} : Random(expires - now_)), grant.tokens_ });
+      { now_ + (aWithoutDelay ? Duration{} : Random(expiresAt - now_)), grant.tokens_ });
     return grant.tokens_;
   }
 
@@ -461,9 +461,9 @@
         simulation.now_ + milliseconds(*rc::gen::element(50, 50, 200, 1000, 3000, 8000));
       while (simulation.now_ < end) {
         simulation.Run(milliseconds(50));
-        for (std::size_t asked = 0; asked < 2 * dataCentreCount; ++asked) {
+        for (std::size_t candidate = 0; candidate < 2 * dataCentreCount; ++candidate) {
           simulation.RequestTokens(
-            asked, 40, simulation.now_.time_since_epoch() / milliseconds(50) % 10 != 0);
+            candidate, 40, simulation.now_.time_since_epoch() / milliseconds(50) % 10 != 0);
         }
       }
     }
--- a/tests/process/ShareLedgerTest.cpp
+++ b/tests/process/ShareLedgerTest.cpp
@@ -169,7 +169,7 @@
       }
       // The request returns the unused tokens, so the host stops using the old grant when it sends
       // the request.
-      const auto asked = now;
+      const auto sentAt = now;
       const auto request = MakeRequest(*rc::gen::inRange(0, 12), hostGrant.grant_, hostGrant.used_);
       hostGrant = {};
       if (*rc::gen::inRange(0, 8) == 0) {
@@ -181,7 +181,7 @@
       RC_ASSERT(account.level_ + account.outstanding_ <= limit.burst_ + 1e-6);
       now += milliseconds(*rc::gen::element(0, 1, 30, 2000));
       if (*rc::gen::inRange(0, 8) != 0) {
-        hostGrant = { grant.grant_, grant.tokens_, 0, asked + milliseconds(grant.lifetimeMs_) };
+        hostGrant = { grant.grant_, grant.tokens_, 0, sentAt + milliseconds(grant.lifetimeMs_) };
       }
     }
     RC_ASSERT(WithinLimit(uses, limit));
