--- a/peridotquay/process/DeduplicationTable.h
+++ b/peridotquay/process/DeduplicationTable.h
@@ -63,7 +63,7 @@
 {
   kRun,
   kRefuse, ///< Tombstone or full table: the call must not run; "not run" is certain.
-  kDrop    ///< Duplicate or at most the watermark: must not run; "not run" could be false.
+  kDrop    ///< Duplicate, or id up to the watermark: must not run; "not run" could be false.
 };
 
 /// Records the arrival of a call and decides whether it runs.
--- a/peridotquay/process/Guard.h
+++ b/peridotquay/process/Guard.h
@@ -134,7 +134,7 @@
   std::shared_ptr<const Config> config_;
   AdmissionState admission_;
   ContextTable contexts_;
-  FailureMeter failures_; ///< Of the current target.
+  FailureMeter failures_; ///< Failures of the current target.
   std::map<std::uint64_t, GuardedCall> calls_;
   std::uint64_t nextCallNumber_ = 1;
   TargetHealth health_;
--- a/peridotquay/process/Metrics.h
+++ b/peridotquay/process/Metrics.h
@@ -22,7 +22,7 @@
   kAnswersRan,             ///< Requests answered with the outcome "ran".
   kAnswersNotRun,          ///< Requests answered with the outcome "not run".
   kAnswersUnknown,         ///< Requests answered with an unknown outcome.
-  kRefusedKey,             ///< Refused by the check of the key.
+  kRefusedKey,             ///< Refused because of its key, route or headers.
   kRefusedRate,            ///< Refused because the client account is over its rate.
   kRefusedStaleConfig,     ///< Refused because the configuration isn't known to be fresh.
   kRefusedUpstream,        ///< Refused before sending, because of a guard's admission level.
--- a/peridotquay/process/Platform.cpp
+++ b/peridotquay/process/Platform.cpp
@@ -32,30 +32,30 @@
   Result<std::optional<std::string>> GetObject(std::string_view aName) override;
 
 private:
-  /// Sends a request to each address in turn until one answers. A write that the server may have
-  /// received isn't repeated, because it could take effect twice.
-  Result<BlockingHttpResult> Send(const BlockingHttpRequest& aCall);
+  /// Sends a request to each address in turn until one answers. A request that a server may have
+  /// received is sent again only if it is a read.
+  Result<BlockingHttpResult> Send(const BlockingHttpRequest& aRequest);
 
   PlatformClientSettings settings_;
   BlockingHttp http_;
   std::size_t preferred_ = 0; ///< Index of the address that answered last.
 };
 
-Result<BlockingHttpResult> PlatformClient::Send(const BlockingHttpRequest& aCall)
+Result<BlockingHttpResult> PlatformClient::Send(const BlockingHttpRequest& aRequest)
 {
   const auto deadline = Clock::now() + settings_.requestTimeout_;
   for (std::size_t i = 0; i < settings_.addresses_.size(); ++i) {
     const auto index = (preferred_ + i) % settings_.addresses_.size();
-    auto httpResult = http_.Send(settings_.addresses_[index], aCall, deadline);
+    auto httpResult = http_.Send(settings_.addresses_[index], aRequest, deadline);
     if (httpResult.progress_ == HttpProgress::kAnswered) {
       preferred_ = index;
       return httpResult;
     }
-    if (httpResult.progress_ == HttpProgress::kMaybeSent && aCall.method_ != "GET") {
-      return Fail(ErrorCode::kPlatformUnknown, aCall.target_, "no answer");
+    if (httpResult.progress_ == HttpProgress::kMaybeSent && aRequest.method_ != "GET") {
+      return Fail(ErrorCode::kPlatformUnknown, aRequest.target_, "no answer");
     }
   }
-  return Fail(ErrorCode::kPlatformUnavailable, aCall.target_, "no platform address answered");
+  return Fail(ErrorCode::kPlatformUnavailable, aRequest.target_, "no platform address answered");
 }
 
 /// Returns the error for an unexpected HTTP status. 503 and 429 mean that the server did nothing.
--- a/peridotquay/process/RolloutStatus.h
+++ b/peridotquay/process/RolloutStatus.h
@@ -58,7 +58,7 @@
   Duration timeout_ = seconds(15);
   Duration interval_ = milliseconds(100);
   /// For withdrawals of keys: hosts without the version stop serving keyed routes this long after
-  /// it was written, so the wait ends then. Empty for other changes.
+  /// it was written, so the wait ends this long after the call. Empty for other changes.
   std::optional<Duration> freshnessBound_;
 };
 
--- a/peridotquay/process/Settings.h
+++ b/peridotquay/process/Settings.h
@@ -35,7 +35,7 @@
   Duration readTimeout_ = seconds(5);   ///< Time within which a whole request must arrive.
   Duration drainTimeout_ = seconds(30); ///< After it, a drain abandons the calls in flight.
   /// Time from the start of a drain during which new requests are still accepted, for callers that
-  /// don't know of it yet. The drain is announced to other nodes after half of it.
+  /// don't know of it yet. The target is announced as draining after half of this time.
   Duration drainAcceptPeriod_{};
   Duration targetIdleTimeout_ = seconds(30); ///< Closes connections to the target unused this long.
   std::uint64_t randomSeed_ = 0; ///< Seed of all random choices; 0 takes one from the system.
--- a/peridotquay/process/ShareLease.h
+++ b/peridotquay/process/ShareLease.h
@@ -156,9 +156,9 @@
   std::map<ClientAccountId, std::uint32_t> unitsToGive_; ///< Elastic units that this node no longer
                                                          ///< uses and will free.
   std::map<DataCentreId, ObservedShare> observed_;       ///< Lease rows of all data centres.
-  std::map<ClientAccountId, std::uint32_t> needs_;       ///< Becomes ShareRow::needs_.
+  std::map<ClientAccountId, std::uint32_t> needs_;       ///< Written as ShareRow::needs_.
   std::optional<PendingShareWrite> pending_;
-  std::uint64_t sequence_ = 0; ///< Of the last write sent.
+  std::uint64_t sequence_ = 0; ///< Number of the last write sent.
 
   std::optional<ShareCallKind> call_; ///< The call under way.
   TimePoint nextCycleAt_{};           ///< When the lease rows are read next.
--- a/tests/process/RequestLedgerTest.cpp
+++ b/tests/process/RequestLedgerTest.cpp
@@ -73,51 +73,51 @@
           return;
         }
       }
-      Reference& ref = ids[*rc::gen::inRange<std::size_t>(0, ids.size())];
-      const std::uint64_t sequence = SequenceOf(ref.id_);
+      Reference& reference = ids[*rc::gen::inRange<std::size_t>(0, ids.size())];
+      const std::uint64_t sequence = SequenceOf(reference.id_);
       if (action <= 6) {
         RequestLedger& ledger = ledgers[*rc::gen::inRange<std::size_t>(0, ledgers.size())];
-        const bool inCharge = &ledger == &ledgers.back();
+        const bool isLastLedger = &ledger == &ledgers.back();
         const std::string digest = *rc::gen::element<std::string>("one", "one", "one", "two");
-        const auto result = BeginRequest(ledger, ref.id_, digest, now);
+        const auto result = BeginRequest(ledger, reference.id_, digest, now);
         if (!result) {
           // "Not run" may be answered only if the request can't have run.
           RC_ASSERT(CodeOf(result) != ErrorCode::kDraining);
-          if (inCharge && CodeOf(result) == ErrorCode::kBadRequestId) {
-            RC_ASSERT(!ref.digest_.empty());
-            RC_ASSERT(ref.digest_ != digest);
+          if (isLastLedger && CodeOf(result) == ErrorCode::kBadRequestId) {
+            RC_ASSERT(!reference.digest_.empty());
+            RC_ASSERT(reference.digest_ != digest);
           }
           continue;
         }
-        RC_ASSERT(ref.digest_.empty() || ref.digest_ == digest);
+        RC_ASSERT(reference.digest_.empty() || reference.digest_ == digest);
         switch (result.assume_value()) {
           case BeginResult::kRun:
-            RC_ASSERT(inCharge);
-            RC_ASSERT(!ref.mayHaveRun_);
-            RC_ASSERT(now - ref.issuedAt_ < kRequestIdRetention);
-            ref.mayHaveRun_ = ref.running_ = true;
-            ref.digest_ = digest;
+            RC_ASSERT(isLastLedger);
+            RC_ASSERT(!reference.mayHaveRun_);
+            RC_ASSERT(now - reference.issuedAt_ < kRequestIdRetention);
+            reference.mayHaveRun_ = reference.running_ = true;
+            reference.digest_ = digest;
             break;
           case BeginResult::kWait:
-            RC_ASSERT(ref.running_);
+            RC_ASSERT(reference.running_);
             break;
           case BeginResult::kRepeat: {
             const RequestRecord* record = FindRecord(ledger, sequence);
             RC_ASSERT(record != nullptr);
             RC_ASSERT(record->answer_.has_value());
-            RC_ASSERT(!ref.answered_ || record->answer_->body_ == ref.body_);
-            RC_ASSERT(ref.answered_ || record->answer_->outcome_ == Outcome::kUnknown);
+            RC_ASSERT(!reference.answered_ || record->answer_->body_ == reference.body_);
+            RC_ASSERT(reference.answered_ || record->answer_->outcome_ == Outcome::kUnknown);
             break;
           }
         }
-      } else if (action <= 9 && ref.running_) {
+      } else if (action <= 9 && reference.running_) {
         const Outcome outcome =
           *rc::gen::element(Outcome::kRan, Outcome::kNotRun, Outcome::kUnknown);
-        ref.body_ = std::to_string(i);
-        FinishRequest(ledgers.back(), sequence, MakeAnswer(outcome, ref.body_));
-        ref.running_ = false;
-        ref.mayHaveRun_ = outcome != Outcome::kNotRun;
-        ref.answered_ = outcome != Outcome::kNotRun;
+        reference.body_ = std::to_string(i);
+        FinishRequest(ledgers.back(), sequence, MakeAnswer(outcome, reference.body_));
+        reference.running_ = false;
+        reference.mayHaveRun_ = outcome != Outcome::kNotRun;
+        reference.answered_ = outcome != Outcome::kNotRun;
       } else if (action == 10) {
         ExpireRecords(ledgers.back(), now);
       } else if (action == 11 && ledgers.size() < 4) {
--- a/tests/process/ShareLeaseTest.cpp
+++ b/tests/process/ShareLeaseTest.cpp
@@ -24,7 +24,7 @@
 {
   ShareLease lease_;
   ShareLedger ledger_;
-  Duration offset_{};           ///< Of its clock from the simulation's time.
+  Duration offset_{};           ///< Difference of its clock from the simulation's time.
   TimePoint pausedUntil_{};     ///< The process doesn't run until then.
   bool platformCutOff_ = false; ///< It can't reach the platform, but hosts can reach it.
   std::string dataCentre_;
@@ -37,7 +37,7 @@
   std::size_t from_ = 0;            ///< Index of the candidate that sent the call.
   bool executed_ = false;           ///< The answer is on its way back.
   bool answerLost_ = false;         ///< The answer never arrives; the caller times out after 2 s.
-  std::uint64_t processNumber_ = 0; ///< Of the calling process. A later process of the same
+  std::uint64_t processNumber_ = 0; ///< Number of the calling process. A later process of the same
                                     ///< candidate doesn't receive the answer.
   PlatformCall call_;
   PlatformAnswer answer_;
@@ -461,9 +461,10 @@
         simulation.now_ + milliseconds(*rc::gen::element(50, 50, 200, 1000, 3000, 8000));
       while (simulation.now_ < end) {
         simulation.Run(milliseconds(50));
-        for (std::size_t candidate = 0; candidate < 2 * dataCentreCount; ++candidate) {
+        for (std::size_t candidateIndex = 0; candidateIndex < 2 * dataCentreCount;
+             ++candidateIndex) {
           simulation.RequestTokens(
-            candidate, 40, simulation.now_.time_since_epoch() / milliseconds(50) % 10 != 0);
+            candidateIndex, 40, simulation.now_.time_since_epoch() / milliseconds(50) % 10 != 0);
         }
       }
     }
