--- a/tests/process/ShareLeaseTest.cpp
+++ b/tests/process/ShareLeaseTest.cpp
@@ -24,7 +24,7 @@
 {
   ShareLease lease_;
   ShareLedger ledger_;
-  Duration offset_{};           ///< Of its clock from the simulation's time.
+  Duration offset_{};           ///< Difference of its clock from the simulation's time.
   TimePoint pausedUntil_{};     ///< The process doesn't run until then.
   bool platformCutOff_ = false; ///< It can't reach the platform, but hosts can reach it.
   std::string dataCentre_;
@@ -37,7 +37,7 @@
   std::size_t from_ = 0;            ///< Index of the candidate that sent the call.
   bool executed_ = false;           ///< The answer is on its way back.
   bool answerLost_ = false;         ///< The answer never arrives; the caller times out after 2 s.
-  std::uint64_t processNumber_ = 0; ///< Of the calling process. A later process of the same
+  std::uint64_t processNumber_ = 0; ///< Number of the calling process. A later process of the same
                                     ///< candidate doesn't receive the answer.
   PlatformCall call_;
   PlatformAnswer answer_;
@@ -136,18 +136,18 @@
     if (candidate.pausedUntil_ > now_) {
       return 0;
     }
-    const auto asked = aWithoutDelay ? now_ : now_ - Random(milliseconds(100));
+    const auto sentAt = aWithoutDelay ? now_ : now_ - Random(milliseconds(100));
     const auto grant = HandleShareRequest(candidate.lease_,
                                           candidate.ledger_,
                                           { "caller" },
                                           { 1, kAccount, 0, 0, aWanted },
                                           LocalTime(aIndex));
-    const auto expires = asked + milliseconds(grant.lifetimeMs_);
-    if (grant.tokens_ == 0 || expires <= now_) {
+    const auto expiresAt = sentAt + milliseconds(grant.lifetimeMs_);
+    if (grant.tokens_ == 0 || expiresAt <= now_) {
       return 0;
     }
     uses_.push_back(
-      { now_ + (aWithoutDelay ? Duration{} : Random(expires - now_)), grant.tokens_ });
+      { now_ + (aWithoutDelay ? Duration{} : Random(expiresAt - now_)), grant.tokens_ });
     return grant.tokens_;
   }
 
@@ -461,9 +461,10 @@
         simulation.now_ + milliseconds(*rc::gen::element(50, 50, 200, 1000, 3000, 8000));
       while (simulation.now_ < end) {
         simulation.Run(milliseconds(50));
-        for (std::size_t asked = 0; asked < 2 * dataCentreCount; ++asked) {
+        for (std::size_t candidateIndex = 0; candidateIndex < 2 * dataCentreCount;
+             ++candidateIndex) {
           simulation.RequestTokens(
-            asked, 40, simulation.now_.time_since_epoch() / milliseconds(50) % 10 != 0);
+            candidateIndex, 40, simulation.now_.time_since_epoch() / milliseconds(50) % 10 != 0);
         }
       }
     }
