--- a/peridotquay/connection/HttpFront.cpp
+++ b/peridotquay/connection/HttpFront.cpp
@@ -447,8 +447,7 @@
       return;
     }
     if (!keepAlive_) {
-      // Closes the sending side and discards input for a short time before closing the
-      // connection.
+      // Closes the sending side and discards input for a short time before closing the connection.
       // Closing with unread input would reset the connection, and the caller could lose the answer.
       error_code ignored;
       socket_.shutdown(tcp::socket::shutdown_send, ignored);
@@ -500,7 +499,7 @@
         return;
       }
       if (aError) {
-        // Without file descriptors left, accepting again immediately would loop.
+        // Without free file descriptors, accepting again immediately would loop without pause.
         state->loop_.After(milliseconds(20), [weak] {
           if (const auto owner = weak.lock()) {
             Accept(owner);
--- a/peridotquay/connection/PeerHub.cpp
+++ b/peridotquay/connection/PeerHub.cpp
@@ -146,7 +146,7 @@
           return;
         }
         if (aError) {
-          // Without file descriptors left, accepting again immediately would loop.
+          // Without free file descriptors, accepting again immediately would loop without pause.
           self->loop_.After(milliseconds(20), [weak] {
             if (const auto owner = weak.lock()) {
               owner->Accept();
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -318,7 +318,7 @@
   bool operator==(const RateReports&) const = default;
 };
 
-/// Tokens of one account that all hosts together have left, as the sender estimates it.
+/// Estimate by the sender of the tokens of one account that all hosts together have left.
 struct AccountLevel
 {
   ClientAccountId account_;
--- a/peridotquay/connection/TargetClient.cpp
+++ b/peridotquay/connection/TargetClient.cpp
@@ -288,7 +288,8 @@
     const auto statedSeconds =
       ParseNumber(rest.substr(0, rest.find_first_not_of("0123456789")), 3600);
     if (statedSeconds) {
-      // 70% of the timeout: a request sent while the target closes the connection would be lost.
+      // The connection is closed after 70% of the timeout, because a request sent while the target
+      // closes it would be lost.
       idleTimeout_ = std::min<Duration>(idleTimeout_, milliseconds(*statedSeconds * 700));
     }
   }
--- a/programs/quayctl.cpp
+++ b/programs/quayctl.cpp
@@ -255,9 +255,9 @@
 const Command* FindCommand(const Arguments& aWords)
 {
   for (const auto& command : Commands()) {
-    const auto one = aWords.empty() ? "" : aWords[0];
-    const auto two = aWords.size() < 2 ? one : one + " " + aWords[1];
-    if (command.name_ == one || command.name_ == two) {
+    const auto oneWord = aWords.empty() ? "" : aWords[0];
+    const auto twoWords = aWords.size() < 2 ? oneWord : oneWord + " " + aWords[1];
+    if (command.name_ == oneWord || command.name_ == twoWords) {
       return &command;
     }
   }
@@ -284,8 +284,8 @@
     PrintHelp(std::cerr, nullptr);
     return kExitUsage;
   }
-  const auto words = command->name_.find(' ') == std::string_view::npos ? 1U : 2U;
-  const Arguments arguments(aWords.begin() + words, aWords.end());
+  const auto nameWordCount = command->name_.find(' ') == std::string_view::npos ? 1U : 2U;
+  const Arguments arguments(aWords.begin() + nameWordCount, aWords.end());
   if (arguments.size() != command->arguments_) {
     PrintHelp(std::cerr, command);
     return kExitUsage;
--- a/programs/quayd.cpp
+++ b/programs/quayd.cpp
@@ -145,15 +145,15 @@
       return;
     }
     const FileSettings& next = read.assume_value();
-    const bool policy = next.platform_ && settings_.platform_ &&
-                        next.platform_->policy_ != settings_.platform_->policy_;
+    const bool policyChanged = next.platform_ && settings_.platform_ &&
+                               next.platform_->policy_ != settings_.platform_->policy_;
     FileSettings applied = settings_;
-    if (policy) {
+    if (policyChanged) {
       applied.platform_->policy_ = next.platform_->policy_;
       aNode.SetPolicy(next.platform_->policy_);
     }
     LogEvent(Event::kSettingsReloaded,
-             { { "policy_changed", policy ? "true" : "false" },
+             { { "policy_changed", policyChanged ? "true" : "false" },
                { "needs_restart", applied == next ? "false" : "true" } });
     settings_ = std::move(applied);
   }
@@ -235,10 +235,10 @@
   auto node = StartNode(aSettings);
   if (node.has_error()) {
     const Error& error = node.assume_error();
-    const bool portFile = error.code_ == ErrorCode::kFileUnreadable;
+    const bool portFileFailed = error.code_ == ErrorCode::kFileUnreadable;
     LogEvent(Event::kListenFailed, { { "error", Describe(error) } });
     std::cerr << "quayd: " << Describe(error) << "\n";
-    return portFile ? kExitPortFile : ExitCodeOf(error.code_);
+    return portFileFailed ? kExitPortFile : ExitCodeOf(error.code_);
   }
   SettingsFile file(aFile, aSettings);
   const SignalThread signals(*node.assume_value(), file);
@@ -274,8 +274,9 @@
   }
   const auto rest = absl::ParseCommandLine(static_cast<int>(pointers.size()), pointers.data());
   std::string file = absl::GetFlag(FLAGS_config);
-  if (const char* named = std::getenv("PERIDOTQUAY_CONFIG"); file.empty() && named != nullptr) {
-    file = named;
+  if (const char* environmentFile = std::getenv("PERIDOTQUAY_CONFIG");
+      file.empty() && environmentFile != nullptr) {
+    file = environmentFile;
   }
   if (rest.size() != 1 || file.empty()) {
     std::cerr
--- a/programs/quayload.cpp
+++ b/programs/quayload.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-// Longest time after the start of a key's withdrawal in which requests with it may be served.
+// Maximum time from the start of a key's withdrawal until the last request with the key is served.
 constexpr double kMaxWithdrawnKeySeconds = 3;
 
 using namespace peridotquay;
@@ -163,28 +163,28 @@
 
 int RunChanges(const ExperimentSettings& aSettings)
 {
-  constexpr int kCount = 30;
-  const auto measured = MeasureConfigChangeTimes(aSettings, kCount);
+  constexpr int kChangeCount = 30;
+  const auto measured = MeasureConfigChangeTimes(aSettings, kChangeCount);
   if (!measured) {
     std::cerr << "quayload: " << Describe(measured.assume_error()) << "\n";
     return kExitFailed;
   }
-  const auto& times = measured.assume_value();
-  const auto withinOneSecond =
-    std::count_if(times.begin(), times.end(), [](double aTime) { return aTime <= 1; });
+  const auto& changeSeconds = measured.assume_value();
+  const auto withinOneSecond = std::count_if(
+    changeSeconds.begin(), changeSeconds.end(), [](double aSeconds) { return aSeconds <= 1; });
   const nlohmann::json json{ { "scenario", "changes" },
-                             { "changes", times.size() },
+                             { "changes", changeSeconds.size() },
                              { "within_1_s", withinOneSecond },
-                             { "p50_s", Percentile(times, 0.5) },
-                             { "longest_s", Percentile(times, 1) } };
+                             { "p50_s", Percentile(changeSeconds, 0.5) },
+                             { "longest_s", Percentile(changeSeconds, 1) } };
   std::cout << json.dump(2) << "\n";
   return 0;
 }
 
 int RunQuiet(const ExperimentSettings& aSettings)
 {
-  constexpr int kSeconds = 10;
-  const auto measured = MeasureIdleCost(aSettings, kSeconds);
+  constexpr int kMeasurementSeconds = 10;
+  const auto measured = MeasureIdleCost(aSettings, kMeasurementSeconds);
   if (!measured) {
     std::cerr << "quayload: " << Describe(measured.assume_error()) << "\n";
     return kExitFailed;
@@ -232,7 +232,7 @@
   }
   std::vector<double> product;
   std::vector<double> naive;
-  bool holds = true;
+  bool guaranteesHold = true;
   for (int turn = 0; turn < absl::GetFlag(FLAGS_turns); ++turn) {
     settings.seed_ = absl::GetFlag(FLAGS_seed) + static_cast<std::uint64_t>(turn);
     for (const bool isNaive : { false, true }) {
@@ -248,8 +248,9 @@
       }
       const LoadReport& value = report.assume_value();
       (isNaive ? naive : product).push_back(MainPhaseGoodput(value));
-      const bool keyEnded = value.withdrawnKeyServedSeconds_.value_or(0) <= kMaxWithdrawnKeySeconds;
-      holds = holds && (isNaive || (value.history_.Holds() && keyEnded));
+      const bool keyStoppedInTime =
+        value.withdrawnKeyServedSeconds_.value_or(0) <= kMaxWithdrawnKeySeconds;
+      guaranteesHold = guaranteesHold && (isNaive || (value.history_.Holds() && keyStoppedInTime));
       auto entry = nlohmann::json::parse(ReportJson(value));
       entry["seed"] = settings.seed_;
       json[isNaive ? "naive" : "product"].push_back(entry);
@@ -271,7 +272,7 @@
   } else if (aCompare) {
     std::cout << "goodput of the ideal: " << json["goodput"].dump() << "\n";
   }
-  return holds ? 0 : kExitGuaranteeBroken;
+  return guaranteesHold ? 0 : kExitGuaranteeBroken;
 }
 
 } // namespace
--- a/tests/connection/HttpFrontTest.cpp
+++ b/tests/connection/HttpFrontTest.cpp
@@ -345,9 +345,9 @@
   CHECK(send(ConnectionReuse::kRecentlyUsed).connectTime_ == Duration::zero());
   loop.After(settings.recentlyUsedPeriod_ + milliseconds(50), [&] { loop.Stop(); });
   loop.Run();
-  const TargetResult rested = send(ConnectionReuse::kRecentlyUsed);
-  CHECK(rested.requestStatus_ == TargetRequestStatus::kAnswered);
-  CHECK(rested.connectTime_ > Duration::zero());
+  const TargetResult afterIdle = send(ConnectionReuse::kRecentlyUsed);
+  CHECK(afterIdle.requestStatus_ == TargetRequestStatus::kAnswered);
+  CHECK(afterIdle.connectTime_ > Duration::zero());
   target.join();
 }
 
--- a/tests/connection/PeerHubTest.cpp
+++ b/tests/connection/PeerHubTest.cpp
@@ -140,7 +140,7 @@
   RecordingHub left(loop, "left");
   RawListener listener;
   std::string received;
-  std::thread silent([&] {
+  std::thread silentPeer([&] {
     RawSocket socket = listener.Accept();
     socket.Write(FramePeerMessage(Hello{ kPeerProtocolVersion, { "right" }, 1, { "dc1" } }));
     received = socket.ReadToEnd();
@@ -149,7 +149,7 @@
   left.hub_->SendCall({ "127.0.0.1", listener.Port() }, 1, Cancel{ 1 });
   REQUIRE(RunUntil(loop, [&] { return left.lostCalls_.size() == 1; }));
   const Duration elapsed = Clock::now() - start;
-  silent.join();
+  silentPeer.join();
   CHECK(left.lostCalls_[0].reason_ == LinkEndReason::kSilent);
   CHECK(left.lostCalls_[0].sent_);
   CHECK(elapsed >= milliseconds(500));
@@ -172,7 +172,7 @@
   EventLoop loop;
   RecordingHub left(loop, "left");
   RecordingHub right(loop, "right");
-  std::thread badClients([&] {
+  std::thread invalidPeers([&] {
     const std::vector<std::string> firstBytes = {
       FramePeerMessage(Hello{ 99, { "x" }, 1, { "dc1" } }),
       FramePeerMessage(Ping{ 1 }),
@@ -190,7 +190,7 @@
   left.hub_->Send(right.address_, Cancel{ 1 });
   REQUIRE(
     RunUntil(loop, [&] { return right.messages_.size() == 1 && right.endedLinks_.size() == 5; }));
-  badClients.join();
+  invalidPeers.join();
   left.hub_->Send(right.address_, Cancel{ 2 });
   REQUIRE(RunUntil(loop, [&] { return right.messages_.size() == 2; }));
 }
--- a/tests/platform/DecoderTest.cpp
+++ b/tests/platform/DecoderTest.cpp
@@ -270,13 +270,13 @@
 TEST_CASE("mutated input decodes to a value or a typed error", "[platform]")
 {
   std::mt19937_64 random(20261204);
-  std::size_t refused = 0;
+  std::size_t rejectedCount = 0;
   for (int i = 0; i < 4000; ++i) {
-    refused += DecodeConfig(Mutate(kDocument, random), Policy{}).has_error() ? 1 : 0;
-    refused += DecodeHeartbeat("i-1", Mutate(kHeartbeat, random)).has_error() ? 1 : 0;
-    refused += DecodeRecord(Mutate(EncodeRecord(SomeRecord()), random)).has_error() ? 1 : 0;
-    refused += ParseRows(Mutate(kRows, random)).has_error() ? 1 : 0;
-    refused += ParsePlatformSettings(Mutate(kSettings, random), "f").has_error() ? 1 : 0;
+    rejectedCount += DecodeConfig(Mutate(kDocument, random), Policy{}).has_error() ? 1 : 0;
+    rejectedCount += DecodeHeartbeat("i-1", Mutate(kHeartbeat, random)).has_error() ? 1 : 0;
+    rejectedCount += DecodeRecord(Mutate(EncodeRecord(SomeRecord()), random)).has_error() ? 1 : 0;
+    rejectedCount += ParseRows(Mutate(kRows, random)).has_error() ? 1 : 0;
+    rejectedCount += ParsePlatformSettings(Mutate(kSettings, random), "f").has_error() ? 1 : 0;
   }
-  CHECK(refused > 1000);
+  CHECK(rejectedCount > 1000);
 }
--- a/tests/platform/HeartbeatTest.cpp
+++ b/tests/platform/HeartbeatTest.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 const TimePoint kNow{ seconds(500) };
-constexpr std::uint64_t kStarted = 1'700'000'000'000;
+constexpr std::uint64_t kStartedMs = 1'700'000'000'000;
 
 Heartbeat HeartbeatOf(const std::string& aId, std::uint64_t aStartedMs)
 {
@@ -25,25 +25,25 @@
 // it when the leave message arrived, so a late heartbeat looked like a new start.
 TEST_CASE("a late heartbeat of a target that left is ignored", "[heartbeat]")
 {
-  DepartedTargets left;
-  RecordLeave(left, "i-1", kStarted, kStarted + 9000, kNow);
-  CHECK(HasLeft(left, HeartbeatOf("i-1", kStarted), kNow + seconds(5)));
-  CHECK_FALSE(HasLeft(left, HeartbeatOf("i-2", kStarted), kNow + seconds(5)));
+  DepartedTargets departed;
+  RecordLeave(departed, "i-1", kStartedMs, kStartedMs + 9000, kNow);
+  CHECK(HasLeft(departed, HeartbeatOf("i-1", kStartedMs), kNow + seconds(5)));
+  CHECK_FALSE(HasLeft(departed, HeartbeatOf("i-2", kStartedMs), kNow + seconds(5)));
   // A leave message without a start time covers every start before it.
-  RecordLeave(left, "i-3", 0, kStarted + 9000, kNow);
-  CHECK(HasLeft(left, HeartbeatOf("i-3", kStarted), kNow + seconds(5)));
+  RecordLeave(departed, "i-3", 0, kStartedMs + 9000, kNow);
+  CHECK(HasLeft(departed, HeartbeatOf("i-3", kStartedMs), kNow + seconds(5)));
 }
 
 // Guards against a target that never gets requests because it reuses the id of one that left.
 TEST_CASE("a later start may reuse the id of a target that left", "[heartbeat]")
 {
-  DepartedTargets left;
-  RecordLeave(left, "i-1", kStarted, kStarted + 9000, kNow);
-  CHECK_FALSE(HasLeft(left, HeartbeatOf("i-1", kStarted + 1), kNow));
-  RecordLeave(left, "i-3", 0, kStarted + 9000, kNow);
-  CHECK_FALSE(HasLeft(left, HeartbeatOf("i-3", kStarted + 9500), kNow));
-  CHECK(HasLeft(left, HeartbeatOf("i-3", 0), kNow + seconds(5)));
-  CHECK_FALSE(HasLeft(left, HeartbeatOf("i-3", 0), kNow + seconds(11)));
+  DepartedTargets departed;
+  RecordLeave(departed, "i-1", kStartedMs, kStartedMs + 9000, kNow);
+  CHECK_FALSE(HasLeft(departed, HeartbeatOf("i-1", kStartedMs + 1), kNow));
+  RecordLeave(departed, "i-3", 0, kStartedMs + 9000, kNow);
+  CHECK_FALSE(HasLeft(departed, HeartbeatOf("i-3", kStartedMs + 9500), kNow));
+  CHECK(HasLeft(departed, HeartbeatOf("i-3", 0), kNow + seconds(5)));
+  CHECK_FALSE(HasLeft(departed, HeartbeatOf("i-3", 0), kNow + seconds(11)));
 }
 
 // Guards against a leave message that has no effect because its body is malformed.
--- a/tests/platform/PlatformDialectTest.cpp
+++ b/tests/platform/PlatformDialectTest.cpp
@@ -64,7 +64,7 @@
   CHECK(failure(ErrorCode::kShed, Outcome::kNotRun, "", 0).status_ == 503);
   CHECK(failure(ErrorCode::kNoRoute, Outcome::kNotRun, "", 0).status_ == 404);
   CHECK(failure(ErrorCode::kUnknownKey, Outcome::kNotRun, "", 0).status_ == 401);
-  const HttpResponse late = failure(ErrorCode::kOverRate, Outcome::kNotRun, "", 250);
-  CHECK(late.status_ == 429);
-  CHECK(FindHeader(late.headers_, "Retry-After") == "0.250");
+  const HttpResponse overRate = failure(ErrorCode::kOverRate, Outcome::kNotRun, "", 250);
+  CHECK(overRate.status_ == 429);
+  CHECK(FindHeader(overRate.headers_, "Retry-After") == "0.250");
 }
