--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -483,13 +483,13 @@
     for (int i = 0; i < kOrderCount; ++i) {
       sum += PushOrder(ranking, static_cast<Version>(i), 8).size();
     }
-    const auto order = (CpuSeconds() - started) / kOrderCount;
+    const auto secondsPerOrder = (CpuSeconds() - started) / kOrderCount;
     std::printf("  %zu members: depth %zu hops, %zu B for a push with one edit, order computed in "
                 "%.1f us (%zu)\n",
                 fleet.members_,
                 depth,
                 bytes,
-                order * 1e6,
+                secondsPerOrder * 1e6,
                 sum / kOrderCount);
   }
 }
@@ -526,13 +526,14 @@
     const auto decoded = DecodeSharePool(row);
     const auto rowSeconds = CpuSeconds() - started;
     constexpr int kRequestCount = 200'000;
-    auto time = now + seconds(2);
+    auto requestTime = now + seconds(2);
     const auto grantsStarted = CpuSeconds();
-    std::uint64_t last = 0;
+    std::uint64_t lastGrantId = 0;
     for (int i = 0; i < kRequestCount; ++i) {
-      time += microseconds(20);
+      requestTime += microseconds(20);
       const auto& id = ids[static_cast<std::size_t>(i) % accounts];
-      last = GrantTokens(ledger, { "h" }, { 1, id, 0, 0, 3 }, kMaxGrantLifetime, time).grant_;
+      lastGrantId =
+        GrantTokens(ledger, { "h" }, { 1, id, 0, 0, 3 }, kMaxGrantLifetime, requestTime).grant_;
     }
     const auto grantSeconds = (CpuSeconds() - grantsStarted) / kRequestCount;
     std::printf(
@@ -544,7 +545,7 @@
       row.size(),
       rowSeconds * 1000,
       grantSeconds * 1e6,
-      static_cast<unsigned long long>(last),
+      static_cast<unsigned long long>(lastGrantId),
       liveBytes - before);
   }
   const ShareRequest request{ 1ULL << 60U, { "account-1000" }, 123456, 4, 5 };
@@ -624,9 +625,9 @@
     for (std::size_t i = 0; i < stopped; ++i) {
       network.Stop(nodes - 1 - i);
     }
-    double first = 0;
-    double all = 0;
-    for (int tick = 1; tick <= 1200 && all == 0; ++tick) {
+    double firstDeathSeconds = 0;
+    double allKnownSeconds = 0;
+    for (int tick = 1; tick <= 1200 && allKnownSeconds == 0; ++tick) {
       network.Run(milliseconds(100));
       std::size_t updatedNodes = 0;
       for (const auto& node : network.nodes_) {
@@ -634,11 +635,11 @@
           ++updatedNodes;
         }
       }
-      if (first == 0 && network.CountSeeing(nodes - 1, MemberState::kDead) > 0) {
-        first = tick / 10.0;
+      if (firstDeathSeconds == 0 && network.CountSeeing(nodes - 1, MemberState::kDead) > 0) {
+        firstDeathSeconds = tick / 10.0;
       }
       if (updatedNodes == nodes - stopped) {
-        all = tick / 10.0;
+        allKnownSeconds = tick / 10.0;
       }
     }
     std::printf(
@@ -646,8 +647,8 @@
       "%.1f s\n",
       stopped,
       nodes,
-      first,
-      all);
+      firstDeathSeconds,
+      allKnownSeconds);
   }
 }
 
--- a/bench/policy_trials.cpp
+++ b/bench/policy_trials.cpp
@@ -31,8 +31,8 @@
 constexpr Duration kNetworkDelay = milliseconds(1);
 constexpr Duration kDeadline = milliseconds(1000);
 
-/// A target of one of the two deployments. The service times are
-/// assumptions; the slots are those of the deployments.
+/// A target of one of the two deployments. The service times are assumptions; the slots are those
+/// of the deployments.
 struct Profile
 {
   std::string name_;
@@ -172,23 +172,23 @@
 
 struct Attempt
 {
-  std::size_t call_ = 0;
-  TimePoint started_{};
+  std::size_t call_ = 0; ///< Index into Trial::calls_.
+  TimePoint startedAt_{};
 };
 
 /// Measurements of one run.
 struct TrialResult
 {
-  double goodput_ = 0;            ///< Calls answered in time, relative to the ideal.
-  double criticalFraction_ = 0;   ///< Of critical calls, those answered in time.
-  double minAccountFraction_ = 0; ///< Lowest fraction of its fair share that an account got.
-  double refusedFraction_ = 0;    ///< Of sent attempts, those that the guard refused.
-  double late_ = 0;               ///< Of started attempts, those answered too late.
-  double retries_ = 0;            ///< Retries per first attempt.
-  double p99Ms_ = 0;              ///< Latency of calls answered in time.
-  double recoverySeconds_ = -1;   ///< After the slowdown; negative if not within the run.
-  double minLimitInRun_ = 0;      ///< Lowest limit from 5 s to the end of arrivals.
-  double limit_ = 0;              ///< Limit at the end of the run.
+  double goodput_ = 0;                ///< Calls answered in time, relative to the ideal.
+  double criticalFraction_ = 0;       ///< Of critical calls, those answered in time.
+  double minAccountFraction_ = 0;     ///< Lowest fraction of its fair share that an account got.
+  double refusedFraction_ = 0;        ///< Of sent attempts, those that the guard refused.
+  double lateFraction_ = 0;           ///< Of started attempts, those answered too late.
+  double retriesPerFirstAttempt_ = 0; ///< Over all client calls.
+  double p99Ms_ = 0;                  ///< Latency of calls answered in time.
+  double recoverySeconds_ = -1;       ///< After the slowdown; negative if not within the run.
+  double minLimitInRun_ = 0;          ///< Lowest limit from 5 s to the end of arrivals.
+  double limit_ = 0;                  ///< Limit at the end of the run.
 };
 
 /// Adds weighted max-min fair shares of the demands of one importance class to aShares and
@@ -259,13 +259,14 @@
 
   TrialResult Run()
   {
-    const double load = scene_.loadFactor_ * profile_.slots_ / profile_.meanServiceSeconds_;
-    double total = 0;
+    const double offeredPerSecond =
+      scene_.loadFactor_ * profile_.slots_ / profile_.meanServiceSeconds_;
+    double totalDemand = 0;
     for (int i = 0; i < kAccountCount; ++i) {
-      total += kRates[i] * kDemandFactors[i];
+      totalDemand += kRates[i] * kDemandFactors[i];
     }
     for (int i = 0; i < kAccountCount; ++i) {
-      ScheduleArrival(i, load * kRates[i] * kDemandFactors[i] / total);
+      ScheduleArrival(i, offeredPerSecond * kRates[i] * kDemandFactors[i] / totalDemand);
     }
     Schedule(kStart + milliseconds(10), [this] { RunPeriodicTasks(); });
     const TimePoint end = kStart + FromSeconds(scene_.durationSeconds_ + 3);
@@ -382,7 +383,7 @@
 
   void ArriveAtGuard(std::uint64_t aId)
   {
-    ++sent_;
+    ++sentAttempts_;
     if (variant_.naive_) {
       StartAtTarget(aId);
     } else if (variant_.order_ == QueueOrder::kLifo) {
@@ -431,15 +432,15 @@
       StartAtTarget(id);
     }
     for (const RefusedCall& refused : aActions.refuse_) {
-      ++refused_;
+      ++refusedAttempts_;
       SendReply(refused.id_, false);
     }
   }
 
   void StartAtTarget(std::uint64_t aId)
   {
-    attempts_[aId - 1].started_ = now_;
-    ++started_;
+    attempts_[aId - 1].startedAt_ = now_;
+    ++startedAttempts_;
     const bool targetQueues =
       scene_.overloadBehaviour_ != OverloadBehaviour::kOverstates || variant_.naive_;
     if (running_ < profile_.slots_) {
@@ -474,7 +475,7 @@
       SendReply(aId, aExecutionResult == ExecutionResult::kAnswered);
       return;
     }
-    const Duration service = now_ - attempts_[aId - 1].started_;
+    const Duration service = now_ - attempts_[aId - 1].startedAt_;
     if (variant_.limit_ == LimitPolicy::kAimd) {
       // AIMD uses the announced slots as its maximum, as the adaptive limit does.
       const double maxLimit = guard_.announcedSlots_ > 0 ? guard_.announcedSlots_ : 1000;
@@ -507,7 +508,7 @@
     ClientCall& call = calls_[index];
     RecordAdmissionLevel(upstream_[call.host_], aLevel, now_);
     if (aAnswered) {
-      late_ += now_ > call.deadline_ ? 1 : 0;
+      lateAttempts_ += now_ > call.deadline_ ? 1 : 0;
       if (!call.ended_ && now_ <= call.deadline_) {
         call.latencyInTime_ = now_ - call.arrived_;
       }
@@ -595,9 +596,12 @@
     for (int i = 0; i < kAccountCount && scene_.slowFactor_ <= 1; ++i) {
       result.minAccountFraction_ = std::min(result.minAccountFraction_, served[i] / fair[i]);
     }
-    result.refusedFraction_ = static_cast<double>(refused_) / std::max<double>(1, sent_);
-    result.late_ = static_cast<double>(late_) / std::max<double>(1, started_);
-    result.retries_ = static_cast<double>(retries_) / std::max<double>(1, firstAttempts_);
+    result.refusedFraction_ =
+      static_cast<double>(refusedAttempts_) / std::max<double>(1, sentAttempts_);
+    result.lateFraction_ =
+      static_cast<double>(lateAttempts_) / std::max<double>(1, startedAttempts_);
+    result.retriesPerFirstAttempt_ =
+      static_cast<double>(retries_) / std::max<double>(1, firstAttempts_);
     if (!latencies.empty()) {
       const auto at = latencies.begin() + static_cast<std::ptrdiff_t>(latencies.size() * 99 / 100);
       std::nth_element(latencies.begin(), at, latencies.end());
@@ -609,11 +613,12 @@
     return result;
   }
 
-  /// Returns the seconds from the end of the slowdown until the arrivals of 2 s are served at 98 %
-  /// of the fraction before it, or -1 if that isn't reached. Bins are 0.1 s long.
+  /// Returns the seconds from the end of the slowdown to the first 2 s of arrivals in which every
+  /// half second reaches 98 % of the served fraction before the slowdown, or -1 without such 2 s.
+  /// A bin holds the offered and the served calls of 0.1 s.
   double RecoverySeconds(const std::map<std::int64_t, std::pair<double, double>>& aBins) const
   {
-    const auto rate = [&](std::int64_t aFrom, std::int64_t aTo) {
+    const auto servedFraction = [&](std::int64_t aFrom, std::int64_t aTo) {
       double offered = 0;
       double answered = 0;
       for (auto bin = aBins.lower_bound(aFrom); bin != aBins.end() && bin->first < aTo; ++bin) {
@@ -622,12 +627,12 @@
       }
       return offered > 0 ? answered / offered : 0;
     };
-    const double fractionBefore = rate(50, 100);
+    const double fractionBefore = servedFraction(50, 100);
     const auto last = static_cast<std::int64_t>(scene_.durationSeconds_ * 10);
     for (std::int64_t bin = 150; bin + 20 <= last; ++bin) {
       bool recovered = true;
       for (std::int64_t i = bin; i < bin + 20 && recovered; i += 5) {
-        recovered = rate(i, i + 5) >= 0.98 * fractionBefore;
+        recovered = servedFraction(i, i + 5) >= 0.98 * fractionBefore;
       }
       if (recovered) {
         return static_cast<double>(bin - 150) / 10;
@@ -652,10 +657,10 @@
   std::vector<Attempt> attempts_;
   std::deque<std::uint64_t> targetQueue_; ///< Calls queued inside the target.
   std::uint32_t running_ = 0;             ///< Calls that occupy slots of the target.
-  std::uint64_t sent_ = 0;
-  std::uint64_t refused_ = 0;
-  std::uint64_t started_ = 0;
-  std::uint64_t late_ = 0;
+  std::uint64_t sentAttempts_ = 0;
+  std::uint64_t refusedAttempts_ = 0;
+  std::uint64_t startedAttempts_ = 0;
+  std::uint64_t lateAttempts_ = 0;
   std::uint64_t retries_ = 0;
   std::uint64_t firstAttempts_ = 0;
   double minLimitSoFar_ = 1e9;
@@ -671,8 +676,8 @@
   }
   std::printf("%.3f | %.3f | %.3f | %.0f | ",
               aResult.refusedFraction_,
-              aResult.late_,
-              aResult.retries_,
+              aResult.lateFraction_,
+              aResult.retriesPerFirstAttempt_,
               aResult.p99Ms_);
   if (!aMeasuresRecovery) {
     std::printf("- | ");
--- a/standins/lib/FleetHttp.cpp
+++ b/standins/lib/FleetHttp.cpp
@@ -115,11 +115,11 @@
   http::response_parser<http::string_body> parser;
   parser.body_limit(std::uint64_t{ 1 } << 30U);
   state_->stream_.expires_after(aRequest.timeout_);
-  ErrorCode stage = ErrorCode::kTargetUnreachable;
-  const error_code error = state_->Exchange(request, parser, stage);
+  ErrorCode failureCode = ErrorCode::kTargetUnreachable;
+  const error_code error = state_->Exchange(request, parser, failureCode);
   if (error) {
     state_->Close();
-    const auto code = error == beast::error::timeout ? ErrorCode::kDeadlineExceeded : stage;
+    const auto code = error == beast::error::timeout ? ErrorCode::kDeadlineExceeded : failureCode;
     return Fail(code, aRequest.target_, error.message());
   }
   if (!parser.keep_alive() || !aKeepAlive) {
--- a/standins/lib/FleetProfile.cpp
+++ b/standins/lib/FleetProfile.cpp
@@ -126,11 +126,11 @@
   if (aProfile.accounts_[aAccount].rate_ > 0) {
     return aProfile.accounts_[aAccount].rate_;
   }
-  double weights = 0;
+  double totalWeight = 0;
   for (const FleetAccount& account : aProfile.accounts_) {
-    weights += account.weight_;
+    totalWeight += account.weight_;
   }
-  const double fraction = aProfile.accounts_[aAccount].weight_ / weights;
+  const double fraction = aProfile.accounts_[aAccount].weight_ / totalWeight;
   return std::ceil(CapacityPerSecond(aProfile) * aProfile.rateFactor_ * fraction);
 }
 
--- a/standins/lib/HistoryCheck.cpp
+++ b/standins/lib/HistoryCheck.cpp
@@ -18,7 +18,7 @@
     attempts_; ///< Executions by path, which includes the calling execution.
 };
 
-// Counts a violation and keeps it as an example while there are few.
+// Counts a violation and adds it to the examples if there are fewer than kMaxExamples.
 void RecordViolation(HistoryResult& aResult, HistoryProperty aProperty, const std::string& aExample)
 {
   constexpr std::size_t kMaxExamples = 10;
--- a/standins/lib/LoadExperiment.cpp
+++ b/standins/lib/LoadExperiment.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Addresses for callers of all hosts, by data centre.
+// Addresses at which the hosts accept callers, by data centre.
 std::vector<DataCentreHosts> HostsByDataCentre(Fleet& aFleet)
 {
   std::vector<DataCentreHosts> dataCentres(aFleet.Settings().profile_.sites_.size());
@@ -128,10 +128,10 @@
   BOOST_OUTCOME_TRYV(fleet.Start());
   FleetProfile profile = aSettings.profile_;
   std::uint64_t version = ActiveVersion(fleet, 0);
-  std::vector<double> times;
+  std::vector<double> changeSeconds;
   for (int i = 0; i < aCount; ++i) {
     profile.accounts_[0].rate_ = 100 + i;
-    const TimePoint before = Clock::now();
+    const TimePoint changeStartedAt = Clock::now();
     const CommandResult applied = fleet.Apply(BaseConfiguration(profile), false);
     if (applied.status_ != 0) {
       return Fail(ErrorCode::kPlatformUnavailable, "quayctl apply", applied.output_);
@@ -139,7 +139,7 @@
     ++version;
     for (std::size_t host = 0; host < fleet.Hosts().size(); ++host) {
       while (ActiveVersion(fleet, host) < version) {
-        if (Clock::now() - before > kTimeout) {
+        if (Clock::now() - changeStartedAt > kTimeout) {
           return Fail(ErrorCode::kDeadlineExceeded,
                       fleet.Hosts()[host].name_,
                       "configuration change not in force within 10 s");
@@ -147,27 +147,27 @@
         std::this_thread::sleep_for(milliseconds(2));
       }
     }
-    times.push_back(ToSeconds(Clock::now() - before));
+    changeSeconds.push_back(ToSeconds(Clock::now() - changeStartedAt));
   }
-  return times;
+  return changeSeconds;
 }
 
 Result<IdleNodeCost> MeasureIdleCost(const ExperimentSettings& aSettings, int aSeconds)
 {
   Fleet fleet(MakeFleetSettings(aSettings));
   BOOST_OUTCOME_TRYV(fleet.Start());
-  std::vector<double> before;
+  std::vector<double> cpuSecondsBefore;
   const TimePoint startedAt = Clock::now();
   for (const FleetHost& host : fleet.Hosts()) {
-    before.push_back(CpuSeconds(host.node_.Id()));
+    cpuSecondsBefore.push_back(CpuSeconds(host.node_.Id()));
   }
   std::this_thread::sleep_for(seconds(aSeconds));
-  const double elapsed = ToSeconds(Clock::now() - startedAt);
+  const double elapsedSeconds = ToSeconds(Clock::now() - startedAt);
   IdleNodeCost cost;
-  for (std::size_t i = 0; i < before.size(); ++i) {
+  for (std::size_t i = 0; i < cpuSecondsBefore.size(); ++i) {
     const pid_t process = fleet.Hosts()[i].node_.Id();
-    const double fraction = (CpuSeconds(process) - before[i]) / elapsed;
-    cost.meanCpuFraction_ += fraction / static_cast<double>(before.size());
+    const double fraction = (CpuSeconds(process) - cpuSecondsBefore[i]) / elapsedSeconds;
+    cost.meanCpuFraction_ += fraction / static_cast<double>(cpuSecondsBefore.size());
     cost.maxCpuFraction_ = std::max(cost.maxCpuFraction_, fraction);
     cost.maxResidentMegabytes_ = std::max(cost.maxResidentMegabytes_, ResidentMegabytes(process));
   }
@@ -224,29 +224,29 @@
     plan.seed_ = aSeed + aBlock;
     return RunLoad(plan, { { aServer } }, [](TimePoint) {});
   };
-  std::vector<LatencyComparison> turns;
+  std::vector<LatencyComparison> comparisons;
   std::uint64_t block = 0;
   for (const double rate : { 253.0, 2530.0 }) {
-    for (int turn = 0; turn < aRepetitions; ++turn) {
+    for (int repetition = 0; repetition < aRepetitions; ++repetition) {
       LatencyComparison result;
       result.rate_ = rate;
       for (const bool direct : { true, false }) {
         const LoadResult load = run(direct ? second.target_ : first.callers_, rate, ++block);
-        std::vector<double> times;
+        std::vector<double> latenciesMs;
         for (const LoadRecord& record : load.records_) {
           if (record.lastStatus_ != 200) {
             ++result.failed_;
           } else if (record.arrival_.at_ >= kWarmUpSeconds) {
-            times.push_back(record.latencySeconds_ * 1000);
+            latenciesMs.push_back(record.latencySeconds_ * 1000);
           }
         }
-        (direct ? result.directP50Ms_ : result.proxiedP50Ms_) = Percentile(times, 0.5);
-        (direct ? result.directP99Ms_ : result.proxiedP99Ms_) = Percentile(times, 0.99);
+        (direct ? result.directP50Ms_ : result.proxiedP50Ms_) = Percentile(latenciesMs, 0.5);
+        (direct ? result.directP99Ms_ : result.proxiedP99Ms_) = Percentile(latenciesMs, 0.99);
       }
-      turns.push_back(result);
+      comparisons.push_back(result);
     }
   }
-  return turns;
+  return comparisons;
 }
 
 } // namespace peridotquay::standins
--- a/standins/lib/LoadReport.h
+++ b/standins/lib/LoadReport.h
@@ -19,7 +19,7 @@
   double seconds_ = 0;
   std::uint64_t offered_ = 0; ///< Scheduled requests.
   std::uint64_t served_ = 0;  ///< Requests with a complete and correct answer within the deadline.
-  double ideal_ = 0;          ///< Maximum that rates and capacity allow to serve.
+  double ideal_ = 0; ///< Maximum that could be served, by offered load, rates and capacity.
   /// Served over ideal. In an overloaded phase, served counts the answers that came during the
   /// phase.
   double goodput_ = 0;
--- a/standins/lib/LoadRunner.cpp
+++ b/standins/lib/LoadRunner.cpp
@@ -127,8 +127,8 @@
     }
   }
 
-  // Returns an open idle connection, or nullptr if there is none.
-  Socket TakeIdleConnection(const Address& aServer)
+  // Removes and returns an open idle connection, or returns nullptr if there is none.
+  Socket PopIdleConnection(const Address& aServer)
   {
     auto& idle = idleConnections_[aServer];
     while (!idle.empty()) {
@@ -146,7 +146,7 @@
   {
     Exchange exchange;
     error_code failure;
-    Socket socket = TakeIdleConnection(aServer);
+    Socket socket = PopIdleConnection(aServer);
     asio::steady_timer timeoutTimer(context_, aEnd);
     const bool newConnection = !socket;
     if (newConnection) {
--- a/standins/lib/LoadRunner.h
+++ b/standins/lib/LoadRunner.h
@@ -36,7 +36,7 @@
   std::uint64_t failedIdRequests_ = 0; ///< Failed fetches of request ids.
 };
 
-/// Addresses for callers of all hosts of one data centre.
+/// Addresses at which the hosts of one data centre accept callers.
 using DataCentreHosts = std::vector<Address>;
 
 /// Runs the load on the calling thread and returns when every request has ended. The requests of
--- a/standins/lib/LoadScenario.cpp
+++ b/standins/lib/LoadScenario.cpp
@@ -33,13 +33,13 @@
 double GreedyLoadFactor(const FleetProfile& aProfile)
 {
   constexpr double kRateMultiple = 5;
-  double weights = 0;
+  double totalWeight = 0;
   for (const FleetAccount& account : aProfile.accounts_) {
-    weights += account.weight_;
+    totalWeight += account.weight_;
   }
-  const double ordinary = CapacityPerSecond(aProfile) * kOrdinaryLoadFactor *
-                          aProfile.accounts_[kMisbehavingAccount].weight_ / weights;
-  return kRateMultiple * AccountRate(aProfile, kMisbehavingAccount) / ordinary;
+  const double ordinaryRate = CapacityPerSecond(aProfile) * kOrdinaryLoadFactor *
+                              aProfile.accounts_[kMisbehavingAccount].weight_ / totalWeight;
+  return kRateMultiple * AccountRate(aProfile, kMisbehavingAccount) / ordinaryRate;
 }
 
 // Fills in a scenario whose disturbance is load or a slow service; does nothing for other names.
@@ -163,13 +163,13 @@
   if (scenario.phases_.empty()) {
     return std::nullopt;
   }
-  // A fleet that has just started still adapts its concurrency limits, so the warm-up, in seconds,
-  // is a phase of its own.
-  constexpr double kWarmUp = 5;
+  // A fleet that has just started still adapts its concurrency limits, so the warm-up is a phase
+  // of its own.
+  constexpr double kWarmUpSeconds = 5;
   scenario.phases_.insert(scenario.phases_.begin(),
-                          { "warm-up", kWarmUp, kOrdinaryLoadFactor, {}, false });
+                          { "warm-up", kWarmUpSeconds, kOrdinaryLoadFactor, {}, false });
   for (ScenarioEvent& event : scenario.events_) {
-    event.at_ += kWarmUp;
+    event.at_ += kWarmUpSeconds;
   }
   return scenario;
 }
@@ -190,14 +190,14 @@
                               requestClass.importance_ == Importance::kCritical,
                               requestClass.fraction_ });
   }
-  double weights = 0;
+  double totalWeight = 0;
   for (const FleetAccount& account : aProfile.accounts_) {
-    weights += account.weight_;
+    totalWeight += account.weight_;
   }
   for (std::size_t i = 0; i < aProfile.accounts_.size(); ++i) {
     const FleetAccount& account = aProfile.accounts_[i];
     plan.accounts_.push_back(
-      { account.name_, account.key_, account.weight_ / weights, AccountRate(aProfile, i) });
+      { account.name_, account.key_, account.weight_ / totalWeight, AccountRate(aProfile, i) });
   }
   return plan;
 }
--- a/standins/lib/PlatformServer.cpp
+++ b/standins/lib/PlatformServer.cpp
@@ -32,12 +32,12 @@
 /// Fits a snapshot of 8 MiB with JSON escapes.
 constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{ 32 } << 20U;
 
-asio::awaitable<void> Sleep(Duration aTime)
+asio::awaitable<void> Sleep(Duration aDuration)
 {
-  if (aTime <= Duration::zero()) {
+  if (aDuration <= Duration::zero()) {
     co_return;
   }
-  asio::steady_timer timer(co_await asio::this_coro::executor, aTime);
+  asio::steady_timer timer(co_await asio::this_coro::executor, aDuration);
   beast::error_code code;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, code));
 }
--- a/standins/lib/PlatformService.cpp
+++ b/standins/lib/PlatformService.cpp
@@ -11,12 +11,11 @@
 
 namespace {
 
-/// For this long, a transaction with the operation id of a committed one gets that one's revision
-/// again and isn't applied.
+/// How long a committed transaction is remembered. A repeat with its operation id isn't applied and
+/// gets the same revision.
 constexpr Duration kOperationLifetime = seconds(600);
 
-/// Per answer.
-constexpr std::uint32_t kMaxRows = 1000;
+constexpr std::uint32_t kMaxRowsPerAnswer = 1000;
 
 PlatformReply ErrorReply(unsigned aStatus, const std::string& aType)
 {
@@ -156,7 +155,7 @@
   }
   std::vector<PlatformRow> rows;
   auto row = *after < *prefix ? rows_.lower_bound(*prefix) : rows_.upper_bound(*after);
-  for (; row != rows_.end() && rows.size() < std::min(limit, kMaxRows); ++row) {
+  for (; row != rows_.end() && rows.size() < std::min(limit, kMaxRowsPerAnswer); ++row) {
     if (!StartsWith(row->first, *prefix)) {
       break;
     }
@@ -173,11 +172,12 @@
   }
   const auto& transaction = decoded.assume_value();
   std::erase_if(operations_, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.doneAt_ > kOperationLifetime;
+    return aNow - aEntry.second.committedAt_ > kOperationLifetime;
   });
-  if (const auto done = operations_.find(transaction.operationId_); done != operations_.end()) {
+  if (const auto committed = operations_.find(transaction.operationId_);
+      committed != operations_.end()) {
     return { 200,
-             EncodePlatformTransactionResult({ "", done->second.revision_ }),
+             EncodePlatformTransactionResult({ "", committed->second.revision_ }),
              ShouldLoseAnswer() };
   }
   for (const auto& condition : transaction.conditions_) {
--- a/standins/lib/PlatformService.h
+++ b/standins/lib/PlatformService.h
@@ -71,7 +71,7 @@
   struct Operation
   {
     std::uint64_t revision_ = 0; ///< Revision of the rows that it wrote.
-    TimePoint doneAt_{};
+    TimePoint committedAt_{};
   };
 
   PlatformReply HandleRows(std::string_view aTarget);
--- a/standins/lib/TargetServer.cpp
+++ b/standins/lib/TargetServer.cpp
@@ -232,9 +232,9 @@
     if (PathOf(request) != "/faults") {
       co_await AwaitThaw();
     }
-    RequestResult outcome;
+    RequestResult requestResult;
     if (isControl) {
-      outcome.response_ = HandleControlRequest(request);
+      requestResult.response_ = HandleControlRequest(request);
     } else {
       // Connections over maxConnections_ may use the control paths only.
       if (connections_.size() > settings_.maxConnections_) {
@@ -242,17 +242,17 @@
         break;
       }
       auto work = HandleRequest(aSocket, request);
-      outcome = co_await std::move(work);
-      if (outcome.cancelled_) {
+      requestResult = co_await std::move(work);
+      if (requestResult.cancelled_) {
         --unansweredRequests_;
         CloseIfDrained();
         break;
       }
       co_await AwaitThaw();
     }
-    Response& response = outcome.response_;
+    Response& response = requestResult.response_;
     const bool keepAlive = response.keep_alive();
-    const bool written = co_await WriteAnswer(*aSocket, response, outcome.truncate_);
+    const bool written = co_await WriteAnswer(*aSocket, response, requestResult.truncate_);
     --unansweredRequests_;
     CloseIfDrained();
     open = written && keepAlive;
@@ -341,10 +341,10 @@
     constexpr double kSigma = 0.25;
     factor = std::lognormal_distribution<double>(-kSigma * kSigma / 2, kSigma)(random_);
   }
-  const double age = ToSeconds(Clock::now() - startedAt_);
-  const double cold = ToSeconds(settings_.coldPeriod_);
-  if (age < cold) {
-    factor *= 1 + (settings_.coldFactor_ - 1) * (1 - age / cold);
+  const double ageSeconds = ToSeconds(Clock::now() - startedAt_);
+  const double coldSeconds = ToSeconds(settings_.coldPeriod_);
+  if (ageSeconds < coldSeconds) {
+    factor *= 1 + (settings_.coldFactor_ - 1) * (1 - ageSeconds / coldSeconds);
   }
   const double serviceSeconds = ToSeconds(settings_.serviceTime_) * factor * faults_.slowFactor_;
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(serviceSeconds));
@@ -403,13 +403,13 @@
       ++active->pendingDeeperCalls_;
       if (!settings_.parallelDeeperCalls_) {
         // Named variable, because g++ 12 destroys temporaries in co_await arguments twice.
-        auto deeper = DeeperCall(active, target, call);
+        auto deeper = SendDeeperCall(active, target, call);
         co_await std::move(deeper);
       } else {
         asio::co_spawn(
           context_,
           [self = shared_from_this(), active, target, call] {
-            return self->DeeperCall(active, target, call);
+            return self->SendDeeperCall(active, target, call);
           },
           asio::detached);
       }
@@ -425,35 +425,36 @@
   ReleaseSlot();
   TargetExecution& entry = *active->logEntry_;
   entry.endUs_ = NowUs();
-  RequestResult outcome;
+  RequestResult requestResult;
   if (active->cancelled_ || !aSocket->is_open()) {
     entry.executionStatus_ = ExecutionStatus::kCancelled;
-    outcome.cancelled_ = true;
+    requestResult.cancelled_ = true;
   } else if (active->expired_) {
     entry.executionStatus_ = ExecutionStatus::kExpired;
-    outcome.response_ = MakeResponse(aRequest, 504, R"({"error":{"type":"deadline-exceeded"}})");
+    requestResult.response_ =
+      MakeResponse(aRequest, 504, R"({"error":{"type":"deadline-exceeded"}})");
   } else if (active->worstDeeperStatus_ != 200) {
     entry.executionStatus_ = ExecutionStatus::kDeeperCallFailed;
-    outcome.response_ = MakeResponse(aRequest,
-                                     active->worstDeeperStatus_ == 504 ? 504 : 502,
-                                     R"({"error":{"type":"deeper-call","status":)" +
-                                       std::to_string(active->worstDeeperStatus_) + "}}");
+    requestResult.response_ = MakeResponse(aRequest,
+                                           active->worstDeeperStatus_ == 504 ? 504 : 502,
+                                           R"({"error":{"type":"deeper-call","status":)" +
+                                             std::to_string(active->worstDeeperStatus_) + "}}");
   } else {
-    outcome.truncate_ = faults_.truncateAnswers_ > 0;
-    if (outcome.truncate_) {
+    requestResult.truncate_ = faults_.truncateAnswers_ > 0;
+    if (requestResult.truncate_) {
       --faults_.truncateAnswers_;
     }
     entry.executionStatus_ =
-      outcome.truncate_ ? ExecutionStatus::kAnswerTruncated : ExecutionStatus::kAnswered;
+      requestResult.truncate_ ? ExecutionStatus::kAnswerTruncated : ExecutionStatus::kAnswered;
     const std::string_view target(aRequest.target().data(), aRequest.target().size());
-    outcome.response_ = MakeResponse(
+    requestResult.response_ = MakeResponse(
       aRequest,
       200,
       TargetBody(
         target, aRequest.body(), RequestedBodyLength(target, settings_.defaultAnswerBytes_)),
       "text/plain");
   }
-  co_return outcome;
+  co_return requestResult;
 }
 
 asio::awaitable<void> TargetServer::AcquireSlot(std::shared_ptr<ActiveRequest> aActive)
@@ -502,10 +503,10 @@
   aSocket->cancel(ignored);
   aActive.logEntry_->executionStatus_ = ExecutionStatus::kRefused;
   aActive.logEntry_->endUs_ = NowUs();
-  RequestResult outcome;
-  outcome.cancelled_ = aActive.cancelled_ || !aSocket->is_open();
-  outcome.response_ = MakeRefusal(aRequest, "deadline");
-  return outcome;
+  RequestResult requestResult;
+  requestResult.cancelled_ = aActive.cancelled_ || !aSocket->is_open();
+  requestResult.response_ = MakeRefusal(aRequest, "deadline");
+  return requestResult;
 }
 
 std::shared_ptr<TargetServer::Socket> TargetServer::PopIdleConnection()
@@ -520,9 +521,9 @@
   return nullptr;
 }
 
-asio::awaitable<void> TargetServer::DeeperCall(std::shared_ptr<ActiveRequest> aActive,
-                                               std::string aTarget,
-                                               std::string aCallToken)
+asio::awaitable<void> TargetServer::SendDeeperCall(std::shared_ptr<ActiveRequest> aActive,
+                                                   std::string aTarget,
+                                                   std::string aCallToken)
 {
   const auto self = shared_from_this();
   error_code failure;
--- a/standins/lib/TargetServer.h
+++ b/standins/lib/TargetServer.h
@@ -105,9 +105,9 @@
   static RequestResult LeaveQueue(const std::shared_ptr<Socket>& aSocket,
                                   const Request& aRequest,
                                   ActiveRequest& aActive);
-  boost::asio::awaitable<void> DeeperCall(std::shared_ptr<ActiveRequest> aActive,
-                                          std::string aTarget,
-                                          std::string aCallToken);
+  boost::asio::awaitable<void> SendDeeperCall(std::shared_ptr<ActiveRequest> aActive,
+                                              std::string aTarget,
+                                              std::string aCallToken);
   boost::asio::awaitable<bool> WriteAnswer(Socket& aSocket, Response& aResponse, bool aTruncate);
   /// Refuses the request if it can't start: returns the answer and logs it. Empty if admitted.
   std::optional<Response> CheckAdmission(const Request& aRequest);
--- a/standins/lib/TargetSettings.h
+++ b/standins/lib/TargetSettings.h
@@ -56,7 +56,7 @@
   std::optional<std::uint32_t> falseSlots_; ///< Reported by /load instead of slots_.
   std::optional<std::uint32_t> falseInUse_; ///< Reported by /load instead of the slots in use.
   /// Replaces TargetSettings::outbound_. A node and its target each need the other's port, so one
-  /// of them is told it after the start.
+  /// of them receives it after the start.
   std::optional<std::uint16_t> outboundPort_;
 };
 
--- a/standins/standin_target.cpp
+++ b/standins/standin_target.cpp
@@ -57,12 +57,12 @@
   settings.maxQueueLength_ = static_cast<std::uint32_t>(absl::GetFlag(FLAGS_queue));
   settings.maxConnections_ = static_cast<std::uint32_t>(absl::GetFlag(FLAGS_connections));
   settings.serviceTime_ = FromSeconds(absl::GetFlag(FLAGS_service_ms) / 1000);
-  const auto times = ParseServiceTimeDistribution(absl::GetFlag(FLAGS_distribution));
-  if (!times) {
+  const auto serviceTimes = ParseServiceTimeDistribution(absl::GetFlag(FLAGS_distribution));
+  if (!serviceTimes) {
     std::cerr << "--distribution must be fixed, exponential or lognormal\n";
     return 2;
   }
-  settings.distribution_ = *times;
+  settings.distribution_ = *serviceTimes;
   settings.seed_ = absl::GetFlag(FLAGS_seed);
   settings.coldPeriod_ = FromSeconds(absl::GetFlag(FLAGS_cold_s));
   settings.coldFactor_ = absl::GetFlag(FLAGS_cold_factor);
--- a/tests/failure/ChainTest.cpp
+++ b/tests/failure/ChainTest.cpp
@@ -108,9 +108,9 @@
   std::atomic<int> running{ 0 };
   std::atomic<int> maxRunning{ 0 };
   ScriptedTarget target([&](const ReceivedRequest&) {
-    const int now = ++running;
-    int seen = maxRunning;
-    while (now > seen && !maxRunning.compare_exchange_weak(seen, now)) {
+    const int current = ++running;
+    int previousMax = maxRunning;
+    while (current > previousMax && !maxRunning.compare_exchange_weak(previousMax, current)) {
     }
     std::this_thread::sleep_for(milliseconds(40));
     --running;
--- a/tests/failure/PathTest.cpp
+++ b/tests/failure/PathTest.cpp
@@ -127,10 +127,10 @@
   Publish({ &node }, { &node });
   Caller caller(node.node_->Ports().callers_);
   CHECK(caller.SendRequest("GET", "/bells").status_ == 200);
-  auto without = TestConfig();
-  without->version_ = 2;
-  without->keys_.clear();
-  Publish({ &node }, { &node }, without);
+  auto configWithoutKey = TestConfig();
+  configWithoutKey->version_ = 2;
+  configWithoutKey->keys_.clear();
+  Publish({ &node }, { &node }, configWithoutKey);
   CHECK(WaitFor([&] { return caller.SendRequest("GET", "/bells").status_ == 401; }));
   // An older version that arrives late must not restore the key.
   Publish({ &node }, { &node });
@@ -207,14 +207,15 @@
   ScriptedTarget front([&](const ReceivedRequest& aRequest) {
     Caller nested(outbound);
     const std::string token = HeaderValue(aRequest.head_, "Quay-Call");
-    const auto with = nested.SendRequest("POST", "/deep", "Quay-Call: " + token + "\r\n", "inner");
-    const auto without = nested.SendRequest("POST", "/deep", "", "inner");
-    const auto wrong =
+    const auto withToken =
+      nested.SendRequest("POST", "/deep", "Quay-Call: " + token + "\r\n", "inner");
+    const auto withoutToken = nested.SendRequest("POST", "/deep", "", "inner");
+    const auto wrongToken =
       nested.SendRequest("POST", "/deep", "Quay-Call: " + std::string(32, '0') + "\r\n", "inner");
     return MakeHttpResponse(200,
-                            std::to_string(with.status_) + "|" + with.body_ + "|" +
-                              std::to_string(without.status_) + "|" +
-                              std::to_string(wrong.status_));
+                            std::to_string(withToken.status_) + "|" + withToken.body_ + "|" +
+                              std::to_string(withoutToken.status_) + "|" +
+                              std::to_string(wrongToken.status_));
   });
   RunningNode first(TestSettings("first", "bell", front.Port()));
   RunningNode second(TestSettings("second", "archive", archive.Port()));
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -235,7 +235,8 @@
   const auto late = Failure(fixture.client_->Transact(
     { "late", { { "config/head", base.headRevision_ } }, { { "config/head", EncodeHead(2) } } }));
   CHECK(late.code_ == ErrorCode::kPlatformConflict);
-  // The version is unchanged, and an operator who loaded it before can still write.
+  // The fence against the delayed transaction left the version unchanged, so an operator who loaded
+  // the configuration before it can still write.
   CHECK(Value(CommitChange(*fixture.client_, base, PutAccount("c", "next"), fixture.commit_)) == 2);
 }
 
@@ -317,7 +318,8 @@
   CHECK(snapshot.entities_.size() == 7);
 }
 
-// Guards against a malformed change row that blocks all further changes.
+// Guards against a change row of another writer that can't be applied and blocks all further
+// changes.
 TEST_CASE("a stored change that can't be applied is treated as empty", "[platform]")
 {
   PlatformFixture fixture;
--- a/tests/failure/SilentPathTest.cpp
+++ b/tests/failure/SilentPathTest.cpp
@@ -16,8 +16,8 @@
 class Relay
 {
 public:
-  explicit Relay(std::uint16_t aTo)
-    : to_(aTo)
+  explicit Relay(std::uint16_t aRemotePort)
+    : remotePort_(aRemotePort)
     , acceptThread_([this] { Accept(); })
   {
   }
@@ -33,9 +33,9 @@
     }
   }
   std::uint16_t Port() const { return listener_.Port(); }
-  /// Makes the first connection drop all bytes to the target port from now on.
+  /// Makes the first connection drop all bytes to the remote port from now on.
   void SilenceForward() { silentForward_ = true; }
-  /// Makes the first connection drop all bytes from the target port from now on.
+  /// Makes the first connection drop all bytes from the remote port from now on.
   void SilenceBackward() { silentBackward_ = true; }
   /// Makes all connections that are open now drop all bytes in both directions.
   void SilenceAll() { lastSilentNumber_ = connectionCount_.load(); }
@@ -79,7 +79,7 @@
   {
     for (int i = 0; i < 100 && !stopping_; ++i) {
       try {
-        return RawSocket(to_);
+        return RawSocket(remotePort_);
       } catch (const std::runtime_error&) {
         std::this_thread::sleep_for(milliseconds(2));
       }
@@ -99,7 +99,7 @@
     return true;
   }
 
-  std::uint16_t to_;
+  std::uint16_t remotePort_;
   RawListener listener_;
   std::atomic<bool> stopping_{ false };
   std::atomic<bool> silentForward_{ false };
--- a/tests/failure/UserFleet.h
+++ b/tests/failure/UserFleet.h
@@ -49,9 +49,9 @@
 class HostLinks
 {
 public:
-  HostLinks(std::uint16_t aStore, std::uint16_t aTarget)
-    : store_(StartLink(aStore))
-    , target_(StartLink(aTarget))
+  HostLinks(std::uint16_t aStorePort, std::uint16_t aTargetPort)
+    : storeLink_(StartLink(aStorePort))
+    , targetLink_(StartLink(aTargetPort))
     , thread_([this] { context_.run(); })
   {
   }
@@ -60,20 +60,20 @@
   ~HostLinks()
   {
     boost::asio::post(context_, [this] {
-      store_->Stop();
-      target_->Stop();
+      storeLink_->Stop();
+      targetLink_->Stop();
       context_.stop();
     });
     thread_.join();
   }
 
-  std::uint16_t StorePort() const { return store_->Port(); }
-  std::uint16_t TargetPort() const { return target_->Port(); }
+  std::uint16_t StorePort() const { return storeLink_->Port(); }
+  std::uint16_t TargetPort() const { return targetLink_->Port(); }
   /// Sets the faults of the link to the store, or of the link to the target if aStore is false. The
   /// JSON keys are those of LinkSettings.h.
   void SetFaults(bool aStore, const std::string& aJson)
   {
-    const std::uint16_t control = (aStore ? store_ : target_)->ControlPort();
+    const std::uint16_t control = (aStore ? storeLink_ : targetLink_)->ControlPort();
     const auto reply =
       standins::FetchHttp({ "127.0.0.1", control }, { "POST", "/link", {}, aJson });
     if (reply.has_error() || reply.assume_value().status_ != 200) {
@@ -82,10 +82,10 @@
   }
 
 private:
-  std::shared_ptr<standins::LinkRelay> StartLink(std::uint16_t aRemote)
+  std::shared_ptr<standins::LinkRelay> StartLink(std::uint16_t aRemotePort)
   {
     standins::LinkSettings settings;
-    settings.remote_ = { "127.0.0.1", aRemote };
+    settings.remote_ = { "127.0.0.1", aRemotePort };
     auto link = std::make_shared<standins::LinkRelay>(context_, settings);
     if (link->Start().has_error()) {
       throw std::runtime_error("the link relay can't listen on a port");
@@ -94,8 +94,8 @@
   }
 
   boost::asio::io_context context_{ 1 };
-  std::shared_ptr<standins::LinkRelay> store_;
-  std::shared_ptr<standins::LinkRelay> target_;
+  std::shared_ptr<standins::LinkRelay> storeLink_;
+  std::shared_ptr<standins::LinkRelay> targetLink_;
   std::thread thread_;
 };
 
@@ -103,9 +103,9 @@
 class UserFleet
 {
 public:
-  /// With aLinks, each host reaches the store and its target through its own HostLinks.
-  explicit UserFleet(std::size_t aHosts, bool aLinks = false)
-    : links_(aLinks)
+  /// With aHasLinks, each host reaches the store and its target through its own HostLinks.
+  explicit UserFleet(std::size_t aHosts, bool aHasLinks = false)
+    : hasLinks_(aHasLinks)
   {
     store_.Put("op", "config", UserDocument(1, { "k1", "k2" }).dump());
     for (std::size_t i = 0; i < aHosts; ++i) {
@@ -232,11 +232,11 @@
     host->heartbeatPort_ = FreePort();
     host->target_ =
       std::make_unique<standins::UserTarget>("i-" + name, service, host->heartbeatPort_);
-    if (links_) {
+    if (hasLinks_) {
       host->links_ = std::make_unique<HostLinks>(store_.Port(), host->target_->Port());
     }
-    const std::uint16_t store = links_ ? host->links_->StorePort() : store_.Port();
-    const std::uint16_t target = links_ ? host->links_->TargetPort() : host->target_->Port();
+    const std::uint16_t storePort = hasLinks_ ? host->links_->StorePort() : store_.Port();
+    const std::uint16_t targetPort = hasLinks_ ? host->links_->TargetPort() : host->target_->Port();
     host->portFile_ = directory_.FilePath(name + ".ports");
     directory_.FilePath(name + ".ports.tmp");
     host->logFile_ = directory_.FilePath(name + ".log");
@@ -247,9 +247,9 @@
       name + ".toml",
       "host = \"" + name + "\"\ndata_centre = \"d" + std::to_string(aIndex % 4) +
         "\"\nregion = \"r" + std::to_string(aIndex % 2) + "\"\nservice = \"" + service +
-        "\"\nport_file = \"" + host->portFile_ + "\"\ntarget = " + address(target) +
+        "\"\nport_file = \"" + host->portFile_ + "\"\ntarget = " + address(targetPort) +
         "drain_timeout_ms = 5000\naccept_while_draining_ms = 1000\n[adapter]\nstore = " +
-        address(store) + "ready = " + address(host->readyPort_) + "heartbeats = " +
+        address(storePort) + "ready = " + address(host->readyPort_) + "heartbeats = " +
         address(host->heartbeatPort_) + "heartbeat_ms = 500\nkey_freshness_ms = 5000\n");
     StartProcess(*host);
     hosts_.push_back(std::move(host));
@@ -266,7 +266,7 @@
     aHost.callersPort_ = nlohmann::json::parse(ReadFile(aHost.portFile_))["callers"];
   }
 
-  bool links_;
+  bool hasLinks_;
   standins::UserStore store_;
   TemporaryDirectory directory_;
   std::vector<std::unique_ptr<Host>> hosts_;
--- a/tests/failure/UserFleetTest.cpp
+++ b/tests/failure/UserFleetTest.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-bool Eventually(const std::function<bool()>& aCondition, Duration aTime)
+bool Eventually(const std::function<bool()>& aCondition, Duration aTimeout)
 {
-  const TimePoint end = Clock::now() + aTime;
+  const TimePoint end = Clock::now() + aTimeout;
   while (Clock::now() < end) {
     if (aCondition()) {
       return true;
@@ -193,7 +193,7 @@
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
     fleet.TargetOf(host).LoseOneAnswerIn(3);
   }
-  std::map<std::string, unsigned> status;
+  std::map<std::string, unsigned> statuses;
   std::vector<std::thread> clients;
   std::mutex mutex;
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
@@ -202,7 +202,7 @@
         const std::string id = std::to_string(host) + "-" + std::to_string(i);
         const unsigned answer = fleet.SendRequest(host, "/write/1", id).status_;
         const std::lock_guard lock(mutex);
-        status[id] = answer;
+        statuses[id] = answer;
       }
     });
   }
@@ -210,7 +210,7 @@
     client.join();
   }
   const auto runs = fleet.ExecutionCounts();
-  for (const auto& [id, answer] : status) {
+  for (const auto& [id, answer] : statuses) {
     INFO(id << " " << answer);
     const auto ran = runs.find(id);
     CHECK((ran == runs.end() || ran->second == 1));
@@ -361,8 +361,8 @@
     fleet.Store().Put("other", "row", std::to_string(i));
     std::this_thread::sleep_for(milliseconds(50));
   }
-  // Four readers prove their freshness every 0.7 s, and each transfers the document about every 2.1
-  // s.
+  // Four readers prove their freshness every 0.7 s, and each transfers the document about once in
+  // 2.1 s.
   CHECK(fleet.Store().DocumentReads() - reads <= 4 * 3);
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
     CHECK(fleet.SendRequest(host, "/read/1", "a").status_ == 200);
--- a/tests/soak/SoakTest.cpp
+++ b/tests/soak/SoakTest.cpp
@@ -60,11 +60,11 @@
     // Clients with an odd number reuse their connections; the others open one for each request.
     std::vector<std::unique_ptr<standins::HttpSession>> sessions(kHostCount);
     for (int i = 0; !stopping_; ++i) {
-      const bool write = random() % 2 == 0;
+      const bool isWrite = random() % 2 == 0;
       const std::string id =
-        (write ? "w" : "r") + std::to_string(aClient) + "-" + std::to_string(i);
+        (isWrite ? "w" : "r") + std::to_string(aClient) + "-" + std::to_string(i);
       const std::size_t host = random() % kHostCount;
-      const auto request = UserFleet::MakeRequest(write ? "/write/1" : "/read/1", id);
+      const auto request = UserFleet::MakeRequest(isWrite ? "/write/1" : "/read/1", id);
       auto& session = sessions[host];
       if (!session || aClient % 2 == 0) {
         session = std::make_unique<standins::HttpSession>(fleet_.CallersAddress(host));
@@ -143,10 +143,10 @@
   }
   std::this_thread::sleep_for(kFaultDuration);
   // Restarts stopped processes at random while other faults are still active.
-  for (std::size_t down = 0; down < kHostCount; ++down) {
-    if (aIsDown[down] && aRandom() % 2 == 0) {
-      aFleet.Restart(down);
-      aIsDown[down] = false;
+  for (std::size_t stoppedHost = 0; stoppedHost < kHostCount; ++stoppedHost) {
+    if (aIsDown[stoppedHost] && aRandom() % 2 == 0) {
+      aFleet.Restart(stoppedHost);
+      aIsDown[stoppedHost] = false;
     }
   }
 }
@@ -173,10 +173,10 @@
 {
   for (const auto& [id, response] : aResponses) {
     INFO(id << " status " << response.status_ << " ran " << aExecutionCounts[id]);
-    const bool write = id.front() == 'w';
-    CHECK((!write || aExecutionCounts[id] <= 1));
+    const bool isWrite = id.front() == 'w';
+    CHECK((!isWrite || aExecutionCounts[id] <= 1));
     const bool wasRefused = response.status_ == 503 || response.status_ == 429;
-    CHECK((!write || !wasRefused || aExecutionCounts[id] == 0));
+    CHECK((!isWrite || !wasRefused || aExecutionCounts[id] == 0));
     CHECK((response.status_ != 200 || response.body_ == "answer to " + id));
     CHECK(response.status_ != 401);
     CHECK(response.status_ != 404);
@@ -189,12 +189,12 @@
   UserFleet fleet(kHostCount, true);
   REQUIRE(fleet.WaitReady());
   std::mt19937_64 random(aSeed);
-  std::vector<bool> down(kHostCount, false);
+  std::vector<bool> isDown(kHostCount, false);
   Clients clients(fleet, aSeed);
   for (int i = 0; i < kFaultCount; ++i) {
-    InjectFault(fleet, random, down);
+    InjectFault(fleet, random, isDown);
   }
-  EndFaults(fleet, down);
+  EndFaults(fleet, isDown);
   // Every host must serve again within the users' recovery time.
   for (std::size_t host = 0; host < kHostCount; ++host) {
     bool served = false;
--- a/tests/standins/LoadReportTest.cpp
+++ b/tests/standins/LoadReportTest.cpp
@@ -100,8 +100,8 @@
   CHECK(run.Report().wrongfulRefusals_ == 0);
   std::uint64_t wrongfulRefusals = 0;
   for (LoadRecord& record : run.result_.records_) {
-    const bool culprit = record.arrival_.account_ == *run.scenario_.misbehavingAccount_;
-    if (culprit || run.IsIn(record, "warm-up")) {
+    const bool isMisbehaving = record.arrival_.account_ == *run.scenario_.misbehavingAccount_;
+    if (isMisbehaving || run.IsIn(record, "warm-up")) {
       run.Refuse(record, 429, "over-rate");
     } else if (wrongfulRefusals < 5 && run.IsIn(record, "before")) {
       run.Refuse(record, 503, "shed");
--- a/tests/standins/LoadScoreTest.cpp
+++ b/tests/standins/LoadScoreTest.cpp
@@ -37,8 +37,8 @@
       RC_ASSERT(shares[i] <= demands[i] + 1e-6);
       sum += shares[i];
     }
-    const double wanted = std::accumulate(demands.begin(), demands.end(), 0.0);
-    RC_ASSERT(std::abs(sum - std::min(wanted, capacity)) < 1e-6);
+    const double totalDemand = std::accumulate(demands.begin(), demands.end(), 0.0);
+    RC_ASSERT(std::abs(sum - std::min(totalDemand, capacity)) < 1e-6);
   }));
 }
 
