--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -184,8 +184,8 @@
     // of all members.
     Advance(5);
     for (auto& [id, centre] : membership_.centres_) {
-      centre.pending_.clear();
-      centre.pendingSet_.clear();
+      centre.pendingMembers_.clear();
+      centre.pendingMemberSet_.clear();
     }
     membership_.nextAntiEntropyAt_ = now_ + std::chrono::hours(1);
     sent_.clear();
--- a/peridotquay/connection/PeerHub.h
+++ b/peridotquay/connection/PeerHub.h
@@ -25,7 +25,7 @@
 struct LostCall
 {
   std::uint64_t callId_ = 0;
-  bool sent_ = false; ///< False: no byte of it was sent. True: it may have been sent.
+  bool maybeSent_ = false; ///< False: no byte of it was sent. True: it may have been sent.
   LinkEndReason reason_ = LinkEndReason::kClosed;
   Hello peer_; ///< The peer's Hello; its host is empty if the connection never opened.
 };
--- a/peridotquay/connection/TargetClient.cpp
+++ b/peridotquay/connection/TargetClient.cpp
@@ -457,7 +457,7 @@
   return writeStarted;
 }
 
-void TargetClient::DropIdle()
+void TargetClient::CloseIdleConnections()
 {
   for (const auto& connection : state_->idleConnections_) {
     connection->Close();
--- a/peridotquay/connection/TargetClient.h
+++ b/peridotquay/connection/TargetClient.h
@@ -78,7 +78,7 @@
   /// Cancels a request by closing its connection. Returns true if a byte of it may have been sent.
   bool Cancel(std::uint64_t aRequest);
   /// Closes all idle connections.
-  void DropIdle();
+  void CloseIdleConnections();
   /// Number of idle connections.
   std::size_t IdleConnectionCount() const;
   /// Number of connections, busy and idle.
--- a/peridotquay/process/ControlActorMembership.cpp
+++ b/peridotquay/process/ControlActorMembership.cpp
@@ -43,10 +43,10 @@
     case MembershipEventKind::kRefuted:
       LogEvent(Event::kMemberRefuted, { { "host", aEvent.subject_ } });
       break;
-    case MembershipEventKind::kCentreUnreachable:
+    case MembershipEventKind::kDataCentreUnreachable:
       LogEvent(Event::kDataCentreUnreachable, { { "data_centre", aEvent.subject_ } });
       break;
-    case MembershipEventKind::kCentreReachable:
+    case MembershipEventKind::kDataCentreReachable:
       LogEvent(Event::kDataCentreReachable, { { "data_centre", aEvent.subject_ } });
       break;
   }
--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -58,7 +58,7 @@
   const auto& dissemination = aState.dissemination_;
   ControlStatus status;
   status.version_ = dissemination.inForce_;
-  const auto freshAsOf = FreshUntil(dissemination);
+  const auto freshAsOf = FreshAsOf(dissemination);
   status.freshnessAgeMs_ =
     freshAsOf
       ? static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *freshAsOf).count())
@@ -86,7 +86,7 @@
 {
   auto& state = aSelf->state;
   const auto& callbacks = state.context_.callbacks_;
-  if (aEffects.config_ != nullptr || aEffects.freshUntil_) {
+  if (aEffects.config_ != nullptr || aEffects.freshAsOf_) {
     PublishStatus(state, aSelf->clock().now());
   }
   // The configuration is published first: freshness must never be published for a version that
@@ -95,8 +95,8 @@
     callbacks.publishConfig_(aEffects.config_);
     aSelf->send(state.shareActor_, ConfigUpdate{ aEffects.config_ });
   }
-  if (aEffects.freshUntil_) {
-    callbacks.publishFreshness_(*aEffects.freshUntil_);
+  if (aEffects.freshAsOf_) {
+    callbacks.publishFreshness_(*aEffects.freshAsOf_);
   }
   for (auto& message : aEffects.messages_) {
     callbacks.sendPeer_(message.to_, std::move(message.message_));
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -280,7 +280,7 @@
   }
   const CallPointer call = entry->second;
   if (call->queriesStatus_) {
-    if (aCall.sent_ && call->statusQueries_ < kMaxStatusQueries) {
+    if (aCall.maybeSent_ && call->statusQueries_ < kMaxStatusQueries) {
       QueryCallStatus(call);
       return;
     }
@@ -293,7 +293,7 @@
   if (call->isOwnerCall_) {
     // The request id makes it safe to forward the call to the owner again.
     EndAttempt(call, AttemptResult::kFailed, nullptr);
-    if (aCall.sent_ && AcquireRetry(call, true, true)) {
+    if (aCall.maybeSent_ && AcquireRetry(call, true, true)) {
       metrics_.Add(Counter::kRetries);
       ++call->retries_;
       call->isOwnerCall_ = false;
@@ -303,7 +303,7 @@
     EndUnknown(call, ErrorCode::kOutcomeUnknown);
     return;
   }
-  if (!aCall.sent_) {
+  if (!aCall.maybeSent_) {
     Answer answer = MakeAnswer(Outcome::kNotRun, ErrorCode::kTargetUnreachable);
     answer.retriesUnused_ = call->lentRetries_;
     EndAttempt(call, AttemptResult::kUnreachable, &answer);
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -132,7 +132,7 @@
     waiting.weight_ =
       account == config_->clientAccounts_.end() ? 1 : account->second.ratePerSecond_;
   }
-  waiting.arrived_ = now;
+  waiting.arrivedAt_ = now;
   waiting.deadline_ = guardedCall.deadline_;
   Apply(OfferCall(admission_, waiting, now));
   ScheduleQueueCheck();
@@ -426,14 +426,14 @@
   // The end of the kept connection counts as an answer, because it isn't silent then.
   const auto kept = pollClient_.Send(
     health, [probe](const TargetResult& /*aResult*/) { probe->keptConnectionAnswered_ = true; });
-  freshClient_.DropIdle();
+  freshClient_.CloseIdleConnections();
   const auto fresh = freshClient_.Send(health, [probe](const TargetResult& aResult) {
     probe->freshConnectionAnswered_ = aResult.requestStatus_ == TargetRequestStatus::kAnswered;
   });
   loop_.After(kProbeTimeout, [this, probe, probeStartedAt, kept, fresh] {
     probing_ = false;
     freshClient_.Cancel(fresh);
-    freshClient_.DropIdle();
+    freshClient_.CloseIdleConnections();
     if (!probe->keptConnectionAnswered_) {
       pollClient_.Cancel(kept);
     }
@@ -445,8 +445,8 @@
 
 void Guard::FailSilentCalls(TimePoint aProbeStartedAt)
 {
-  client_.DropIdle();
-  pollClient_.DropIdle();
+  client_.CloseIdleConnections();
+  pollClient_.CloseIdleConnections();
   std::vector<std::uint64_t> silent;
   for (const auto& [number, call] : calls_) {
     // A call that can't be repeated continues to wait: abandoning it would gain nothing.
@@ -527,7 +527,7 @@
   health_.state_ = aTarget.state_;
   if (isNew) {
     // Open connections lead to the previous target at this address.
-    client_.DropIdle();
+    client_.CloseIdleConnections();
     failures_ = {};
   }
   SetSlots(aTarget.slots_);
--- a/peridotquay/request/Admission.cpp
+++ b/peridotquay/request/Admission.cpp
@@ -177,8 +177,8 @@
     return false;
   }
   const double allowed =
-    aState.settings_.queueDeadlineFraction_ * ToSeconds(aCall.deadline_ - aCall.arrived_);
-  return ToSeconds(aNow - aCall.arrived_) > allowed;
+    aState.settings_.queueDeadlineFraction_ * ToSeconds(aCall.deadline_ - aCall.arrivedAt_);
+  return ToSeconds(aNow - aCall.arrivedAt_) > allowed;
 }
 
 bool MustDrop(const AdmissionState& aState, const WaitingCall& aCall, TimePoint aNow)
--- a/peridotquay/request/Admission.h
+++ b/peridotquay/request/Admission.h
@@ -38,7 +38,7 @@
   Importance importance_ = Importance::kNormal;
   ClientAccountId clientAccount_;
   double weight_ = 1; ///< Weight of the client account in fair sharing: its rate.
-  TimePoint arrived_{};
+  TimePoint arrivedAt_{};
   TimePoint deadline_{};
   RouteId route_{}; ///< Service times are averaged by route.
   bool operator==(const WaitingCall&) const = default;
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -57,10 +57,10 @@
                       std::optional<TimePoint> aBefore,
                       DisseminationEffects& aEffects)
 {
-  const auto after = FreshUntil(aState);
+  const auto after = FreshAsOf(aState);
   assert(!aBefore || (after && *after >= *aBefore));
   if (after != aBefore) {
-    aEffects.freshUntil_ = after;
+    aEffects.freshAsOf_ = after;
   }
 }
 
@@ -74,7 +74,7 @@
     }
     return;
   }
-  const auto before = FreshUntil(aState);
+  const auto before = FreshAsOf(aState);
   if (!aState.provenUntil_ || *aState.provenUntil_ < aProof.time_) {
     aState.provenUntil_ = aProof.time_;
   }
@@ -327,7 +327,7 @@
   reply.version_ = aState.inForce_;
   // Extensions aren't reported to other data centres, because they would hide that this one doesn't
   // reach the platform.
-  reply.ageMs_ = AgeMs(fromOwnCentre ? FreshUntil(aState) : aState.provenUntil_, aNow);
+  reply.ageMs_ = AgeMs(fromOwnCentre ? FreshAsOf(aState) : aState.provenUntil_, aNow);
   if (!fromOwnCentre) {
     if (const auto outage = OwnOutage(aState, aNow)) {
       reply.outageAgeMs_ = AgeMs(outage->time_, aNow);
@@ -381,7 +381,7 @@
     }
     oldest = std::min(oldest, found->second.time_);
   }
-  const auto before = FreshUntil(aState);
+  const auto before = FreshAsOf(aState);
   if (!aState.extendedUntil_ || *aState.extendedUntil_ < oldest) {
     aState.extendedUntil_ = oldest;
   }
@@ -731,7 +731,7 @@
 
 void LogFreshnessChange(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
-  const auto until = FreshUntil(aState);
+  const auto until = FreshAsOf(aState);
   const bool fresh = until && aNow - *until < aState.freshnessBound_;
   if (fresh != aState.loggedFresh_) {
     aState.loggedFresh_ = fresh;
@@ -970,7 +970,7 @@
   aSummary.platformReachable_ = aState.platformReachable_;
 }
 
-std::optional<TimePoint> FreshUntil(const Dissemination& aState)
+std::optional<TimePoint> FreshAsOf(const Dissemination& aState)
 {
   if (!aState.provenUntil_ || !aState.extendedUntil_) {
     return aState.provenUntil_ ? aState.provenUntil_ : aState.extendedUntil_;
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -183,8 +183,8 @@
   std::vector<ControlMessage> messages_;
   /// Platform call to make, one at a time. Its answer goes to HandlePlatformAnswer.
   std::optional<PlatformCall> call_;
-  std::shared_ptr<const Config> config_; ///< Configuration to publish before freshUntil_.
-  std::optional<TimePoint> freshUntil_;  ///< Freshness to publish.
+  std::shared_ptr<const Config> config_; ///< Configuration to publish before freshAsOf_.
+  std::optional<TimePoint> freshAsOf_;   ///< Freshness to publish.
   std::vector<Address> contacts_;        ///< Addresses for AddContacts.
   std::vector<DisseminationEvent> events_;
 };
@@ -227,7 +227,7 @@
 
 /// The last time at which the configuration in force is known to have been the latest; empty
 /// without a proof.
-std::optional<TimePoint> FreshUntil(const Dissemination& aState);
+std::optional<TimePoint> FreshAsOf(const Dissemination& aState);
 
 /// True if this node is a delegate.
 bool IsDelegate(const Dissemination& aState);
--- a/peridotquay/version/Membership.cpp
+++ b/peridotquay/version/Membership.cpp
@@ -79,8 +79,8 @@
     return;
   }
   for (auto& [id, centre] : aState.centres_) {
-    if (centre.pendingSet_.insert(aHost).second) {
-      centre.pending_.push_back(aHost);
+    if (centre.pendingMemberSet_.insert(aHost).second) {
+      centre.pendingMembers_.push_back(aHost);
     }
   }
 }
@@ -88,8 +88,8 @@
 void QueueAllMembers(Membership& aState, RemoteCentre& aCentre)
 {
   for (const auto& [host, member] : aState.members_) {
-    if (IsOwnCentre(aState, member.entry_) && aCentre.pendingSet_.insert(host).second) {
-      aCentre.pending_.push_back(host);
+    if (IsOwnCentre(aState, member.entry_) && aCentre.pendingMemberSet_.insert(host).second) {
+      aCentre.pendingMembers_.push_back(host);
     }
   }
 }
@@ -216,9 +216,9 @@
   if (aReachable) {
     BeginConfirmation(aState, aId, aNow);
   }
-  aEffects.events_.push_back(
-    { aReachable ? MembershipEventKind::kCentreReachable : MembershipEventKind::kCentreUnreachable,
-      aId.value_ });
+  aEffects.events_.push_back({ aReachable ? MembershipEventKind::kDataCentreReachable
+                                          : MembershipEventKind::kDataCentreUnreachable,
+                               aId.value_ });
 }
 
 void MergeCentre(Membership& aState,
@@ -825,10 +825,10 @@
 {
   std::vector<MemberEntry> entries{ aState.self_ };
   std::set<HostId> chosen;
-  while (!aCentre.pending_.empty() && chosen.size() < aState.settings_.maxSummaryChanges_) {
-    const HostId host = aCentre.pending_.front();
-    aCentre.pending_.pop_front();
-    aCentre.pendingSet_.erase(host);
+  while (!aCentre.pendingMembers_.empty() && chosen.size() < aState.settings_.maxSummaryChanges_) {
+    const HostId host = aCentre.pendingMembers_.front();
+    aCentre.pendingMembers_.pop_front();
+    aCentre.pendingMemberSet_.erase(host);
     const auto found = aState.members_.find(host);
     if (found != aState.members_.end() && chosen.insert(host).second) {
       entries.push_back(found->second.entry_);
@@ -872,8 +872,8 @@
   aState.isDelegate_ = isDelegate;
   if (!isDelegate) {
     for (auto& [id, centre] : aState.centres_) {
-      centre.pending_.clear();
-      centre.pendingSet_.clear();
+      centre.pendingMembers_.clear();
+      centre.pendingMemberSet_.clear();
     }
     return;
   }
--- a/peridotquay/version/Membership.h
+++ b/peridotquay/version/Membership.h
@@ -87,8 +87,9 @@
   TimePoint holdUntil_{};     ///< Until then this node doesn't declare it unreachable, because
                               ///< another delegate contradicted that.
   std::uint32_t statementSendsLeft_ = 0; ///< Datagrams that still carry the statement.
-  std::deque<HostId> pending_;  ///< Changed own members that the next summaries to it contain.
-  std::set<HostId> pendingSet_; ///< The hosts of pending_, to queue each once.
+  std::deque<HostId>
+    pendingMembers_; ///< Changed own members that the next summaries to it contain.
+  std::set<HostId> pendingMemberSet_; ///< The hosts of pendingMembers_, to queue each once.
 };
 
 /// The probe that waits for an ack.
@@ -116,8 +117,8 @@
   kSuspected,
   kDead,
   kRefuted,
-  kCentreUnreachable,
-  kCentreReachable
+  kDataCentreUnreachable,
+  kDataCentreReachable
 };
 
 struct MembershipEvent
--- a/tests/connection/PeerHubTest.cpp
+++ b/tests/connection/PeerHubTest.cpp
@@ -104,7 +104,7 @@
   }
   left.hub_->SendCall({ "127.0.0.1", closedPort }, 1, Cancel{ 1 });
   REQUIRE(RunUntil(loop, [&] { return left.lostCalls_.size() == 1; }));
-  CHECK_FALSE(left.lostCalls_[0].sent_);
+  CHECK_FALSE(left.lostCalls_[0].maybeSent_);
 
   auto right = std::make_unique<RecordingHub>(loop, "right");
   left.hub_->SendCall(right->address_, 2, Cancel{ 2 });
@@ -112,7 +112,7 @@
   right.reset();
   REQUIRE(RunUntil(loop, [&] { return left.lostCalls_.size() == 2; }));
   CHECK(left.lostCalls_[1].callId_ == 2);
-  CHECK(left.lostCalls_[1].sent_);
+  CHECK(left.lostCalls_[1].maybeSent_);
   CHECK(left.lostCalls_[1].peer_.host_.value_ == "right");
 }
 
@@ -125,7 +125,7 @@
   RawListener listener;
   left.hub_->SendCall({ "127.0.0.1", listener.Port() }, 1, Cancel{ 1 });
   REQUIRE(RunUntil(loop, [&] { return left.lostCalls_.size() == 1; }));
-  CHECK_FALSE(left.lostCalls_[0].sent_);
+  CHECK_FALSE(left.lostCalls_[0].maybeSent_);
   RawSocket socket = listener.Accept();
   const std::string hello =
     FramePeerMessage(Hello{ kPeerProtocolVersion, { "left" }, 1, { "dc1" } });
@@ -151,7 +151,7 @@
   const Duration elapsed = Clock::now() - start;
   silentPeer.join();
   CHECK(left.lostCalls_[0].reason_ == LinkEndReason::kSilent);
-  CHECK(left.lostCalls_[0].sent_);
+  CHECK(left.lostCalls_[0].maybeSent_);
   CHECK(elapsed >= milliseconds(500));
   CHECK(elapsed < milliseconds(800));
   CHECK(received.find(FramePeerMessage(Ping{ 1 })) != std::string::npos);
--- a/tests/request/AdmissionTest.cpp
+++ b/tests/request/AdmissionTest.cpp
@@ -627,7 +627,7 @@
     waiting.id_ = aId;
     waiting.importance_ = Importance::kCritical;
     waiting.route_ = { aRoute };
-    waiting.arrived_ = now;
+    waiting.arrivedAt_ = now;
     waiting.deadline_ = now + aLeft;
     return waiting;
   };
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -321,7 +321,7 @@
   {
     auto& node = nodes_[aNode];
     const auto& versions = node.versions_;
-    const auto freshUntil = FreshUntil(versions);
+    const auto freshUntil = FreshAsOf(versions);
     if (versions.inForce_ < node.lastVersionInForce_ ||
         (node.lastFreshUntil_ && *freshUntil < *node.lastFreshUntil_)) {
       RecordViolation("a version or freshness decreased at node " + std::to_string(aNode));
--- a/tests/version/ControlNetworkTest.cpp
+++ b/tests/version/ControlNetworkTest.cpp
@@ -42,7 +42,7 @@
     if (node.stopped_ || (!aCentre.empty() && aNetwork.CentreOf(i) != aCentre)) {
       continue;
     }
-    const auto freshUntil = FreshUntil(node.versions_);
+    const auto freshUntil = FreshAsOf(node.versions_);
     maxAge =
       std::max(maxAge, freshUntil ? aNetwork.Local(i) - *freshUntil : Duration(seconds(1000000)));
   }
