--- a/bench/policy_trials.cpp
+++ b/bench/policy_trials.cpp
@@ -161,7 +161,7 @@
 {
   int account_ = 0;
   Importance importance_ = Importance::kNormal;
-  TimePoint arrived_{};
+  TimePoint arrivedAt_{};
   TimePoint deadline_{};
   int host_ = 0;
   std::uint32_t retries_ = 0;
@@ -327,7 +327,7 @@
                          : fraction < 0.8 ? Importance::kNormal
                                           : Importance::kLow;
     }
-    call.arrived_ = now_;
+    call.arrivedAt_ = now_;
     call.deadline_ = now_ + kDeadline;
     call.host_ = static_cast<int>(RandomIndex(random_, kHostCount));
     calls_.push_back(call);
@@ -376,7 +376,7 @@
       waiting.clientAccount_ = { std::to_string(call.account_) };
       waiting.weight_ = kRates[call.account_];
     }
-    waiting.arrived_ = now_;
+    waiting.arrivedAt_ = now_;
     waiting.deadline_ = variant_.dropsLateCalls_ ? call.deadline_ : now_ + seconds(3600);
     return waiting;
   }
@@ -510,7 +510,7 @@
     if (aAnswered) {
       lateAttempts_ += now_ > call.deadline_ ? 1 : 0;
       if (!call.ended_ && now_ <= call.deadline_) {
-        call.latencyInTime_ = now_ - call.arrived_;
+        call.latencyInTime_ = now_ - call.arrivedAt_;
       }
       call.ended_ = true;
       return;
@@ -557,10 +557,10 @@
     std::map<std::int64_t, std::pair<double, double>> bins;
     for (const ClientCall& call : calls_) {
       const bool isInTime = call.latencyInTime_ > Duration::zero();
-      auto& bin = bins[(call.arrived_ - kStart) / milliseconds(100)];
+      auto& bin = bins[(call.arrivedAt_ - kStart) / milliseconds(100)];
       bin.first += 1;
       bin.second += isInTime ? 1 : 0;
-      if (call.arrived_ < from || call.arrived_ >= to) {
+      if (call.arrivedAt_ < from || call.arrivedAt_ >= to) {
         continue;
       }
       demands[static_cast<std::size_t>(call.importance_)][call.account_] += 1;
