--- a/tests/failure/UserFleet.h
+++ b/tests/failure/UserFleet.h
@@ -13,9 +13,13 @@
 #include <boost/asio/post.hpp>
 #include <nlohmann/json.hpp>
 
+#include <algorithm>
+#include <deque>
+#include <iostream>
 #include <map>
 #include <memory>
 #include <optional>
+#include <sstream>
 #include <stdexcept>
 #include <string>
 #include <thread>
@@ -113,8 +117,8 @@
     }
   }
 
-  /// Waits up to 20 s until every host is registered in the store and reports that it is ready.
-  /// Returns false on timeout.
+  /// Waits up to 20 s until every host is registered in the store and reports that it is ready. On
+  /// timeout, prints the state of the hosts that aren't ready to standard error and returns false.
   bool WaitReady()
   {
     for (int i = 0; i < 1000; ++i) {
@@ -129,6 +133,7 @@
       }
       std::this_thread::sleep_for(milliseconds(20));
     }
+    PrintUnreadyHosts();
     return false;
   }
 
@@ -223,10 +228,46 @@
     return listener.Port();
   }
 
+  static std::string HostName(std::size_t aHost) { return "h" + std::to_string(aHost); }
+
+  /// Prints name, readiness status and end of the log of each host that isn't ready, and the number
+  /// of hosts in the store. The logs are removed with the fleet. If all hosts are ready, all are
+  /// printed, because it isn't known which one isn't in the store.
+  void PrintUnreadyHosts()
+  {
+    constexpr std::size_t kLogLines = 20;
+    std::vector<unsigned> statuses;
+    for (std::size_t host = 0; host < hosts_.size(); ++host) {
+      statuses.push_back(ReadinessStatus(host));
+    }
+    const bool allReady = std::all_of(
+      statuses.begin(), statuses.end(), [](unsigned aStatus) { return aStatus == 200; });
+    std::cerr << "fleet not ready: " << store_.RowCount("quay_hosts") << " of " << hosts_.size()
+              << " hosts in the store\n";
+    for (std::size_t host = 0; host < hosts_.size(); ++host) {
+      if (allReady || statuses[host] != 200) {
+        std::cerr << "host " << HostName(host) << ": readiness status " << statuses[host]
+                  << ", end of its log:\n";
+        std::istringstream log(Log(host));
+        std::deque<std::string> lines;
+        for (std::string line; std::getline(log, line);) {
+          lines.push_back(line);
+          if (lines.size() > kLogLines) {
+            lines.pop_front();
+          }
+        }
+        for (const auto& line : lines) {
+          std::cerr << "  " << line << "\n";
+        }
+      }
+    }
+    std::cerr << std::flush;
+  }
+
   void AddHost(std::size_t aIndex)
   {
     auto host = std::make_unique<Host>();
-    const std::string name = "h" + std::to_string(aIndex);
+    const std::string name = HostName(aIndex);
     const std::string service = "s" + std::to_string(aIndex % 2);
     host->readyPort_ = FreePort();
     host->heartbeatPort_ = FreePort();
