--- a/tests/connection/RawSocket.h
+++ b/tests/connection/RawSocket.h
@@ -6,7 +6,9 @@
 #include <sys/socket.h>
 #include <sys/time.h>
 
+#include <atomic>
 #include <cstdint>
+#include <random>
 #include <stdexcept>
 #include <string>
 #include <string_view>
@@ -160,4 +162,37 @@
   std::uint16_t port_ = 0;
 };
 
+/// Range of the ports from FreePort. By default, Linux assigns ports from 32768 upwards to sockets
+/// that connect or bind to port 0.
+constexpr std::uint16_t kFirstFreePort = 20000;
+constexpr std::uint16_t kLastFreePort = 32767;
+
+/// Returns a port of 127.0.0.1 that can be bound now and that the kernel doesn't assign to another
+/// socket later, unlike the port of a closed RawListener. Returns each port at most once per
+/// process and throws after all have been tried. The search starts at a random port because test
+/// programs run in parallel.
+inline std::uint16_t FreePort()
+{
+  constexpr unsigned kPortCount = kLastFreePort - kFirstFreePort + 1;
+  static const unsigned firstOffset = std::random_device{}() % kPortCount;
+  static std::atomic<unsigned> triedCount{ 0 };
+  for (unsigned tried = triedCount++; tried < kPortCount; tried = triedCount++) {
+    const auto port =
+      static_cast<std::uint16_t>(kFirstFreePort + (firstOffset + tried) % kPortCount);
+    const int descriptor = ::socket(AF_INET, SOCK_STREAM, 0);
+    // quayd's listeners set this option too. Without it, closed connections would block the port.
+    const int reuseAddress = 1;
+    ::setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &reuseAddress, sizeof(reuseAddress));
+    const sockaddr_in address = Loopback(port);
+    const bool isFree =
+      ::bind(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0;
+    ::close(descriptor);
+    if (isFree) {
+      return port;
+    }
+  }
+  throw std::runtime_error("no free port from " + std::to_string(kFirstFreePort) + " to " +
+                           std::to_string(kLastFreePort));
+}
+
 } // namespace peridotquay::testing
--- a/tests/failure/UserFleet.h
+++ b/tests/failure/UserFleet.h
@@ -222,12 +222,6 @@
     std::unique_ptr<Process> process_;
   };
 
-  static std::uint16_t FreePort()
-  {
-    const RawListener listener;
-    return listener.Port();
-  }
-
   static std::string HostName(std::size_t aHost) { return "h" + std::to_string(aHost); }
 
   /// Prints name, readiness status and end of the log of each host that isn't ready, and the number
