--- a/tests/connection/HttpFrontTest.cpp
+++ b/tests/connection/HttpFrontTest.cpp
@@ -10,6 +10,7 @@
 #include <thread>
 
 using namespace peridotquay;
+using peridotquay::testing::FreePort;
 using peridotquay::testing::RawListener;
 using peridotquay::testing::RawSocket;
 
@@ -355,14 +356,9 @@
 // sent.
 TEST_CASE("a request without a connection is reported as not sent", "[target]")
 {
-  std::uint16_t port = 0;
-  {
-    RawListener listener;
-    port = listener.Port();
-  }
   EventLoop loop;
   TargetClientSettings settings;
-  settings.target_ = { "127.0.0.1", port };
+  settings.target_ = { "127.0.0.1", FreePort() };
   TargetClient client(loop, settings);
   TargetResult result;
   result.requestStatus_ = TargetRequestStatus::kLost;
--- a/tests/connection/PeerHubTest.cpp
+++ b/tests/connection/PeerHubTest.cpp
@@ -12,6 +12,7 @@
 #include <vector>
 
 using namespace peridotquay;
+using peridotquay::testing::FreePort;
 using peridotquay::testing::RawListener;
 using peridotquay::testing::RawSocket;
 
@@ -97,12 +98,7 @@
 {
   EventLoop loop;
   RecordingHub left(loop, "left");
-  std::uint16_t closedPort = 0;
-  {
-    RawListener listener;
-    closedPort = listener.Port();
-  }
-  left.hub_->SendCall({ "127.0.0.1", closedPort }, 1, Cancel{ 1 });
+  left.hub_->SendCall({ "127.0.0.1", FreePort() }, 1, Cancel{ 1 });
   REQUIRE(RunUntil(loop, [&] { return left.lostCalls_.size() == 1; }));
   CHECK_FALSE(left.lostCalls_[0].maybeSent_);
 
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -9,10 +9,9 @@
 #include "peridotquay/version/ConfigCompiler.h"
 
 #include "standins/lib/PlatformServer.h"
+#include "tests/connection/RawSocket.h"
 #include "tests/version/ResultValue.h"
 
-#include <boost/asio/io_context.hpp>
-#include <boost/asio/ip/tcp.hpp>
 #include <catch2/catch.hpp>
 
 #include <array>
@@ -64,10 +63,7 @@
 /// Returns a loopback address on which nothing listens.
 Address ClosedPort()
 {
-  boost::asio::io_context context;
-  boost::asio::ip::tcp::acceptor acceptor(context,
-                                          { boost::asio::ip::make_address("127.0.0.1"), 0 });
-  return { "127.0.0.1", acceptor.local_endpoint().port() };
+  return { "127.0.0.1", peridotquay::testing::FreePort() };
 }
 
 std::string ExampleDirectory(const char* aName)
