--- a/peridotquay/process/ShareLease.cpp
+++ b/peridotquay/process/ShareLease.cpp
@@ -16,7 +16,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::string_view kSharePrefix = "share/";
+constexpr std::string_view kLeaseRowPrefix = "share/";
 
 // Maximum number of lease rows in one read, far above the number of data centres.
 constexpr std::uint32_t kMaxLeaseRows = 256;
@@ -43,7 +43,7 @@
   return id;
 }
 
-// True if membership names this node the share leader and a configuration is known.
+// True if this node is the share leader according to membership and a configuration is known.
 bool IsCandidate(const ShareLease& aLease)
 {
   return aLease.config_ != nullptr && aLease.ranking_ != nullptr &&
@@ -52,12 +52,12 @@
 
 TimePoint ElasticLeaseEnd(const ShareLease& aLease)
 {
-  return aLease.elasticRenewalSentAt_ + milliseconds(aLease.row_.elasticMs_);
+  return aLease.elasticRenewalSentAt_ + milliseconds(aLease.row_.elasticLeaseMs_);
 }
 
 TimePoint FloorLeaseEnd(const ShareLease& aLease)
 {
-  return aLease.floorRenewalSentAt_ + milliseconds(aLease.row_.floorMs_);
+  return aLease.floorRenewalSentAt_ + milliseconds(aLease.row_.floorLeaseMs_);
 }
 
 bool HoldsElastic(const ShareLease& aLease, TimePoint aNow)
@@ -107,7 +107,7 @@
   aEffects.lost_ = true;
 }
 
-// Applies the pending write to the state of this node once it is known to have taken effect.
+// Applies the pending write, which is known to have taken effect, to the state of this node.
 void ApplyPendingWrite(ShareLease& aLease,
                        ShareLedger& aLedger,
                        std::uint64_t aRevision,
@@ -146,9 +146,9 @@
   ApplyLimits(aLease, aLedger, aNow);
 }
 
-// Compares the row that was read with the pending write and detects a lost lease. Only this process
-// writes rows with its epoch, host and incarnation, so such a row shows which write took effect
-// last, even if the answer to the write was lost.
+// Compares the own lease row as read with the pending write and detects a lost lease. Only this
+// process writes rows with its epoch, host and incarnation, so such a row shows which write took
+// effect last, even if the answer to the write was lost.
 void ResolveOwnRow(ShareLease& aLease,
                    ShareLedger& aLedger,
                    TimePoint aNow,
@@ -191,7 +191,7 @@
 // Starts a transaction that writes the lease row of this node if the row is unchanged. The caller
 // puts the conditions and writes of other rows into aTransaction.
 void StartWrite(ShareLease& aLease,
-                PendingShareWrite aPending,
+                PendingLeaseWrite aPending,
                 PlatformTransaction aTransaction,
                 TimePoint aNow,
                 ShareLeaseEffects& aEffects)
@@ -199,23 +199,23 @@
   auto& row = aPending.row_;
   row.incarnation_ = aLease.incarnation_;
   row.sequence_ = ++aLease.sequence_;
-  row.elasticMs_ = ToMilliseconds(aLease.config_->policy_.elasticLease_);
-  row.floorMs_ = ToMilliseconds(aLease.config_->policy_.floorLease_);
+  row.elasticLeaseMs_ = ToMilliseconds(aLease.config_->policy_.elasticLease_);
+  row.floorLeaseMs_ = ToMilliseconds(aLease.config_->policy_.floorLease_);
   aPending.sentAt_ = aNow;
-  const auto key = ShareRowKey(aLease.dataCentre_);
+  const auto key = LeaseRowKey(aLease.dataCentre_);
   aTransaction.operationId_ = RandomOperationId(aLease);
   aTransaction.conditions_.insert(aTransaction.conditions_.begin(), { key, aLease.revision_ });
-  aTransaction.writes_.push_back({ key, EncodeShareRow(row) });
+  aTransaction.writes_.push_back({ key, EncodeLeaseRow(row) });
   aLease.pending_ = std::move(aPending);
   StartCall(aLease, ShareCallKind::kWrite, TransactCall{ std::move(aTransaction) }, aEffects);
 }
 
-// Acquires the lease if it is free or the elastic lease of its holder has surely ended. The
-// duration is counted from the end of the read that first showed the present revision.
+// Acquires the lease if it is free or the elastic lease of its holder has certainly ended. The
+// duration is counted from the end of the first read that returned the current revision.
 void TryAcquire(ShareLease& aLease, TimePoint aNow, ShareLeaseEffects& aEffects)
 {
   const auto found = aLease.observed_.find(aLease.dataCentre_);
-  PendingShareWrite pending;
+  PendingLeaseWrite pending;
   pending.acquires_ = true;
   pending.row_.holder_ = aLease.self_;
   pending.row_.epoch_ = 1;
@@ -224,30 +224,30 @@
   aLease.floorUsableAt_ = aNow;
   if (found != aLease.observed_.end()) {
     const auto& seen = found->second;
-    const auto elastic =
-      std::max(milliseconds(seen.row_.elasticMs_),
+    const auto elasticLease =
+      std::max(milliseconds(seen.row_.elasticLeaseMs_),
                std::chrono::duration_cast<milliseconds>(aLease.config_->policy_.elasticLease_));
-    // The row shows an acquisition by this process whose answer was lost, and which this process
-    // already tried to repeat. Nothing was granted under it.
+    // True if this process acquired the lease but lost the answer, and has sent another acquisition
+    // since. Nothing was granted under the lease.
     const bool ownAcquisition =
       seen.row_.holder_ == aLease.self_ && seen.row_.incarnation_ == aLease.incarnation_;
     if (!seen.row_.holder_.value_.empty() && !ownAcquisition &&
-        aNow - seen.firstSeenAt_ < elastic) {
+        aNow - seen.firstSeenAt_ < elasticLease) {
       return;
     }
     aLease.revision_ = seen.revision_;
     pending.row_.epoch_ = seen.row_.epoch_ + 1;
     const bool floorsFree =
       seen.row_.floorEpoch_ == 0 || (ownAcquisition && seen.row_.floorEpoch_ == seen.row_.epoch_);
-    // This process held the floors before a reclaim. Its ledger was cleared since, so hosts may
-    // still use its earlier grants until these expire.
+    // True if this process held the floors before a reclaim. Its ledger was cleared since, so hosts
+    // may still use its earlier grants until these expire.
     const bool floorsKept =
       seen.row_.floorEpoch_ != 0 && seen.row_.floorEpoch_ == aLease.floorEpoch_;
     pending.row_.floorEpoch_ = floorsFree ? pending.row_.epoch_ : seen.row_.floorEpoch_;
-    const auto floor =
-      std::max(milliseconds(seen.row_.floorMs_),
+    const auto floorLease =
+      std::max(milliseconds(seen.row_.floorLeaseMs_),
                std::chrono::duration_cast<milliseconds>(aLease.config_->policy_.floorLease_));
-    aLease.floorUsableAt_ = floorsFree ? aNow : seen.floorRenewalSeenAt_ + floor;
+    aLease.floorUsableAt_ = floorsFree ? aNow : seen.floorRenewalSeenAt_ + floorLease;
     if (floorsKept) {
       aLease.floorUsableAt_ = aNow + kMaxGrantLifetime;
     }
@@ -255,19 +255,19 @@
   StartWrite(aLease, std::move(pending), {}, aNow, aEffects);
 }
 
-// Stores the lease rows of all data centres and when they changed.
+// Stores the lease rows of all data centres and the times at which changes were first seen.
 void RecordLeaseRows(ShareLease& aLease, const PlatformAnswer& aAnswer)
 {
   std::set<DataCentreId> present;
   for (const auto& stored : aAnswer.rows_) {
-    if (stored.key_.rfind(kSharePrefix, 0) != 0) {
+    if (stored.key_.rfind(kLeaseRowPrefix, 0) != 0) {
       continue;
     }
-    const auto row = DecodeShareRow(stored.value_);
+    const auto row = DecodeLeaseRow(stored.value_);
     if (row.has_error()) {
       continue;
     }
-    const DataCentreId id{ stored.key_.substr(kSharePrefix.size()) };
+    const DataCentreId id{ stored.key_.substr(kLeaseRowPrefix.size()) };
     present.insert(id);
     const bool known = aLease.observed_.count(id) != 0;
     auto& seen = aLease.observed_[id];
@@ -294,10 +294,11 @@
   return aAccount.everShort_ && aNow - aAccount.lastShortAt_ < aLease.settings_.shortagePeriod_;
 }
 
-// Units that cover the measured use of an account whose whole limit is aRate.
-std::uint32_t UnitsForMeasuredUse(const AccountLedger& aAccount, double aRate)
+// Units that cover the measured use of an account whose whole limit is aRatePerSecond.
+std::uint32_t UnitsForMeasuredUse(const AccountLedger& aAccount, double aRatePerSecond)
 {
-  const double units = std::ceil(aAccount.usePerSecond_ * kUseMarginFactor / aRate * kShareUnits);
+  const double units =
+    std::ceil(aAccount.usePerSecond_ * kUseMarginFactor / aRatePerSecond * kShareUnits);
   return static_cast<std::uint32_t>(std::clamp(units, 0.0, double{ kShareUnits }));
 }
 
@@ -310,7 +311,7 @@
   std::uint32_t units = 0;
   std::uint32_t dataCentreCount = 0;
   for (const auto& [id, seen] : aLease.observed_) {
-    const bool leaseRuns = aNow - seen.firstSeenAt_ < milliseconds(seen.row_.elasticMs_);
+    const bool leaseRuns = aNow - seen.firstSeenAt_ < milliseconds(seen.row_.elasticLeaseMs_);
     const auto need = seen.row_.needs_.find(aAccount);
     if (id != aLease.dataCentre_ && leaseRuns && need != seen.row_.needs_.end()) {
       units += need->second;
@@ -367,7 +368,7 @@
   ApplyLimits(aLease, aLedger, aNow);
 }
 
-// Data centres of the configuration. If it names none: those known from membership.
+// Data centres of the configuration or, if it names none, those known from membership.
 std::set<DataCentreId> DataCentresWithFloor(const ShareLease& aLease)
 {
   std::set<DataCentreId> dataCentres;
@@ -383,7 +384,7 @@
   return dataCentres;
 }
 
-// Divides an account equally among the data centres.
+// Divides the units of an account equally among the data centres.
 PoolEntry MakeInitialEntry(const ShareLease& aLease)
 {
   const auto dataCentres = DataCentresWithFloor(aLease);
@@ -400,7 +401,7 @@
   return entry;
 }
 
-// True if units are to be moved, or if an account isn't known to be in the pool.
+// True if units are to be moved, or if the pool may lack an account.
 bool MustReadPool(const ShareLease& aLease)
 {
   if (!aLease.needs_.empty() || !aLease.unitsToGive_.empty()) {
@@ -413,23 +414,23 @@
                      });
 }
 
-// Other data centres whose elastic lease has surely ended.
+// Other data centres whose elastic lease has certainly ended.
 std::vector<DataCentreId> LapsedDataCentres(const ShareLease& aLease, TimePoint aNow)
 {
   std::vector<DataCentreId> lapsed;
   for (const auto& [id, seen] : aLease.observed_) {
-    const auto elastic =
-      std::max(milliseconds(seen.row_.elasticMs_),
+    const auto elasticLease =
+      std::max(milliseconds(seen.row_.elasticLeaseMs_),
                std::chrono::duration_cast<milliseconds>(aLease.config_->policy_.elasticLease_));
-    if (id != aLease.dataCentre_ && aNow - seen.firstSeenAt_ >= elastic) {
+    if (id != aLease.dataCentre_ && aNow - seen.firstSeenAt_ >= elasticLease) {
       lapsed.push_back(id);
     }
   }
   return lapsed;
 }
 
-// Frees the elastic units of a lapsed data centre for the accounts that need units here. Returns
-// true if it freed any.
+// Frees the elastic units that a lapsed data centre holds of the accounts that need units here.
+// Returns true if it freed any.
 bool ReclaimNeededUnits(const ShareLease& aLease, const DataCentreId& aLapsed, SharePool& aPool)
 {
   bool moved = false;
@@ -463,9 +464,9 @@
 
 // Makes the next row of the held lease. It takes over the floors if the floor lease of the earlier
 // holder has ended.
-PendingShareWrite MakeRenewal(const ShareLease& aLease, TimePoint aNow)
+PendingLeaseWrite MakeRenewal(const ShareLease& aLease, TimePoint aNow)
 {
-  PendingShareWrite pending;
+  PendingLeaseWrite pending;
   pending.row_ = aLease.row_;
   pending.row_.needs_ = aLease.needs_;
   if (pending.row_.floorEpoch_ != pending.row_.epoch_ && aNow >= aLease.floorUsableAt_) {
@@ -474,8 +475,8 @@
   return pending;
 }
 
-// Applies the pool row as read. A portion of this data centre differs from the one known here if a
-// write took effect whose answer was lost. Units given by such a write must not be given again.
+// Stores the pool entries as read. If the portion of this data centre differs from the known one, a
+// write whose answer was lost took effect. Units that it freed must not be freed again.
 void ApplyPoolRow(ShareLease& aLease, ShareLedger& aLedger, const SharePool& aPool, TimePoint aNow)
 {
   for (const auto& [account, entry] : aPool) {
@@ -517,8 +518,8 @@
       ++fencedRow.epoch_;
       fencedRow.holder_ = {};
       fencedRow.needs_.clear();
-      transaction.conditions_.push_back({ ShareRowKey(id), seen.revision_ });
-      transaction.writes_.push_back({ ShareRowKey(id), EncodeShareRow(fencedRow) });
+      transaction.conditions_.push_back({ LeaseRowKey(id), seen.revision_ });
+      transaction.writes_.push_back({ LeaseRowKey(id), EncodeLeaseRow(fencedRow) });
     }
   }
   for (auto& [account, entry] : aPool) {
@@ -553,18 +554,18 @@
   StartWrite(aLease, std::move(pending), std::move(transaction), aNow, aEffects);
 }
 
-// Stops granting at once and releases the lease when all grants have expired.
+// Stops granting at once, and releases the lease in a later call once all grants have expired,
+// because another node may acquire it and grant from then on.
 void ReleaseLease(ShareLease& aLease, TimePoint aNow, ShareLeaseEffects& aEffects)
 {
   if (!aLease.grantsStoppedAt_) {
     aLease.grantsStoppedAt_ = aNow;
   }
-  // Every grant must have expired before another holder can grant.
   if (aNow - *aLease.grantsStoppedAt_ < kMaxGrantLifetime) {
     return;
   }
   aLease.nextCycleAt_ = aNow + aLease.settings_.renewInterval_;
-  PendingShareWrite pending;
+  PendingLeaseWrite pending;
   pending.row_ = aLease.row_;
   pending.row_.holder_ = {};
   pending.row_.needs_.clear();
@@ -598,7 +599,8 @@
   }
   PlanMoves(aLease, aLedger, aNow);
   if (MustReadPool(aLease)) {
-    StartCall(aLease, ShareCallKind::kReadPool, ReadRowCall{ std::string(kPoolRowKey) }, aEffects);
+    StartCall(
+      aLease, ShareCallKind::kReadPoolRow, ReadRowCall{ std::string(kPoolRowKey) }, aEffects);
   } else {
     StartWrite(aLease, MakeRenewal(aLease, aNow), {}, aNow, aEffects);
   }
@@ -619,7 +621,7 @@
     auto decoded = DecodeSharePool(aAnswer.rows_.front().value_);
     revision = aAnswer.rows_.front().revision_;
     if (decoded.has_error()) {
-      // The lease is renewed even if the pool row is malformed or, as below, can't be read.
+      // The lease is renewed even if the pool row is malformed or can't be read.
       StartWrite(aLease, MakeRenewal(aLease, aNow), {}, aNow, aEffects);
       return;
     }
@@ -644,9 +646,9 @@
     }
     return;
   }
-  // A write that surely had no effect is forgotten. Otherwise the answer was lost, or there was a
-  // conflict, which an earlier write with a lost answer may have caused. The pending write is then
-  // kept, and the next read shows whether it took effect.
+  // kPlatformUnavailable means that the write had no effect. Otherwise the answer was lost, or
+  // there was a conflict, which an earlier write with a lost answer may have caused. The pending
+  // write is then kept, and the next read shows whether it took effect.
   if (aAnswer.error_->code_ == ErrorCode::kPlatformUnavailable) {
     aLease.pending_.reset();
   }
@@ -655,12 +657,12 @@
 
 } // namespace
 
-std::string ShareRowKey(const DataCentreId& aDataCentre)
+std::string LeaseRowKey(const DataCentreId& aDataCentre)
 {
-  return std::string(kSharePrefix) + aDataCentre.value_;
+  return std::string(kLeaseRowPrefix) + aDataCentre.value_;
 }
 
-std::string EncodeShareRow(const ShareRow& aRow)
+std::string EncodeLeaseRow(const LeaseRow& aRow)
 {
   Json needs = Json::object();
   for (const auto& [account, units] : aRow.needs_) {
@@ -672,24 +674,24 @@
     { "incarnation", aRow.incarnation_ },
     { "sequence", aRow.sequence_ },
     { "floor_epoch", aRow.floorEpoch_ },
-    { "elastic_ms", aRow.elasticMs_ },
-    { "floor_ms", aRow.floorMs_ },
+    { "elastic_ms", aRow.elasticLeaseMs_ },
+    { "floor_ms", aRow.floorLeaseMs_ },
     { "needs", std::move(needs) }
   }.dump();
 }
 
-Result<ShareRow> DecodeShareRow(std::string_view aText)
+Result<LeaseRow> DecodeLeaseRow(std::string_view aText)
 {
   try {
     const auto json = Json::parse(aText);
-    ShareRow row;
+    LeaseRow row;
     json.at("epoch").get_to(row.epoch_);
     json.at("holder").get_to(row.holder_.value_);
     json.at("incarnation").get_to(row.incarnation_);
     json.at("sequence").get_to(row.sequence_);
     json.at("floor_epoch").get_to(row.floorEpoch_);
-    json.at("elastic_ms").get_to(row.elasticMs_);
-    json.at("floor_ms").get_to(row.floorMs_);
+    json.at("elastic_ms").get_to(row.elasticLeaseMs_);
+    json.at("floor_ms").get_to(row.floorLeaseMs_);
     for (const auto& [account, units] : json.at("needs").items()) {
       row.needs_[ClientAccountId{ account }] = units.get<std::uint32_t>();
     }
@@ -807,8 +809,8 @@
     }
     return;
   }
-  // After a release was sent, granting resumes only when a later write has taken effect, because
-  // the release may take effect until then.
+  // After a release was sent, granting resumes only when a later write has taken effect. Until then
+  // the release may still take effect.
   if (isCandidate && !aLease.releaseSent_) {
     aLease.grantsStoppedAt_.reset();
   }
@@ -818,8 +820,8 @@
   aLease.nextCycleAt_ =
     aNow + (aLease.held_ ? aLease.settings_.renewInterval_ : aLease.settings_.acquireInterval_);
   StartCall(aLease,
-            ShareCallKind::kReadRows,
-            ReadRangeCall{ std::string(kSharePrefix), {}, kMaxLeaseRows },
+            ShareCallKind::kReadLeaseRows,
+            ReadRangeCall{ std::string(kLeaseRowPrefix), {}, kMaxLeaseRows },
             aEffects);
 }
 
@@ -835,10 +837,10 @@
   const auto kind = *aLease.call_;
   aLease.call_.reset();
   switch (kind) {
-    case ShareCallKind::kReadRows:
+    case ShareCallKind::kReadLeaseRows:
       HandleLeaseRows(aLease, aLedger, aAnswer, aNow, aEffects);
       break;
-    case ShareCallKind::kReadPool:
+    case ShareCallKind::kReadPoolRow:
       HandlePoolRow(aLease, aLedger, aAnswer, aNow, aEffects);
       break;
     case ShareCallKind::kWrite:
--- a/peridotquay/process/ShareLease.h
+++ b/peridotquay/process/ShareLease.h
@@ -31,28 +31,28 @@
 
 namespace peridotquay {
 
-/// Units that the limit of one client account is divided into. Units are integers, so that moves
-/// keep the sum exact.
+/// Number of units that the limit of one client account is divided into. Units are integers, so
+/// that moves keep the sum exact.
 inline constexpr std::uint32_t kShareUnits = 10000;
 
 /// Key of the pool row.
 inline constexpr std::string_view kPoolRowKey = "share-pool";
 
 /// Key of the lease row of a data centre.
-std::string ShareRowKey(const DataCentreId& aDataCentre);
+std::string LeaseRowKey(const DataCentreId& aDataCentre);
 
 /// Lease row of a data centre.
-struct ShareRow
+struct LeaseRow
 {
   std::uint64_t epoch_ = 0; ///< Fencing token; grows with each takeover and each reclaim.
   HostId holder_;           ///< Empty after a release or a reclaim.
   Incarnation incarnation_ = 0;
   std::uint64_t sequence_ = 0;   ///< Number of the write, counted by the holder.
   std::uint64_t floorEpoch_ = 0; ///< Epoch whose holder may use the floor units; 0 after a release.
-  std::uint64_t elasticMs_ = 0;  ///< Duration of the lease on the elastic units.
-  std::uint64_t floorMs_ = 0;    ///< Duration of the lease on the floor units.
+  std::uint64_t elasticLeaseMs_ = 0;               ///< Duration of the lease on the elastic units.
+  std::uint64_t floorLeaseMs_ = 0;                 ///< Duration of the lease on the floor units.
   std::map<ClientAccountId, std::uint32_t> needs_; ///< Units wanted beyond those held, by account.
-  bool operator==(const ShareRow&) const = default;
+  bool operator==(const LeaseRow&) const = default;
 };
 
 /// Units of one client account in one data centre.
@@ -77,8 +77,8 @@
 using SharePool = std::map<ClientAccountId, PoolEntry>;
 
 /// Convert the rows to and from JSON text. Decoding fails with kPlatformMalformed.
-std::string EncodeShareRow(const ShareRow& aRow);
-Result<ShareRow> DecodeShareRow(std::string_view aText);
+std::string EncodeLeaseRow(const LeaseRow& aRow);
+Result<LeaseRow> DecodeLeaseRow(std::string_view aText);
 std::string EncodeSharePool(const SharePool& aPool);
 Result<SharePool> DecodeSharePool(std::string_view aText);
 
@@ -96,38 +96,38 @@
   Duration acquireInterval_ = milliseconds(250); ///< Between reads while the lease isn't held.
   Duration idlePeriod_ = seconds(5); ///< An account that wasn't short of tokens for this long keeps
                                      ///< only the units that its use needs.
-  Duration shortagePeriod_ = seconds(2); ///< An account that was short of tokens within this wants
-                                         ///< more units.
-  std::size_t maxNeeds_ = 16;            ///< Maximum number of accounts in ShareRow::needs_.
+  Duration shortagePeriod_ = seconds(2); ///< For this long after it was short of tokens, an account
+                                         ///< wants more units.
+  std::size_t maxNeeds_ = 16;            ///< Maximum number of accounts in LeaseRow::needs_.
   bool operator==(const ShareLeaseSettings&) const = default;
 };
 
 /// Lease row of a data centre as this node last read it.
-struct ObservedShare
+struct ObservedLease
 {
   std::uint64_t revision_ = 0;
-  ShareRow row_;
-  TimePoint firstSeenAt_{};        ///< End of the read that first showed revision_.
-  TimePoint floorRenewalSeenAt_{}; ///< End of the read that first showed the floor epoch, or its
-                                   ///< last renewal.
+  LeaseRow row_;
+  TimePoint firstSeenAt_{};        ///< End of the first read that returned revision_.
+  TimePoint floorRenewalSeenAt_{}; ///< End of the first read that returned the last renewal of the
+                                   ///< floor lease.
 };
 
-/// Write of this node's lease row whose effect isn't applied to ShareLease yet, because its answer
-/// is outstanding or was lost.
-struct PendingShareWrite
+/// Write of this node's lease row that isn't applied to ShareLease yet, because its answer is
+/// outstanding or was lost.
+struct PendingLeaseWrite
 {
-  ShareRow row_;
+  LeaseRow row_;
   TimePoint sentAt_{};
   std::map<ClientAccountId, PoolEntry> poolEntries_; ///< Pool entries in the same transaction.
   bool acquires_ = false;                            ///< The write acquires the lease.
   bool releases_ = false;                            ///< The write releases the lease.
 };
 
-/// Purpose of the platform call that is under way.
+/// Purpose of the platform call in progress.
 enum class ShareCallKind : std::uint8_t
 {
-  kReadRows,
-  kReadPool,
+  kReadLeaseRows,
+  kReadPoolRow,
   kWrite
 };
 
@@ -143,7 +143,7 @@
   std::shared_ptr<const MemberRanking> ranking_;
 
   bool held_ = false;
-  ShareRow row_;                     ///< Last own write known to have taken effect, while held_.
+  LeaseRow row_;                     ///< Last own write known to have taken effect, while held_.
   std::uint64_t revision_ = 0;       ///< Revision of the lease row of dataCentre_.
   TimePoint elasticRenewalSentAt_{}; ///< When the last renewal that took effect was sent.
   TimePoint floorRenewalSentAt_{};   ///< When the last renewal of the floors was sent.
@@ -155,22 +155,22 @@
   std::map<ClientAccountId, PoolEntry> poolEntries_;     ///< As of the last read or write.
   std::map<ClientAccountId, std::uint32_t> unitsToGive_; ///< Elastic units that this node no longer
                                                          ///< uses and will free.
-  std::map<DataCentreId, ObservedShare> observed_;       ///< Lease rows of all data centres.
-  std::map<ClientAccountId, std::uint32_t> needs_;       ///< Written as ShareRow::needs_.
-  std::optional<PendingShareWrite> pending_;
+  std::map<DataCentreId, ObservedLease> observed_;       ///< Lease rows of all data centres.
+  std::map<ClientAccountId, std::uint32_t> needs_;       ///< Written as LeaseRow::needs_.
+  std::optional<PendingLeaseWrite> pending_;
   std::uint64_t sequence_ = 0; ///< Number of the last write sent.
 
-  std::optional<ShareCallKind> call_; ///< The call under way.
+  std::optional<ShareCallKind> call_; ///< The call in progress.
   TimePoint nextCycleAt_{};           ///< When the lease rows are read next.
-  TimePoint usePeriodStartedAt_{};    ///< Start of the present period of use measurement.
+  TimePoint usePeriodStartedAt_{};    ///< Start of the current period for EndUsePeriod.
   std::uint64_t poolWrites_ = 0;      ///< Number of pool writes that took effect.
 };
 
 /// What the caller must do after a function of this module.
 struct ShareLeaseEffects
 {
-  std::optional<PlatformCall> call_; ///< Call to run. Its answer goes to HandleShareAnswer; no
-                                     ///< other call follows before.
+  std::optional<PlatformCall> call_; ///< Call to run. No other call is returned until its answer
+                                     ///< has been passed to HandleShareAnswer.
   bool acquired_ = false;            ///< The lease was acquired.
   bool lost_ = false;                ///< The lease was lost or released.
 };
@@ -182,8 +182,8 @@
                           std::uint64_t aSeed,
                           TimePoint aNow);
 
-/// Starts what is due: to acquire, renew or release the lease, or to move units. Called at every
-/// tick.
+/// Starts the platform call that is due to acquire, renew or release the lease or to move units.
+/// Called at every tick.
 void StepShareLease(ShareLease& aLease,
                     ShareLedger& aLedger,
                     TimePoint aNow,
@@ -204,8 +204,8 @@
                               const ShareRequest& aRequest,
                               TimePoint aNow);
 
-/// Limit within which this node may grant tokens of an account now: zero without a lease, only the
-/// floor after the elastic lease ended.
+/// Limit within which this node may grant tokens of an account now: zero without a lease, and only
+/// the floor after the elastic lease has ended.
 ShareLimit UsableLimit(const ShareLease& aLease, const ClientAccountId& aAccount, TimePoint aNow);
 
 /// Time until the end of the lease that covers new grants, which bounds their lifetime.
--- a/peridotquay/process/ShareLedger.cpp
+++ b/peridotquay/process/ShareLedger.cpp
@@ -76,9 +76,9 @@
   }
 }
 
-// Lifetime of a grant: half of the time that refills the burst, within the minimum and maximum.
-// Used tokens count as outstanding until they are reported or expire, so with a lifetime above
-// burst / rate the refill would stop while hosts hold used grants.
+// Lifetime of a grant: half of the time that refills the burst, but at least kMinGrantLifetime and
+// at most kMaxGrantLifetime. Used tokens count as outstanding until they are reported or expire, so
+// with a lifetime above burst / rate the refill would stop while hosts hold used grants.
 Duration LifetimeOfGrants(const AccountLedger& aAccount)
 {
   const double refillSeconds =
@@ -98,7 +98,6 @@
   if (limit.ratePerSecond_ > 0 && limit.burst_ >= 1) {
     waitMs = (1 - aAccount.level_) / limit.ratePerSecond_ * 1000;
   }
-  // The burst leaves no room for a token until outstanding grants end.
   if (aAccount.level_ + aAccount.outstanding_ + 1 > limit.burst_) {
     for (const auto& [id, grant] : aAccount.grants_) {
       waitMs =
--- a/peridotquay/process/ShareLedger.h
+++ b/peridotquay/process/ShareLedger.h
@@ -63,9 +63,9 @@
                    const ShareLimit& aLimit,
                    TimePoint aNow);
 
-/// Settles the earlier grant that the request reports on, then grants as many tokens as the request
-/// wants, but at most half of the level or one token, whichever is more. aMaxLifetime is the time
-/// until the lease ends. An unknown account gets no tokens.
+/// Settles the earlier grant that the request reports on, then grants the wanted tokens, but at
+/// most half of the level or one token, whichever is more. aMaxLifetime is the time until the lease
+/// ends. An unknown account gets no tokens.
 ShareGrant GrantTokens(ShareLedger& aLedger,
                        const HostId& aHost,
                        const ShareRequest& aRequest,
@@ -76,7 +76,7 @@
 void UpdateAccount(AccountLedger& aAccount, TimePoint aNow);
 
 /// True if the level and the outstanding grants of the account fit into the burst of aLimit. Then
-/// the rest of the present limit can be given to another data centre.
+/// the rest of the current limit can be given to another data centre.
 bool FitsLimit(const ShareLedger& aLedger,
                const ClientAccountId& aAccount,
                const ShareLimit& aLimit,
--- a/tests/process/ShareLeaseTest.cpp
+++ b/tests/process/ShareLeaseTest.cpp
@@ -19,7 +19,7 @@
 constexpr double kRate = 100;
 constexpr double kBurst = 40;
 
-// Node that competes for the lease of its data centre, with a clock of its own.
+// Node that may acquire the lease of its data centre, with a clock of its own.
 struct Candidate
 {
   ShareLease lease_;
@@ -267,10 +267,10 @@
 
 // Guards against rows that can be written but not read back, and against a pool row whose units sum
 // to more than the whole limit.
-TEST_CASE("share rows survive encoding and a pool row with too many units is refused", "[lease]")
+TEST_CASE("rows round-trip and a pool row with too many units is rejected", "[lease]")
 {
-  const ShareRow row{ 3, { "h" }, 5, 7, 2, 5000, 600000, { { kAccount, 12 } } };
-  CHECK(DecodeShareRow(EncodeShareRow(row)).assume_value() == row);
+  const LeaseRow row{ 3, { "h" }, 5, 7, 2, 5000, 600000, { { kAccount, 12 } } };
+  CHECK(DecodeLeaseRow(EncodeLeaseRow(row)).assume_value() == row);
   SharePool pool;
   pool[kAccount] = { 2, 1000, 500, { { { "a" }, { 1000, 7500 } }, { { "b" }, { 1000, 0 } } } };
   CHECK(DecodeSharePool(EncodeSharePool(pool)).assume_value() == pool);
@@ -278,7 +278,7 @@
   CHECK(DecodeSharePool(EncodeSharePool(pool)).has_error());
   for (const char* text : { "", "{", "[]", "{\"accounts\":[1]}", "{\"accounts\":{\"a\":{}}}" }) {
     CHECK(DecodeSharePool(text).has_error());
-    CHECK(DecodeShareRow(text).has_error());
+    CHECK(DecodeLeaseRow(text).has_error());
   }
 }
 
@@ -301,8 +301,9 @@
   }
 }
 
-// Guards against two nodes that grant under the same lease: the successor of a crashed leader waits
-// for the whole elastic lease after its read, and for the whole floor lease before it uses floors.
+// Guards against two nodes that grant under the same lease: after it first read the row, the
+// successor of a crashed leader waits for the whole elastic lease before it acquires the lease, and
+// for the whole floor lease before it uses the floors.
 TEST_CASE("a crashed leader's lease is taken over after 5 s, its floors after the floor lease",
           "[lease]")
 {
@@ -328,8 +329,8 @@
           .ratePerSecond_ == Approx(kRate));
 }
 
-// Guards against a planned change of the share leader that makes the floors unusable or takes as
-// long as the end of a lease.
+// Guards against a planned change of the share leader that makes the floors unusable or takes until
+// the lease ends.
 TEST_CASE("a holder that is no longer the share leader releases its lease and floors", "[lease]")
 {
   ShareSimulation simulation(1, seconds(600), 4);
@@ -419,8 +420,8 @@
 }
 
 // Guards against an account that uses more than burst + rate * length in some interval, for random
-// interleavings of demand, moves, lost and late writes, pauses, restarts, outages and two nodes
-// that both believe to be the share leader.
+// interleavings of demand, moves, lost and late writes, pauses, restarts, outages, and two nodes
+// that both consider themselves the share leader.
 TEST_CASE("an account never exceeds its limit over all data centres", "[lease][property]")
 {
   CHECK(rc::check([] {
@@ -456,7 +457,8 @@
         default:
           break;
       }
-      // Each candidate is asked for more than it can grant every 50 ms, so that every excess shows.
+      // Every 50 ms each candidate is asked for more than it can grant, so that any grant beyond
+      // the limit shows.
       const auto end =
         simulation.now_ + milliseconds(*rc::gen::element(50, 50, 200, 1000, 3000, 8000));
       while (simulation.now_ < end) {
--- a/tests/process/ShareLedgerTest.cpp
+++ b/tests/process/ShareLedgerTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the token ledger, also against a naive reference.
+// Tests of the token ledger, in part against a brute-force check of the limit.
 #include "peridotquay/process/ShareLedger.h"
 
 #include <catch2/catch.hpp>
@@ -35,8 +35,8 @@
   double tokens_ = 0;
 };
 
-// Naive reference: adds up the uses in each interval between two uses, and returns false if they
-// exceed burst + rate * length.
+// Brute-force check: adds up the uses in each interval between two uses, and returns false if they
+// exceed burst + rate * length in any.
 bool WithinLimit(const std::vector<TokenUse>& aUses, const ShareLimit& aLimit)
 {
   for (std::size_t first = 0; first < aUses.size(); ++first) {
@@ -97,7 +97,7 @@
 }
 
 // Guards against a host that settles another host's grant, and against requests with negative or
-// infinite numbers.
+// infinite numbers that create tokens.
 TEST_CASE("a request can't return other hosts' tokens or create tokens", "[shares]")
 {
   auto ledger = MakeFullLedger({ 0.001, 10 });
