--- a/peridotquay/process/LogOutput.cpp
+++ b/peridotquay/process/LogOutput.cpp
@@ -21,14 +21,14 @@
   return output;
 }
 
-// UTC time in ISO 8601 with milliseconds.
-std::string TimeText()
+// Current UTC time in ISO 8601 with milliseconds.
+std::string UtcTimestamp()
 {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
-  const std::time_t whole = ms / 1000;
+  const std::time_t wholeSeconds = ms / 1000;
   std::tm parts{};
-  gmtime_r(&whole, &parts);
+  gmtime_r(&wholeSeconds, &parts);
   std::array<char, 32> date{};
   const std::size_t length = std::strftime(date.data(), date.size(), "%Y-%m-%dT%H:%M:%S", &parts);
   std::array<char, 8> fraction{};
@@ -55,7 +55,7 @@
 
 void LogOutput::Append(std::string_view aLine)
 {
-  std::string line = "time=" + TimeText() + " host=" + host_ + " ";
+  std::string line = "time=" + UtcTimestamp() + " host=" + host_ + " ";
   line += aLine;
   line += "\n";
   const std::lock_guard lock(mutex_);
@@ -83,8 +83,10 @@
   buffer_.erase(0, written);
   // Once the buffer is empty, a line reports the number of dropped lines.
   if (buffer_.empty() && dropped_ > reportedDropped_) {
-    buffer_ = "time=" + TimeText() + " host=" + host_ + " event=1007 name=LogLinesDropped count=" +
-              std::to_string(dropped_ - reportedDropped_) + "\n";
+    buffer_ =
+      "time=" + UtcTimestamp() + " host=" + host_ +
+      " event=1007 name=LogLinesDropped count=" + std::to_string(dropped_ - reportedDropped_) +
+      "\n";
     reportedDropped_ = dropped_;
   }
 }
--- a/peridotquay/process/LogOutput.h
+++ b/peridotquay/process/LogOutput.h
@@ -9,14 +9,14 @@
 
 namespace peridotquay {
 
-/// Maximum size of the buffer.
+/// Maximum size of the buffer of unwritten lines.
 inline constexpr std::size_t kMaxLogBytes = std::size_t{ 256 } * 1024;
 
 /// Buffers log lines and writes them to a descriptor. Thread-safe.
 class LogOutput
 {
 public:
-  /// Makes the descriptor non-blocking. Each line names aHost.
+  /// Makes the descriptor non-blocking. aHost is written in each line.
   LogOutput(int aDescriptor, std::string aHost);
   LogOutput(const LogOutput&) = delete;
   LogOutput& operator=(const LogOutput&) = delete;
--- a/peridotquay/process/LogThrottle.h
+++ b/peridotquay/process/LogThrottle.h
@@ -7,26 +7,28 @@
 
 namespace peridotquay {
 
-/// Rate limit of one event. Under overload unlimited logging would cost more than the calls.
+/// Rate limit for the log lines of one event. Under overload, unlimited logging would cost more
+/// than the calls.
 struct LogThrottle
 {
-  std::uint32_t perSecond_ = 10;
-  TimePoint second_{};        ///< Start of the current second.
-  std::uint32_t logged_ = 0;  ///< Lines in the current second.
-  std::uint64_t skipped_ = 0; ///< Lines left out since the last one that was allowed.
+  std::uint32_t maxLinesPerSecond_ = 10;
+  TimePoint secondStartedAt_{};     ///< Start of the current second.
+  std::uint32_t linesInSecond_ = 0; ///< Lines allowed in the current second.
+  std::uint64_t skipped_ = 0;       ///< Lines skipped since the last one that was allowed.
 
-  /// Whether to write a line now. If so, aSkipped is set to the number of lines left out before it.
+  /// Returns whether to write a line now. If so, sets aSkipped to the number of lines skipped since
+  /// the last one.
   bool Allow(TimePoint aNow, std::uint64_t& aSkipped)
   {
-    if (aNow - second_ >= seconds(1)) {
-      second_ = aNow;
-      logged_ = 0;
+    if (aNow - secondStartedAt_ >= seconds(1)) {
+      secondStartedAt_ = aNow;
+      linesInSecond_ = 0;
     }
-    if (logged_ >= perSecond_) {
+    if (linesInSecond_ >= maxLinesPerSecond_) {
       ++skipped_;
       return false;
     }
-    ++logged_;
+    ++linesInSecond_;
     aSkipped = skipped_;
     skipped_ = 0;
     return true;
--- a/peridotquay/process/LogTrace.cpp
+++ b/peridotquay/process/LogTrace.cpp
@@ -33,7 +33,7 @@
     const std::string_view line = aLog.substr(0, end);
     aLog.remove_prefix(std::min(end + 1, aLog.size()));
     if (FieldOf(line, "id") == aRequestId) {
-      // Removes what a log collector put before the line.
+      // Removes a prefix that a log collector may have added.
       lines.emplace_back(line.substr(std::min(line.find("time="), line.size())));
     }
   }
--- a/peridotquay/process/LogTrace.h
+++ b/peridotquay/process/LogTrace.h
@@ -10,12 +10,12 @@
 
 namespace peridotquay {
 
-/// Returns the lines whose field `id` equals the request id, ordered by time. Lines in other
+/// Returns the log lines whose field `id` equals the request id, ordered by time. Lines in other
 /// formats are ignored.
 std::vector<std::string> TraceLines(std::string_view aLog, std::string_view aRequestId);
 
-/// Reports these lines of a file that holds the logs of one or more hosts. Errors:
-/// kFileUnreadable, kNotFound if no line names the request.
+/// Reports the lines that TraceLines finds in a file with the logs of one or more hosts. Errors:
+/// kFileUnreadable, kNotFound (no line has the request id).
 OperatorReport TraceCommand(const std::string& aRequestId, const std::string& aFile);
 
 } // namespace peridotquay
--- a/peridotquay/process/RequestLog.cpp
+++ b/peridotquay/process/RequestLog.cpp
@@ -1,4 +1,4 @@
-// Limits and samples the log lines of requests.
+// Limits the log lines of requests.
 #include "peridotquay/process/RequestLog.h"
 
 #include <algorithm>
@@ -20,10 +20,10 @@
 // Sets the threshold from the successes of the last second and starts a new second.
 void BeginSecond(RequestLogState& aState, TimePoint aNow)
 {
-  const double offered = std::max(1U, aState.successes_);
-  const double fraction = std::min(1.0, aState.settings_.successesPerSecond_ / offered);
-  aState.threshold_ = static_cast<std::uint32_t>(fraction * UINT32_MAX);
-  aState.second_ = aNow;
+  const double successes = std::max(1U, aState.successes_);
+  const double fraction = std::min(1.0, aState.settings_.successesPerSecond_ / successes);
+  aState.hashThreshold_ = static_cast<std::uint32_t>(fraction * UINT32_MAX);
+  aState.secondStartedAt_ = aNow;
   aState.failures_ = 0;
   aState.successes_ = 0;
   aState.successesWritten_ = 0;
@@ -37,7 +37,7 @@
                       TimePoint aNow,
                       std::uint64_t& aLeftOut)
 {
-  if (aNow - aState.second_ >= seconds(1)) {
+  if (aNow - aState.secondStartedAt_ >= seconds(1)) {
     BeginSecond(aState, aNow);
   }
   bool allowed = false;
@@ -45,8 +45,8 @@
     allowed = ++aState.failures_ <= aState.settings_.failuresPerSecond_;
   } else {
     ++aState.successes_;
-    // The second condition bounds a surge until the next second adapts the threshold.
-    allowed = HashId(aRequestId) <= aState.threshold_ &&
+    // The second condition limits a surge until the threshold is adapted in the next second.
+    allowed = HashId(aRequestId) <= aState.hashThreshold_ &&
               aState.successesWritten_ < 2 * aState.settings_.successesPerSecond_;
     aState.successesWritten_ += allowed ? 1 : 0;
   }
--- a/tests/process/LogOutputTest.cpp
+++ b/tests/process/LogOutputTest.cpp
@@ -45,7 +45,7 @@
 
 // Guards against log volume that grows with the load, and against failures crowded out by
 // successes.
-TEST_CASE("request lines are bounded and failures take precedence", "[log]")
+TEST_CASE("request lines are limited and successes don't crowd out failures", "[log]")
 {
   RequestLogState state;
   TimePoint now{ seconds(1000) };
@@ -74,11 +74,11 @@
 {
   RequestLogState busy;
   RequestLogState quiet;
-  busy.threshold_ = UINT32_MAX / 8;
-  quiet.threshold_ = UINT32_MAX / 2;
+  busy.hashThreshold_ = UINT32_MAX / 8;
+  quiet.hashThreshold_ = UINT32_MAX / 2;
   const TimePoint now{ seconds(1000) };
-  busy.second_ = now;
-  quiet.second_ = now;
+  busy.secondStartedAt_ = now;
+  quiet.secondStartedAt_ = now;
   busy.settings_.successesPerSecond_ = 1000;
   quiet.settings_.successesPerSecond_ = 1000;
   std::uint64_t leftOut = 0;
