--- a/peridotquay/process/DeduplicationTable.cpp
+++ b/peridotquay/process/DeduplicationTable.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A tombstone stops a call that was delayed in a lost connection. Silence detection closes a
-// connection that delivers nothing for this long, so no call can arrive later.
+// A tombstone stops a call that was delayed in a lost connection. A connection that is silent for
+// this long has been closed by silence detection, so no call can arrive later.
 constexpr Duration kTombstoneRetention = seconds(600);
 
 // Even a full table keeps an answered call this long; a lost connection is detected after 500 ms.
@@ -45,15 +45,15 @@
   for (auto entry = aTable.entries_.begin(); entry != aTable.entries_.end();) {
     const DeduplicationEntry& known = entry->second;
     const Duration age = aNow - known.changedAt_;
-    const bool old =
+    const bool expired =
       known.tombstone_ ? age >= kTombstoneRetention : known.answered_ && age >= aRetention;
-    entry = old ? Evict(aTable, entry) : std::next(entry);
+    entry = expired ? Evict(aTable, entry) : std::next(entry);
   }
 }
 
 bool HasRoom(DeduplicationTable& aTable, const CallKey& aKey, TimePoint aNow)
 {
-  // At a high call rate answers are evicted earlier, so that there is room for new calls.
+  // If the table is full, answers are evicted earlier to make room for new calls.
   for (Duration retention = kAnswerRetention;
        aTable.entries_.size() >= kMaxDeduplicationEntries && retention >= kMinAnswerRetention;
        retention /= 4) {
--- a/peridotquay/process/DeduplicationTable.h
+++ b/peridotquay/process/DeduplicationTable.h
@@ -32,13 +32,13 @@
   std::uint64_t callId_ = 0;
 };
 
-/// Strict order of keys.
+/// Total order of keys, for use in std::map.
 struct CallKeyLess
 {
   bool operator()(const CallKey& aLeft, const CallKey& aRight) const;
 };
 
-/// A call that arrived, or the tombstone of one that must never run.
+/// State of a call that arrived, or the tombstone of one that must never run.
 struct DeduplicationEntry
 {
   bool tombstone_ = false; ///< The call was queried before it arrived; it must never run.
@@ -47,14 +47,14 @@
   TimePoint changedAt_{};
 };
 
-/// Changed only through the functions below.
+/// Calls that arrived or were queried. Changed only through the functions below.
 struct DeduplicationTable
 {
   /// At most kMaxDeduplicationEntries.
   std::map<CallKey, DeduplicationEntry, CallKeyLess> entries_;
   std::size_t answerBytes_ = 0; ///< Invariant: total size of the kept answer bodies.
-  /// Watermark of each sender: the highest call id that was evicted. The status of unlisted calls
-  /// up to it is unknown. The keys have call id 0.
+  /// Highest evicted call id of each sender. For calls up to it without an entry the status is
+  /// unknown. The call id in the keys is 0.
   std::map<CallKey, std::uint64_t, CallKeyLess> watermarks_;
 };
 
@@ -62,8 +62,8 @@
 enum class ArrivalDecision : std::uint8_t
 {
   kRun,
-  kRefuse, ///< Tombstone or full table: the call must not run; "not run" is certain.
-  kDrop    ///< Duplicate, or id up to the watermark: must not run; "not run" could be false.
+  kRefuse, ///< Must not run, and is known not to have run: tombstone or full table.
+  kDrop    ///< Must not run, but may have run: duplicate, or id up to the watermark.
 };
 
 /// Records the arrival of a call and decides whether it runs.
--- a/peridotquay/process/RequestLedger.cpp
+++ b/peridotquay/process/RequestLedger.cpp
@@ -19,8 +19,8 @@
 constexpr std::size_t kSecretBytes = 32;
 constexpr std::size_t kMacBytes = 16;
 
-/// Maximum length of the host name in an id; bounds the work for hostile ids.
-constexpr std::size_t kMaxHostName = 255;
+/// Maximum length of the host name in an id; limits the work for hostile ids.
+constexpr std::size_t kMaxHostNameLength = 255;
 
 /// Maximum estimated size of a batch; the rest of the frame is for the encoding of the message.
 constexpr std::size_t kMaxBatchBytes = kMaxFrameBytes / 4 * 3;
@@ -131,7 +131,7 @@
   return record;
 }
 
-/// Ends a request whose result is no longer known here, so that it never runs again on any host.
+/// Ends a running request with an unknown outcome, so that it never runs again on any host.
 void EndUnknown(RequestRecord& aRecord)
 {
   aRecord.state_ = RecordState::kDone;
@@ -164,7 +164,7 @@
   std::string_view sequence;
   std::string_view incarnation;
   if (!SplitLast(rest, mac) || !SplitLast(rest, sequence) || !SplitLast(rest, incarnation) ||
-      rest.empty() || rest.size() > kMaxHostName || mac.size() != 2 * kMacBytes ||
+      rest.empty() || rest.size() > kMaxHostNameLength || mac.size() != 2 * kMacBytes ||
       mac.find_first_not_of("0123456789abcdef") != std::string_view::npos ||
       !ParseNumber(sequence, parts.sequence_) || !ParseNumber(incarnation, parts.incarnation_)) {
     return Fail(ErrorCode::kBadRequestId, "Quay-Request-Id", "HOST.INCARNATION.SEQUENCE.MAC");
--- a/peridotquay/process/RequestLedger.h
+++ b/peridotquay/process/RequestLedger.h
@@ -23,7 +23,8 @@
 /// Maximum number of records; further ids aren't issued.
 inline constexpr std::size_t kMaxRequestIds = 65536;
 
-/// For a longer body a repeat gets only its digest and the outcome "ran".
+/// Maximum size of a stored answer body. For a longer one, a repeat gets only the digest and the
+/// outcome "ran".
 inline constexpr std::size_t kMaxStoredAnswerBytes = 65536;
 
 /// Maximum total size of stored answer bodies; above it answers are stored without their bodies.
@@ -72,10 +73,10 @@
   std::string secret_; ///< Key of the MACs; 32 random bytes.
   std::uint64_t nextSequence_ = 1;
   std::map<std::uint64_t, RequestRecord> records_; ///< By sequence; at most kMaxRequestIds.
-  std::size_t storedBytes_ = 0;                    ///< Invariant: sum of the bodies in records_.
-  bool closed_ = false;   ///< No request may start: handed over, or not completely received.
-  bool imported_ = false; ///< Received from a leaving host; issues no ids.
-  bool complete_ = false; ///< With imported_: the last batch has arrived.
+  std::size_t storedBytes_ = 0; ///< Invariant: total size of the bodies in records_.
+  bool closed_ = false;         ///< No request may start: handed over, or not completely received.
+  bool imported_ = false;       ///< Received from a leaving host; issues no ids.
+  bool complete_ = false;       ///< With imported_: the last batch has arrived.
 };
 
 /// Returns an empty ledger with a new secret from a cryptographic generator.
@@ -86,11 +87,12 @@
                                                  std::uint32_t aCount,
                                                  TimePoint aNow);
 
+/// What the caller of BeginRequest must do.
 enum class BeginResult : std::uint8_t
 {
   kRun,   ///< The caller must run the request now; the record is kRunning.
-  kWait,  ///< The request already runs; its answer comes with FinishRequest.
-  kRepeat ///< The request has ended; its answer is in the record.
+  kWait,  ///< The request already runs; wait for its FinishRequest.
+  kRepeat ///< The request has ended; return the answer in the record.
 };
 
 /// Starts or repeats a request. Errors: kBadRequestId (bad MAC, or another request under the id),
--- a/tests/process/DeduplicationTableTest.cpp
+++ b/tests/process/DeduplicationTableTest.cpp
@@ -12,11 +12,11 @@
   return { { "h" }, aIncarnation, aCall };
 }
 
-Answer MakeAnswer(Outcome aOutcome, std::size_t aBytes = 0)
+Answer MakeAnswer(Outcome aOutcome, std::size_t aBodyBytes = 0)
 {
   Answer answer;
   answer.outcome_ = aOutcome;
-  answer.body_.assign(aBytes, 'x');
+  answer.body_.assign(aBodyBytes, 'x');
   return answer;
 }
 
@@ -65,7 +65,7 @@
   CHECK(table.answerBytes_ == 0);
 }
 
-// Guards against unbounded memory and against the eviction of calls that still run.
+// Guards against unbounded memory use and against the eviction of calls that still run.
 TEST_CASE("the table is bounded and keeps running calls", "[fate]")
 {
   DeduplicationTable table;
@@ -79,7 +79,7 @@
     REQUIRE(table.answerBytes_ <= kMaxKeptAnswerBytes);
   }
   CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kRunning);
-  // There was no room for the body of the last answer, so it can't be returned complete.
+  // There was no room for the body of the last answer, so no complete answer can be returned.
   CHECK(QueryCallStatus(table, Key(3 * kMaxDeduplicationEntries - 1), now).callStatus_ ==
         CallStatus::kForgotten);
 }
--- a/tests/process/RequestLedgerTest.cpp
+++ b/tests/process/RequestLedgerTest.cpp
@@ -33,7 +33,7 @@
   return aResult.assume_error().code_;
 }
 
-/// Reference model of one id.
+/// Expected state of one id, kept by the test.
 struct Reference
 {
   std::string id_;
@@ -47,8 +47,8 @@
 
 } // namespace
 
-// Guards against a request that runs twice: over random orders of begin, finish, repeat, handover
-// and expiry, an id may start only if no earlier run of it may have run.
+// Guards against a request that runs twice, for random interleavings of begin, finish, repeat,
+// handover and expiry: an id may start only if no earlier attempt under it may have run.
 TEST_CASE("an id runs at most once", "[ledger]")
 {
   CHECK(rc::check("random interleavings", [] {
@@ -210,7 +210,8 @@
   }));
 }
 
-// Guards against unbounded memory, and against passing on an answer without its body as complete.
+// Guards against unbounded memory use, and against an answer without its body that is passed on as
+// complete.
 TEST_CASE("ids and stored answers are bounded", "[ledger]")
 {
   RequestLedger ledger = MakeLedger({ "a" }, 1);
