--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-// Maximum number of request ids that one request issues.
+// Maximum number of request ids issued in answer to one request.
 constexpr std::uint64_t kMaxIdsPerRequest = 256;
 
-// A timer that fires later than this indicates a stalled socket thread.
+// A timer that fires this much too late indicates that the socket thread was stalled.
 constexpr Duration kStallThreshold = milliseconds(5);
 
 constexpr std::uint64_t kMaxDeadlineMs = 3'600'000;
@@ -502,10 +502,10 @@
                 [this](const auto& aEntry) { return !targets_->hosts_.contains(aEntry.first); });
 }
 
-void Dispatcher::SetFreshness(TimePoint aFreshness)
+void Dispatcher::SetFreshness(TimePoint aFreshAsOf)
 {
-  if (aFreshness > freshAsOf_) {
-    freshAsOf_ = aFreshness;
+  if (aFreshAsOf > freshAsOf_) {
+    freshAsOf_ = aFreshAsOf;
     suspendedAtFreshness_ = SuspendedTime();
   }
 }
@@ -535,10 +535,10 @@
 {
   while (!calls_.empty()) {
     const CallPointer call = calls_.begin()->second;
-    const bool mayRun =
+    const bool mayHaveRun =
       call->attemptCallId_ != 0 || call->mayHaveRun_ || !call->requestDigest_.empty();
     CancelAttempt(call);
-    if (mayRun) {
+    if (mayHaveRun) {
       EndUnknown(call, ErrorCode::kOutcomeUnknown);
     } else {
       Refuse(call, ErrorCode::kDraining);
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -72,7 +72,7 @@
   void SetConfig(std::shared_ptr<const Config> aConfig);
   void SetTargets(std::shared_ptr<const TargetView> aTargets);
   /// Sets the time at which the configuration was last known to be the latest.
-  void SetFreshness(TimePoint aFreshness);
+  void SetFreshness(TimePoint aFreshAsOf);
   /// Adds granted tokens, which were requested at aRequestedAt, and resumes calls that wait for
   /// them.
   void OnGrant(const ShareGrant& aGrant, TimePoint aRequestedAt);
@@ -118,8 +118,8 @@
     std::uint32_t attemptCount_ = 0;  ///< Attempts sent to guards.
 
     std::string requestId_;      ///< Set if this call runs under a request id.
-    std::uint64_t sequence_ = 0; ///< Record of requestId_ while this host runs it; else 0.
-    std::pair<HostId, Incarnation> ledger_; ///< Key of the ledger that has the record.
+    std::uint64_t sequence_ = 0; ///< Sequence of requestId_ while this host runs it; else 0.
+    std::pair<HostId, Incarnation> ledgerKey_; ///< Host and incarnation that issued requestId_.
     std::string requestDigest_;
 
     std::string contextToken_; ///< Context of the call that this one serves; deeper calls only.
@@ -129,9 +129,9 @@
     bool isOwnerCall_ = false;   ///< Forwarded to, or received by, the host that issued the id.
     bool queriesStatus_ = false; ///< The connection was lost and the call's status is queried.
     std::uint32_t statusQueries_ = 0;
-    bool mayHaveRun_ = false; ///< An attempt ended with outcome unknown.
+    bool mayHaveRun_ = false; ///< An earlier attempt ended with an unknown outcome.
     Target target_;           ///< Target of the current attempt.
-    Hello guard_;             ///< Process that received the current attempt.
+    Hello guardProcess_;      ///< Process that received the lost attempt; set for queriesStatus_.
     TimePoint sentAt_{};
     std::uint32_t lentRetries_ = 0;     ///< Retries lent to the current attempt.
     std::uint64_t localCallNumber_ = 0; ///< Call number at the local guard; 0 if there is none.
@@ -167,6 +167,8 @@
   void FinishRecord(const CallPointer& aCall, const Answer& aAnswer);
 
   // Attempts.
+  /// Chooses the target of the next attempt. Sets aShedUpstream if it skipped a target because of
+  /// its admission level.
   std::optional<Target> SelectTarget(const CallPointer& aCall, bool& aShedUpstream);
   void StartAttempt(const CallPointer& aCall);
   Duration AnswerReserve(const Target& aTarget) const;
@@ -174,6 +176,8 @@
   void EndAttempt(const CallPointer& aCall, AttemptResult aResult, const Answer* aAnswer);
   void OnAttemptAnswer(const CallPointer& aCall, Answer aAnswer);
   void QueryCallStatus(const CallPointer& aCall);
+  /// Returns whether the call may be attempted again, and if so takes the retry from its budget.
+  /// The flags tell how far the last attempt got.
   bool AcquireRetry(const CallPointer& aCall, bool aReachedHost, bool aReachedTarget);
   RetryRatioSettings RetrySettings(const ActiveCall& aCall) const;
   void RetryOrEnd(const CallPointer& aCall, Answer aAnswer, bool aExcludeHost = true);
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -1,4 +1,5 @@
-// Attempts of a call: choice of the target, answers, retries, status queries for lost calls.
+// Chooses the targets of a call's attempts, handles their answers, retries, and queries the status
+// of lost calls.
 #include "peridotquay/process/Dispatcher.h"
 #include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
@@ -92,7 +93,7 @@
   call.sentAt_ = now;
   call.queriesStatus_ = false;
   call.statusQueries_ = 0;
-  call.guard_ = {};
+  call.guardProcess_ = {};
   call.localCallNumber_ = 0;
   call.attemptCallId_ = nextCallId_++;
   call.lentRetries_ = dialect_.hasContexts_ ? LendRetries(call.budget_) : 0;
@@ -118,7 +119,7 @@
 void Dispatcher::OnAnswer(Answer aAnswer, std::uint64_t aLink)
 {
   const auto entry = attempts_.find(aAnswer.callId_);
-  // The answer counts only on the connection on which the call expects it.
+  // An answer is accepted only on the connection on which the call expects it.
   if (entry == attempts_.end() || hub_.LinkOfCall(aAnswer.callId_) != aLink) {
     metrics_.Add(Counter::kDroppedAnswers);
     std::uint64_t skipped = 0;
@@ -167,7 +168,7 @@
 
 void Dispatcher::OnAttemptAnswer(const CallPointer& aCall, Answer aAnswer)
 {
-  // A body shorter than the guard declared is reported as truncated.
+  // A body whose size differs from the declared one is reported as truncated.
   if (aAnswer.outcome_ != Outcome::kNotRun && aCall->call_.method_ != "HEAD" &&
       aAnswer.declaredBodyBytes_ != aAnswer.body_.size()) {
     const std::uint32_t unused = aAnswer.retriesUnused_;
@@ -216,11 +217,11 @@
   }
   // The retry ratio protects slow or failing services. An attempt that reached no host added no
   // load to them.
-  const bool inRatio = !aReachedHost || ConsumeRetryToken(retryRatios_[aCall->call_.service_],
-                                                          RetrySettings(*aCall),
-                                                          loop_.Now(),
-                                                          aCall->mayHaveRun_);
-  if (aCall->budget_.left_ == 0 || !inRatio) {
+  const bool withinRetryRatio =
+    !aReachedHost ||
+    ConsumeRetryToken(
+      retryRatios_[aCall->call_.service_], RetrySettings(*aCall), loop_.Now(), aCall->mayHaveRun_);
+  if (aCall->budget_.left_ == 0 || !withinRetryRatio) {
     metrics_.Add(Counter::kRetriesDenied);
     return false;
   }
@@ -311,7 +312,7 @@
     return;
   }
   if (!call->call_.repeatable_ && !settings_.naive_) {
-    call->guard_ = aCall.peer_;
+    call->guardProcess_ = aCall.peer_;
     QueryCallStatus(call);
     return;
   }
@@ -342,7 +343,7 @@
   const CallPointer call = entry->second;
   const Hello* peer = hub_.PeerOfCall(aReply.callId_);
   // A new incarnation has a new table, so its "never arrived" says nothing about the call.
-  const bool sameIncarnation = peer != nullptr && *peer == call->guard_;
+  const bool sameIncarnation = peer != nullptr && *peer == call->guardProcess_;
   if (sameIncarnation &&
       (aReply.callStatus_ == CallStatus::kRunning || aReply.callStatus_ == CallStatus::kDone ||
        aReply.callStatus_ == CallStatus::kRefused)) {
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -1,4 +1,4 @@
-// Ends calls: deadline, cancellation, refusal, and the answer to the caller.
+// Ends calls (by an answer, a refusal, cancellation or their deadline) and answers their callers.
 #include "peridotquay/process/Dispatcher.h"
 #include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
@@ -79,13 +79,13 @@
   if (!calls_.contains(aCall.get())) {
     return;
   }
-  const bool mayRun = aCall->attemptCallId_ != 0 || aCall->mayHaveRun_;
+  const bool mayHaveRun = aCall->attemptCallId_ != 0 || aCall->mayHaveRun_;
   CancelAttempt(aCall);
-  if (mayRun) {
+  if (mayHaveRun) {
     EndUnknown(aCall, ErrorCode::kDeadlineExceeded);
     return;
   }
-  // A duplicate that waits for a running request: that request may have run, so "not run" would be
+  // A duplicate waits for the answer of the request that runs under its id, so "not run" would be
   // false.
   const bool waitsAsDuplicate = !aCall->requestId_.empty() && !aCall->requestDigest_.empty();
   if (waitsAsDuplicate) {
@@ -264,12 +264,12 @@
 {
   HttpResponse response;
   const auto code = static_cast<ErrorCode>(aAnswer.error_);
-  // An answer of the target is passed on, also with the status of a failure. If the outcome is
+  // An answer of the target is passed on even if its status reports a failure. If its outcome is
   // unknown, it is passed on only with status 504.
   if (aAnswer.status_ == 0 || (aAnswer.outcome_ == Outcome::kUnknown && aAnswer.status_ != 504)) {
-    const auto shown = aAnswer.error_ == 0 ? ErrorCode::kOutcomeUnknown : code;
-    response =
-      dialect_.failure_(shown, aAnswer.outcome_, ErrorDetail(shown), aAnswer.retryAfterMs_);
+    const auto reportedCode = aAnswer.error_ == 0 ? ErrorCode::kOutcomeUnknown : code;
+    response = dialect_.failure_(
+      reportedCode, aAnswer.outcome_, ErrorDetail(reportedCode), aAnswer.retryAfterMs_);
   } else if (IsBodyDropped(aAnswer)) {
     // The request ran, but the body of its answer wasn't stored.
     response = ErrorResponse(
--- a/peridotquay/process/DispatcherInternal.h
+++ b/peridotquay/process/DispatcherInternal.h
@@ -21,7 +21,7 @@
 /// lifetime of an admission level.
 inline constexpr std::uint32_t kShedRetryAfterMs = 1000;
 
-/// An answer that the node makes itself, without status and body. A hint of 0 gives none.
+/// Makes an answer without status and body. aRetryAfterMs of 0 means that it has no retry hint.
 inline Answer MakeAnswer(Outcome aOutcome, ErrorCode aCode, std::uint32_t aRetryAfterMs = 0)
 {
   Answer answer;
@@ -31,7 +31,7 @@
   return answer;
 }
 
-/// The path without its query.
+/// Returns the path without its query.
 inline std::string_view WithoutQuery(std::string_view aPath)
 {
   return aPath.substr(0, aPath.find('?'));
--- a/peridotquay/process/DispatcherRequestIds.cpp
+++ b/peridotquay/process/DispatcherRequestIds.cpp
@@ -1,4 +1,5 @@
-// Requests with an id: records, forwarding to the host that issued the id, handover.
+// Handles requests with an id: keeps their records, forwards them to the host that issued the id,
+// and imports records of leaving hosts.
 #include "peridotquay/process/Dispatcher.h"
 #include "peridotquay/process/DispatcherInternal.h"
 #include "peridotquay/process/Events.h"
@@ -36,7 +37,7 @@
   aCall->requestDigest_ = KeyDigest(call.method_ + "\n" + call.path_ + "\n" +
                                     call.clientAccount_.value_ + "\n" + call.body_);
   if (RequestLedger* ledger = FindLedger(parts.host_, parts.incarnation_)) {
-    aCall->ledger_ = { parts.host_, parts.incarnation_ };
+    aCall->ledgerKey_ = { parts.host_, parts.incarnation_ };
     BeginRecord(aCall, *ledger, parts.sequence_);
     return;
   }
@@ -81,8 +82,8 @@
       }
       return;
     case BeginResult::kWait:
-      waitingDuplicates_[{ aCall->ledger_.first, aCall->ledger_.second, aSequence }].push_back(
-        aCall);
+      waitingDuplicates_[{ aCall->ledgerKey_.first, aCall->ledgerKey_.second, aSequence }]
+        .push_back(aCall);
       return;
     case BeginResult::kRepeat: {
       metrics_.Add(Counter::kDuplicatesAnswered);
@@ -150,13 +151,13 @@
 
 void Dispatcher::FinishRecord(const CallPointer& aCall, const Answer& aAnswer)
 {
-  RequestLedger* ledger = FindLedger(aCall->ledger_.first, aCall->ledger_.second);
+  RequestLedger* ledger = FindLedger(aCall->ledgerKey_.first, aCall->ledgerKey_.second);
   if (ledger == nullptr) {
     return;
   }
   FinishRequest(*ledger, aCall->sequence_, aAnswer);
-  const auto waiting =
-    waitingDuplicates_.find({ aCall->ledger_.first, aCall->ledger_.second, aCall->sequence_ });
+  const auto waiting = waitingDuplicates_.find(
+    { aCall->ledgerKey_.first, aCall->ledgerKey_.second, aCall->sequence_ });
   if (waiting == waitingDuplicates_.end()) {
     return;
   }
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -21,11 +21,12 @@
 // Timeout of a request to the target's health or load endpoint.
 constexpr Duration kPollTimeout = milliseconds(900);
 
-// After this long without an answer to a call, a kept connection is compared with a fresh one.
+// After this long without an answer to a call, the target is probed on a kept and on a fresh
+// connection.
 constexpr Duration kSilenceTimeout = milliseconds(300);
 constexpr Duration kSilenceCheckInterval = milliseconds(100);
 
-// Timeout of the health checks that compare the two connections.
+// Timeout of these two probes.
 constexpr Duration kProbeTimeout = milliseconds(250);
 
 Answer RefusedAnswer(const Call& aCall, ErrorCode aCode, std::uint32_t aRetryAfterMs)
@@ -93,7 +94,7 @@
 
 Guard::~Guard() = default;
 
-void Guard::Run(const Call& aCall, const std::function<void(std::uint64_t)>& aStarted, Done aDone)
+void Guard::Run(const Call& aCall, const std::function<void(std::uint64_t)>& aOnNumber, Done aDone)
 {
   const std::uint64_t number = nextCallNumber_++;
   const TimePoint now = loop_.Now();
@@ -103,7 +104,7 @@
   guardedCall.done_ = std::move(aDone);
   guardedCall.arrivedAt_ = now;
   guardedCall.deadline_ = now + milliseconds(aCall.deadlineMs_);
-  aStarted(number);
+  aOnNumber(number);
   if (draining_ || IsTargetLeaving()) {
     Refuse(number, ErrorCode::kDraining, 0);
     return;
@@ -410,7 +411,7 @@
 
 void Guard::ProbeConnections()
 {
-  // Slow answers alone don't show a silent connection, so a kept connection is needed to compare.
+  // A slow answer alone doesn't show a silent connection, so a kept one is needed for comparison.
   if (probing_ || pollClient_.IdleConnectionCount() == 0) {
     return;
   }
@@ -423,7 +424,7 @@
   auto probe = std::make_shared<ProbeResult>();
   const TimePoint probeStartedAt = loop_.Now();
   const HttpRequest health{ "GET", "/health", {}, "" };
-  // The end of the kept connection counts as an answer, because it isn't silent then.
+  // If the kept connection ends, that counts as an answer, because it isn't silent then.
   const auto kept = pollClient_.Send(
     health, [probe](const TargetResult& /*aResult*/) { probe->keptConnectionAnswered_ = true; });
   freshClient_.CloseIdleConnections();
--- a/peridotquay/process/Guard.h
+++ b/peridotquay/process/Guard.h
@@ -30,7 +30,7 @@
 {
   TargetState state_ = TargetState::kCold;
   std::uint32_t slots_ = 0;       ///< Calls that the target runs at once, as announced.
-  double load_ = 0;               ///< Slots in use as a fraction.
+  double load_ = 0;               ///< Fraction of the slots in use.
   std::uint32_t failedPolls_ = 0; ///< Consecutive polls without a connection.
   bool operator==(const TargetHealth&) const = default;
 };
@@ -44,7 +44,8 @@
   bool operator==(const LocalTarget&) const = default;
 };
 
-/// Used on the socket thread only.
+/// Admits, queues or refuses calls and runs them at the local target. Used on the socket thread
+/// only.
 class Guard
 {
 public:
@@ -59,9 +60,9 @@
   Guard& operator=(const Guard&) = delete;
   ~Guard();
 
-  /// Runs, queues or refuses a call. aStarted receives the number for Cancel before anything else
-  /// happens. aDone is called once, unless the call is cancelled first.
-  void Run(const Call& aCall, const std::function<void(std::uint64_t)>& aStarted, Done aDone);
+  /// Runs, queues or refuses a call. aOnNumber is called first and receives the call number for
+  /// Cancel. aDone is called once, unless the call is cancelled first.
+  void Run(const Call& aCall, const std::function<void(std::uint64_t)>& aOnNumber, Done aDone);
   /// Cancels a call: removes it from the queue, or closes its connection to the target.
   void Cancel(std::uint64_t aCallNumber);
   /// Ends all calls: refuses those that wait, ends those that run with outcome unknown.
@@ -97,7 +98,7 @@
     TimePoint startedAt_{};
     TimePoint deadline_{};
     std::string contextToken_;        ///< Empty while the call waits.
-    std::uint64_t targetRequest_ = 0; ///< Number at client_; 0 while the call waits.
+    std::uint64_t targetRequest_ = 0; ///< Request number at client_; 0 while the call waits.
     std::uint64_t deadlineTimer_ = 0;
   };
 
@@ -113,8 +114,8 @@
   void LogEnd(const GuardedCall& aGuardedCall, const Answer& aAnswer);
   void ScheduleQueueCheck();
   void ScheduleSilenceCheck();
-  /// Queries the target's health on a kept connection and on a fresh one. If only the fresh one
-  /// answers, the open connections have gone silent and are abandoned.
+  /// Queries the target's health on a kept connection and on a fresh one. If it answers only on the
+  /// fresh one, the open connections have gone silent and are abandoned.
   void ProbeConnections();
   void FailSilentCalls(TimePoint aProbeStartedAt);
   HttpRequest TargetRequest(const GuardedCall& aGuardedCall) const;
--- a/peridotquay/process/HttpDialect.h
+++ b/peridotquay/process/HttpDialect.h
@@ -33,7 +33,7 @@
   bool operator==(const TargetLoad&) const = default;
 };
 
-/// Table of names and stateless functions.
+/// Header names, properties and stateless functions of a dialect.
 struct HttpDialect
 {
   std::string_view keyHeader_;      ///< Header with the caller's key.
@@ -41,8 +41,9 @@
   std::string_view deadlineHeader_; ///< Header with the time left in milliseconds.
   /// Header that targets echo, so that a late answer to another request is recognized; or empty.
   std::string_view echoHeader_;
-  /// Deeper calls arrive on a separate address, name the context of the call that they serve, and
-  /// share its retry budget. Otherwise they are requests on open routes.
+  /// Deeper calls, which a target makes while it runs another call, arrive on a separate address,
+  /// name the context of the call that they serve, and share its retry budget. Otherwise they are
+  /// requests on open routes.
   bool hasContexts_ = true;
   bool issuesRequestIds_ = true; ///< Hosts issue request ids and store answers for repeats.
   bool pollsTarget_ = true;      ///< The target's health and load are polled once a second.
@@ -61,7 +62,7 @@
   std::optional<std::uint32_t> (*refusal_)(const HttpResponse& aResponse);
   /// Load stated in an answer; empty if there is none.
   std::optional<TargetLoad> (*load_)(const HttpResponse& aResponse);
-  /// Makes an HTTP answer for a failure; a hint of 0 ms gives none.
+  /// Makes an HTTP answer for a failure. aRetryAfterMs of 0 means that it has no retry hint.
   HttpResponse (*failure_)(ErrorCode aCode,
                            Outcome aOutcome,
                            std::string_view aDetail,
--- a/peridotquay/process/Metrics.h
+++ b/peridotquay/process/Metrics.h
@@ -16,28 +16,28 @@
 /// Events counted since the start of the process. The order is that of the names in Metrics.cpp.
 enum class Counter : std::uint8_t
 {
-  kCallerRequests,         ///< Requests received from callers of the data centre.
-  kOutboundRequests,       ///< Requests received from the local target.
-  kOwnerCalls,             ///< Calls received because this host owns their request id.
-  kAnswersRan,             ///< Requests answered with the outcome "ran".
-  kAnswersNotRun,          ///< Requests answered with the outcome "not run".
-  kAnswersUnknown,         ///< Requests answered with an unknown outcome.
-  kRefusedKey,             ///< Refused because of its key, route or headers.
-  kRefusedRate,            ///< Refused because the client account is over its rate.
-  kRefusedStaleConfig,     ///< Refused because the configuration isn't known to be fresh.
-  kRefusedUpstream,        ///< Refused before sending, because of a guard's admission level.
-  kRefusedDraining,        ///< Refused because this node drains.
-  kAttempts,               ///< Attempts sent to guards, retries included.
-  kRetries,                ///< Attempts after the first of a call.
-  kRetriesDenied,          ///< Retries not made, because a retry budget or ratio was used up.
-  kGuardCalls,             ///< Calls that reached the local guard.
-  kGuardRefused,           ///< Calls that the local guard refused.
-  kTargetCalls,            ///< Calls sent to the local target.
-  kTargetRefusals,         ///< Calls that the local target refused by itself.
-  kTargetAnswersTruncated, ///< The local target's connection ended within an answer.
+  kCallerRequests,     ///< Requests received from callers of the data centre.
+  kOutboundRequests,   ///< Requests received from the local target.
+  kOwnerCalls,         ///< Calls received because this host owns their request id.
+  kAnswersRan,         ///< Requests answered with the outcome "ran".
+  kAnswersNotRun,      ///< Requests answered with the outcome "not run".
+  kAnswersUnknown,     ///< Requests answered with an unknown outcome.
+  kRefusedKey,         ///< Requests refused because of their key, route or headers.
+  kRefusedRate,        ///< Requests refused because the client account is over its rate.
+  kRefusedStaleConfig, ///< Requests refused because the configuration isn't known to be fresh.
+  kRefusedUpstream,    ///< Calls refused without an attempt, because of guards' admission levels.
+  kRefusedDraining,    ///< Requests refused because this node drains.
+  kAttempts,           ///< Attempts sent to guards, retries included.
+  kRetries,            ///< Attempts after the first of a call.
+  kRetriesDenied,      ///< Retries not made, because a retry budget or ratio was used up.
+  kGuardCalls,         ///< Calls that reached the local guard.
+  kGuardRefused,       ///< Calls that the local guard refused.
+  kTargetCalls,        ///< Calls sent to the local target.
+  kTargetRefusals,     ///< Calls that the local target refused by itself.
+  kTargetAnswersTruncated, ///< Answers of the local target that ended too early.
   kTargetAnswersLost,      ///< Calls sent to the local target without an answer.
   kDroppedAnswers,         ///< Answers of peers that no call waits for on their connection.
-  kCallStatusQueries,      ///< Queries to peers whether a call ran.
+  kCallStatusQueries,      ///< Queries to peers about the status of lost calls.
   kRequestIdsIssued,       ///< Request ids given to callers.
   kDuplicatesAnswered      ///< Repeated requests that got the answer of the first one.
 };
--- a/peridotquay/process/Node.cpp
+++ b/peridotquay/process/Node.cpp
@@ -69,8 +69,8 @@
   struct PeerCall
   {
     std::uint64_t link_ = 0;
-    std::uint64_t guardCall_ = 0;
-    /// Key in deduplication_; set if the call must run at most once.
+    std::uint64_t guardCall_ = 0; ///< Call number at the guard.
+    /// Key in deduplication_; set only if the call must run at most once.
     std::optional<CallKey> callKey_;
   };
 
@@ -210,8 +210,8 @@
     callbacks.publishTargets_ = [this](std::shared_ptr<const TargetView> aTargets) {
       loop_.Post([this, targets = std::move(aTargets)] { dispatcher_->SetTargets(targets); });
     };
-    callbacks.publishFreshness_ = [this](TimePoint aFreshness) {
-      loop_.Post([this, aFreshness] { dispatcher_->SetFreshness(aFreshness); });
+    callbacks.publishFreshness_ = [this](TimePoint aFreshAsOf) {
+      loop_.Post([this, aFreshAsOf] { dispatcher_->SetFreshness(aFreshAsOf); });
     };
     callbacks.deliverGrant_ = [this](ShareGrant aGrant, TimePoint aRequestedAt) {
       loop_.Post([this, grant = std::move(aGrant), aRequestedAt] {
@@ -257,7 +257,7 @@
 
   // --- Periodic work ---
 
-  // Queries the local target's health and announces it, then repeats after the interval.
+  // Queries the local target's health, announces it, and schedules the next poll.
   void PollTarget()
   {
     guard_->Poll([this](const TargetHealth& aHealth) {
@@ -374,7 +374,8 @@
     guard_->Cancel(call.guardCall_);
   }
 
-  // Answers whether a call ran, with its answer if it is kept. A running call answers on this link.
+  // Replies with the status of a call, and with its answer if that is kept. The answer of a running
+  // call will be sent on this link.
   void OnCallStatusQuery(const PeerSource& aSource, const CallStatusQuery& aQuery)
   {
     const CallKey key{ aSource.hello_.host_, aQuery.incarnation_, aQuery.callId_ };
@@ -605,10 +606,10 @@
     });
   }
 
-  // Returns the host that takes over the request records, or null if there is none: a host that
-  // isn't leaving before one that is, then a host of the own data centre, then the largest
-  // SuccessorRank. Only hosts of targets are considered, because the view's host table also maps
-  // hosts that left to their successors.
+  // Returns the host that takes over the request records, or null if there is none. Prefers hosts
+  // that aren't leaving, then hosts of the own data centre, then the largest SuccessorRank. Only
+  // hosts of targets are considered, because the view's host table also maps hosts that left to
+  // their successors.
   const Target* ChooseSuccessor() const
   {
     const TargetView* view = dispatcher_->CurrentTargets();
