--- a/peridotquay/process/ConfigStore.cpp
+++ b/peridotquay/process/ConfigStore.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Maximum number of changes in one read. A change has at most 64 KiB.
+/// Maximum number of changes in one read. Each has at most kMaxChangeBytes.
 constexpr std::uint32_t kMaxChangesPerRead = 64;
 
 /// Reads the change of a version; empty if its row doesn't exist.
@@ -82,9 +82,9 @@
   return entities;
 }
 
-auto VersionConflict(Version aWinner)
+auto VersionConflict(Version aStoredVersion)
 {
-  return Fail(ErrorCode::kVersionConflict, "version " + std::to_string(aWinner));
+  return Fail(ErrorCode::kVersionConflict, "version " + std::to_string(aStoredVersion));
 }
 
 /// Commit of a change whose answer was lost.
@@ -106,7 +106,7 @@
   static_cast<void>(aPlatform.Transact(fence));
 }
 
-/// Reads the platform until it shows whether the lost transaction took effect.
+/// Reads the change row and the head row until they show whether the lost transaction took effect.
 Result<Version> ResolveLostCommit(Platform& aPlatform,
                                   const LostCommit& aLost,
                                   const CommitSettings& aSettings)
@@ -139,7 +139,8 @@
               "unknown whether it was written; look for this operation id later");
 }
 
-/// Maximum number of attempts if the head's revision changes without a new version.
+/// Maximum number of attempts to write a change while the head row is rewritten with the same
+/// version.
 constexpr int kMaxWriteAttempts = 4;
 
 /// Writes a checked change if the head row still has the revision in aBase.
--- a/peridotquay/process/ConfigStore.h
+++ b/peridotquay/process/ConfigStore.h
@@ -21,11 +21,11 @@
   bool operator==(const StoredConfig&) const = default;
 };
 
-/// How CommitChange finds out whether a change was written if the answer was lost.
+/// How CommitChange finds out whether a change whose answer was lost was written.
 struct CommitSettings
 {
-  Duration resolveTimeout_ = seconds(10); ///< Maximum time of reading back.
-  Duration resolveInterval_ = milliseconds(200);
+  Duration resolveTimeout_ = seconds(10);        ///< Maximum time for reading the change row back.
+  Duration resolveInterval_ = milliseconds(200); ///< Between these reads.
   /// If the change row is still absent after this time, the change is prevented from taking effect
   /// later.
   Duration fenceDelay_ = seconds(3);
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -75,8 +75,8 @@
          ")\n" + EditsText(aChange.edits_);
 }
 
-/// Reports that a change was written for a version that is no longer the latest: the latest version
-/// and the changes that led to it.
+/// Reports that a change is based on a version that is no longer the latest, and the changes since
+/// that version.
 OperatorReport ReportConflict(Platform& aPlatform, const Error& aError, Version aExpectedVersion)
 {
   auto report = ReportError(aError);
@@ -168,13 +168,13 @@
 struct PreparedChange
 {
   std::vector<EntityEdit> edits_;
-  /// The change takes a key out of force, so that a wait for it must also cover hosts that can't be
-  /// reached: it lasts until they have passed the freshness bound.
+  /// The change withdraws or removes a key. A wait for it also succeeds once the freshness bound
+  /// has passed, because hosts that can't be reached no longer serve keyed routes then.
   bool revokesKey_ = false;
 };
 
-/// Checks the operator's name and summary. Control characters are refused, because they could forge
-/// lines of a printed history.
+/// Checks the operator's name and the summary. Control characters are refused, because they could
+/// forge lines of a printed history.
 Result<void> CheckAuditFields(const WriteOptions& aOptions)
 {
   const auto printable = [](char aChar) { return aChar >= 0x20 && aChar < 0x7f; };
--- a/peridotquay/process/OperatorCommands.h
+++ b/peridotquay/process/OperatorCommands.h
@@ -41,7 +41,7 @@
                             const WriteOptions& aOptions);
 
 /// "history": reports the latest changes, at most aLimit, oldest first. If aOperationId isn't
-/// empty, only the change with that id among them.
+/// empty, reports only the one of them with that id.
 OperatorReport HistoryCommand(Platform& aPlatform,
                               std::uint32_t aLimit,
                               const std::string& aOperationId);
--- a/peridotquay/process/PlatformCall.cpp
+++ b/peridotquay/process/PlatformCall.cpp
@@ -58,7 +58,7 @@
 PlatformAnswer RunPlatformCall(Platform& aPlatform, const PlatformCall& aCall)
 {
   PlatformAnswer answer;
-  std::visit([&](const auto& aDetail) { Run(aPlatform, aDetail, answer); }, aCall);
+  std::visit([&](const auto& aTypedCall) { Run(aPlatform, aTypedCall, answer); }, aCall);
   return answer;
 }
 
--- a/peridotquay/process/Settings.cpp
+++ b/peridotquay/process/Settings.cpp
@@ -268,7 +268,7 @@
     ReadInteger(aDocument, "target_connections", 1, 65535, settings.maxTargetConnections_));
   BOOST_OUTCOME_TRYV(
     ReadInteger(aDocument, "caller_connections", 1, 65535, settings.maxCallerConnections_));
-  // A body and its headers travel in one frame of at most 1 MiB, so the sum of both limits stays
+  // A body and its headers are sent in one frame of at most 1 MiB, so the sum of both limits is
   // below that.
   BOOST_OUTCOME_TRYV(ReadInteger(
     aDocument, "max_body_bytes", 0, std::int64_t{ 960 } * 1024, settings.maxBodyBytes_));
--- a/peridotquay/process/Settings.h
+++ b/peridotquay/process/Settings.h
@@ -20,7 +20,7 @@
   ServiceId service_;
   Address callers_{ "127.0.0.1", 0 };      ///< HTTP for callers of the data centre.
   Address outbound_{ "127.0.0.1", 0 };     ///< HTTP for calls that the local target makes.
-  Address peers_{ "127.0.0.1", 0 };        ///< TCP for frames and UDP for probes, both with peers.
+  Address peers_{ "127.0.0.1", 0 };        ///< TCP for frames and UDP for probes of peers.
   Address admin_{ "127.0.0.1", 0 };        ///< HTTP for status, metrics and drain.
   Address target_{ "127.0.0.1", 0 };       ///< The local target's HTTP address.
   std::vector<Address> seedPeers_;         ///< Peer addresses of hosts to contact at start.
@@ -29,13 +29,13 @@
   std::string logDirectory_;                  ///< If empty, logs go to standard error.
   std::uint32_t maxTargetConnections_ = 400;  ///< Simultaneous connections to the local target.
   std::uint32_t maxCallerConnections_ = 4096; ///< Simultaneous connections of callers.
-  /// Size of a request or answer body. A body travels in one frame of at most 1 MiB.
+  /// Maximum size of a request or answer body. A body is sent in one frame of at most 1 MiB.
   std::size_t maxBodyBytes_ = std::size_t{ 768 } * 1024;
   std::size_t maxHeaderBytes_ = std::size_t{ 16 } * 1024;
   Duration readTimeout_ = seconds(5);   ///< Time within which a whole request must arrive.
-  Duration drainTimeout_ = seconds(30); ///< After it, a drain abandons the calls in flight.
-  /// Time from the start of a drain during which new requests are still accepted, for callers that
-  /// don't know of it yet. The target is announced as draining after half of this time.
+  Duration drainTimeout_ = seconds(30); ///< After this time a drain abandons the calls in flight.
+  /// For this long after the start of a drain, new requests are still accepted, because callers may
+  /// not know of the drain yet. The target is announced as draining after half of this time.
   Duration drainAcceptPeriod_{};
   Duration targetIdleTimeout_ = seconds(30); ///< Closes connections to the target unused this long.
   std::uint64_t randomSeed_ = 0; ///< Seed of all random choices; 0 takes one from the system.
--- a/peridotquay/process/TomlFile.cpp
+++ b/peridotquay/process/TomlFile.cpp
@@ -64,10 +64,10 @@
   }
   std::uint16_t port = 0;
   const auto parsed = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-  const bool whole = parsed.ec == std::errc() && parsed.ptr == digits.data() + digits.size();
+  const bool isPort = parsed.ec == std::errc() && parsed.ptr == digits.data() + digits.size();
   boost::system::error_code error;
   boost::asio::ip::make_address(std::string(ip), error);
-  if (!whole || digits.empty() || error) {
+  if (!isPort || digits.empty() || error) {
     return std::nullopt;
   }
   return Address{ std::string(ip), port };
