--- a/peridotquay/process/ControlActor.h
+++ b/peridotquay/process/ControlActor.h
@@ -41,7 +41,7 @@
   HostId successor_;
 };
 
-/// The ranking of the members changed, which names the delegates and the share leader.
+/// The ranking of the members, which gives the delegates and the share leader, changed.
 struct RankingUpdate
 {
   std::shared_ptr<const MemberRanking> ranking_;
@@ -53,14 +53,14 @@
   std::shared_ptr<const Config> config_;
 };
 
-/// Addresses of hosts that the contact rows of the platform name.
+/// Addresses of hosts from the contact rows of the platform.
 struct ContactUpdate
 {
   std::vector<Address> contacts_;
 };
 
-/// Summaries from membership, to which the version actor adds version and freshness before it sends
-/// them.
+/// Data centre summaries from membership. The version actor adds the version and the freshness,
+/// then sends them.
 struct SummaryBatch
 {
   std::vector<ControlMessage> summaries_;
--- a/peridotquay/process/ControlActorMembership.cpp
+++ b/peridotquay/process/ControlActorMembership.cpp
@@ -10,7 +10,7 @@
 
 using TickAtom = caf::atom_constant<caf::atom("tick")>;
 
-// Minimum interval between publications for which only loads changed. Loads alone change routes
+// Minimum interval between publications if only loads changed, because loads alone affect routing
 // little.
 constexpr Duration kLoadPublishInterval = seconds(1);
 
--- a/peridotquay/process/ControlPlane.h
+++ b/peridotquay/process/ControlPlane.h
@@ -32,8 +32,8 @@
   std::function<void(TimePoint)> publishFreshness_;
   /// Delivers granted tokens. The time is when they were requested, by this node's clock.
   std::function<void(ShareGrant, TimePoint)> deliverGrant_;
-  /// Sets what is known of the local target, on platforms where the target reports its state to the
-  /// control plane. Unlike the others, it must be called on the socket thread.
+  /// Sets the state of the local target, on platforms where the target reports it to the control
+  /// plane. Unlike the others, it must be called on the socket thread.
   std::function<void(const LocalTarget&)> setTarget_;
   /// Event loop of the socket thread, for a control plane that runs on it.
   EventLoop* loop_ = nullptr;
@@ -43,7 +43,8 @@
 struct ControlStatus
 {
   Version version_ = 0;
-  std::uint64_t freshnessAgeMs_ = 0; ///< Time since the configuration was known to be the newest.
+  /// Time since the configuration was last known to be the newest.
+  std::uint64_t freshnessAgeMs_ = 0;
   std::uint32_t membersAlive_ = 0;
   std::uint32_t membersSuspect_ = 0;
   bool delegate_ = false;    ///< This node is a delegate of its data centre.
--- a/peridotquay/process/MakeControlPlane.cpp
+++ b/peridotquay/process/MakeControlPlane.cpp
@@ -51,7 +51,7 @@
   return entry;
 }
 
-std::shared_ptr<Platform> MakeClient(const NodeSettings& aSettings)
+std::shared_ptr<Platform> MakePlatform(const NodeSettings& aSettings)
 {
   PlatformClientSettings settings;
   settings.addresses_ = aSettings.platformAddresses_;
@@ -71,8 +71,8 @@
     const ControlContext context{ std::move(aCallbacks), status_ };
     // Versions and shares use separate platform clients, so that a slow read of configuration
     // changes doesn't delay the renewal of the share lease.
-    versionPlatform_ = SpawnPlatformActor(system_, MakeClient(aSettings));
-    sharePlatform_ = SpawnPlatformActor(system_, MakeClient(aSettings));
+    versionPlatform_ = SpawnPlatformActor(system_, MakePlatform(aSettings));
+    sharePlatform_ = SpawnPlatformActor(system_, MakePlatform(aSettings));
     shares_ = SpawnShareActor(
       system_,
       context,
@@ -107,14 +107,14 @@
 
   void OnPeerMessage(const Hello& aFrom, const Address& aPeer, PeerMessage aMessage) override
   {
-    const bool summary = std::holds_alternative<DataCentreSummary>(aMessage);
-    if (summary || std::holds_alternative<MemberTable>(aMessage)) {
+    const bool isSummary = std::holds_alternative<DataCentreSummary>(aMessage);
+    if (isSummary || std::holds_alternative<MemberTable>(aMessage)) {
       caf::anon_send(membership_, ReceivedPeerMessage{ aFrom, aPeer, aMessage });
     }
     if (std::holds_alternative<ShareRequest>(aMessage) ||
         std::holds_alternative<ShareGrant>(aMessage)) {
       caf::anon_send(shares_, ReceivedPeerMessage{ aFrom, aPeer, std::move(aMessage) });
-    } else if (summary || std::holds_alternative<SyncRequest>(aMessage) ||
+    } else if (isSummary || std::holds_alternative<SyncRequest>(aMessage) ||
                std::holds_alternative<SyncReply>(aMessage) ||
                std::holds_alternative<VersionPush>(aMessage)) {
       caf::anon_send(versions_, ReceivedPeerMessage{ aFrom, aPeer, std::move(aMessage) });
--- a/tests/process/ControlPlaneTest.cpp
+++ b/tests/process/ControlPlaneTest.cpp
@@ -41,14 +41,14 @@
 class Fleet
 {
 public:
-  Fleet(std::size_t aNodes, const Address& aPlatform)
-    : dataPlanes_(aNodes)
-    , controlPlanes_(aNodes)
+  Fleet(std::size_t aNodeCount, const Address& aPlatform)
+    : dataPlanes_(aNodeCount)
+    , controlPlanes_(aNodeCount)
   {
-    for (std::size_t i = 0; i < aNodes; ++i) {
+    for (std::size_t i = 0; i < aNodeCount; ++i) {
       dataPlanes_[i] = std::make_unique<FakeDataPlane>();
     }
-    for (std::size_t i = 0; i < aNodes; ++i) {
+    for (std::size_t i = 0; i < aNodeCount; ++i) {
       Start(i, aPlatform);
     }
   }
@@ -71,18 +71,18 @@
   std::vector<std::unique_ptr<ControlPlane>> controlPlanes_;
 
 private:
-  void Start(std::size_t aNode, const Address& aPlatform)
+  void Start(std::size_t aIndex, const Address& aPlatform)
   {
     NodeSettings settings;
-    settings.host_.value_ = "h" + std::to_string(aNode);
+    settings.host_.value_ = "h" + std::to_string(aIndex);
     settings.dataCentre_.value_ = "a";
     settings.service_.value_ = "s";
-    settings.peers_ = { "127.0.0.1", static_cast<std::uint16_t>(aNode + 1) };
+    settings.peers_ = { "127.0.0.1", static_cast<std::uint16_t>(aIndex + 1) };
     settings.seedPeers_ = { { "127.0.0.1", 1 } };
     settings.platformAddresses_ = { aPlatform };
     settings.randomSeed_ = 5;
-    const Hello hello{ kPeerProtocolVersion, settings.host_, 1000 + aNode, settings.dataCentre_ };
-    auto* dataPlane = dataPlanes_[aNode].get();
+    const Hello hello{ kPeerProtocolVersion, settings.host_, 1000 + aIndex, settings.dataCentre_ };
+    auto* dataPlane = dataPlanes_[aIndex].get();
     DataPlaneCallbacks callbacks;
     const auto deliver = [this](const Address& aTo,
                                 const std::function<void(ControlPlane&)>& aDeliver) {
@@ -121,7 +121,7 @@
     };
     auto plane = MakeControlPlane(settings, hello.incarnation_, std::move(callbacks));
     const std::lock_guard<std::mutex> lock(mutex_);
-    controlPlanes_[aNode] = std::move(plane);
+    controlPlanes_[aIndex] = std::move(plane);
   }
 
   std::mutex mutex_;
--- a/tests/process/ShareLeaseTest.cpp
+++ b/tests/process/ShareLeaseTest.cpp
@@ -152,12 +152,12 @@
   }
 
   // Requests tokens from a candidate every 50 ms and returns how many were used.
-  double RequestTokensFor(std::size_t aIndex, Duration aLength, double aEach = 5)
+  double RequestTokensFor(std::size_t aIndex, Duration aLength, double aTokensPerRequest = 5)
   {
     double used = 0;
     for (auto end = now_ + aLength; now_ < end;) {
       Run(milliseconds(50));
-      used += RequestTokens(aIndex, aEach);
+      used += RequestTokens(aIndex, aTokensPerRequest);
     }
     return used;
   }
