--- a/peridotquay/process/RolloutStatus.cpp
+++ b/peridotquay/process/RolloutStatus.cpp
@@ -17,8 +17,8 @@
 /// Maximum freshness bound that a configuration can set.
 constexpr Duration kMaxFreshnessBound = seconds(3600);
 
-/// Time for which a replaced bound counts: twice the maximum bound, because the times come from the
-/// clocks of operators' machines.
+/// Time for which a replaced bound is taken into account: twice the maximum bound, because the
+/// times come from the clocks of operators' machines.
 constexpr std::uint64_t kReplacedBoundLifetimeMs = 7200000;
 
 /// Maximum number of watermark rows in one read. Rows of removed data centres remain.
--- a/peridotquay/process/RolloutStatus.h
+++ b/peridotquay/process/RolloutStatus.h
@@ -18,9 +18,9 @@
   DataCentreId dataCentre_;
   bool reported_ = false;                ///< The data centre has a watermark row.
   Version version_ = 0;                  ///< Version of the watermark.
-  std::vector<std::string> lagging_;     ///< Some of the hosts without the wanted version.
+  std::vector<std::string> lagging_;     ///< Some of the hosts without the queried version.
   std::vector<std::string> unreachable_; ///< Hosts that can't be reached.
-  bool inForce_ = false; ///< The wanted version is in force at every host, and all are reachable.
+  bool inForce_ = false; ///< The queried version is in force at every host, and all are reachable.
   bool operator==(const DataCentreRollout&) const = default;
 };
 
