--- a/peridotquay/process/RolloutStatus.cpp
+++ b/peridotquay/process/RolloutStatus.cpp
@@ -168,7 +168,8 @@
     if (result.inForce_ || result.waited_ >= aSettings.timeout_) {
       break;
     }
-    std::this_thread::sleep_for(std::min(aSettings.interval_, aSettings.timeout_ - result.waited_));
+    std::this_thread::sleep_for(
+      std::min(aSettings.readInterval_, aSettings.timeout_ - result.waited_));
   }
   if (!anyRead && !result.inForce_ && failure) {
     return BOOST_OUTCOME_V2_NAMESPACE::failure(*failure);
--- a/peridotquay/process/RolloutStatus.h
+++ b/peridotquay/process/RolloutStatus.h
@@ -56,7 +56,7 @@
   Version version_ = 0;
   std::vector<DataCentreId> dataCentres_;
   Duration timeout_ = seconds(15);
-  Duration interval_ = milliseconds(100);
+  Duration readInterval_ = milliseconds(100);
   /// For withdrawals of keys: hosts without the version stop serving keyed routes this long after
   /// it was written, so the wait ends this long after the call. Empty for other changes.
   std::optional<Duration> freshnessBound_;
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -404,7 +404,7 @@
                                   { .version_ = 5,
                                     .dataCentres_ = sites,
                                     .timeout_ = milliseconds(300),
-                                    .interval_ = milliseconds(20),
+                                    .readInterval_ = milliseconds(20),
                                     .freshnessBound_ = aBound }));
   };
   report("north", 5, {});
