--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -117,7 +117,7 @@
 Duration Dispatcher::FreshnessAge() const
 {
   // The monotonic clock stops while the host is suspended, but a key may be withdrawn meanwhile.
-  return loop_.Now() - freshAsOf_ + (SuspendedTime() - suspendedAtFreshness_);
+  return loop_.Now() - freshAsOf_ + (SuspendedTime() - suspendedTimeAtFreshness_);
 }
 
 const ServiceId& Dispatcher::ChooseService(const Route& aRoute)
@@ -506,7 +506,7 @@
 {
   if (aFreshAsOf > freshAsOf_) {
     freshAsOf_ = aFreshAsOf;
-    suspendedAtFreshness_ = SuspendedTime();
+    suspendedTimeAtFreshness_ = SuspendedTime();
   }
 }
 
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -208,7 +208,7 @@
   std::shared_ptr<const Config> config_;
   std::shared_ptr<const TargetView> targets_;
   TimePoint freshAsOf_{};
-  Duration suspendedAtFreshness_{}; ///< SuspendedTime() when freshAsOf_ was set.
+  Duration suspendedTimeAtFreshness_{}; ///< SuspendedTime() when freshAsOf_ was set.
   RoutingState routing_;
   TokenCache tokens_;
   NaiveState naive_;
