--- a/peridotquay/process/ControlActor.h
+++ b/peridotquay/process/ControlActor.h
@@ -41,7 +41,7 @@
   HostId successor_;
 };
 
-/// The ranking of the members, which gives the delegates and the share leader, changed.
+/// The ranking of the members changed. It determines the delegates and the share leader.
 struct RankingUpdate
 {
   std::shared_ptr<const MemberRanking> ranking_;
--- a/peridotquay/process/ControlActorShare.cpp
+++ b/peridotquay/process/ControlActorShare.cpp
@@ -17,7 +17,7 @@
 // Token requests without an answer are removed after this time; their grants would have expired.
 constexpr Duration kTokenRequestTimeout = seconds(2);
 
-// Token request of the data plane that wasn't answered yet.
+// Token request of the data plane that hasn't been answered yet.
 struct PendingTokenRequest
 {
   std::uint64_t nonce_ = 0; ///< Nonce that the data plane chose.
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -131,7 +131,7 @@
     std::uint32_t statusQueries_ = 0;
     bool mayHaveRun_ = false; ///< An earlier attempt ended with an unknown outcome.
     Target target_;           ///< Target of the current attempt.
-    Hello guardProcess_;      ///< Process that received the lost attempt; set for queriesStatus_.
+    Hello guardProcess_;      ///< Process that received the lost attempt, if queriesStatus_.
     TimePoint sentAt_{};
     std::uint32_t lentRetries_ = 0;     ///< Retries lent to the current attempt.
     std::uint64_t localCallNumber_ = 0; ///< Call number at the local guard; 0 if there is none.
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -94,7 +94,9 @@
 
 Guard::~Guard() = default;
 
-void Guard::Run(const Call& aCall, const std::function<void(std::uint64_t)>& aOnNumber, Done aDone)
+void Guard::Run(const Call& aCall,
+                const std::function<void(std::uint64_t)>& aOnRegistered,
+                Done aDone)
 {
   const std::uint64_t number = nextCallNumber_++;
   const TimePoint now = loop_.Now();
@@ -104,7 +106,7 @@
   guardedCall.done_ = std::move(aDone);
   guardedCall.arrivedAt_ = now;
   guardedCall.deadline_ = now + milliseconds(aCall.deadlineMs_);
-  aOnNumber(number);
+  aOnRegistered(number);
   if (draining_ || IsTargetLeaving()) {
     Refuse(number, ErrorCode::kDraining, 0);
     return;
--- a/peridotquay/process/Guard.h
+++ b/peridotquay/process/Guard.h
@@ -60,9 +60,9 @@
   Guard& operator=(const Guard&) = delete;
   ~Guard();
 
-  /// Runs, queues or refuses a call. aOnNumber is called first and receives the call number for
+  /// Runs, queues or refuses a call. aOnRegistered is called first and receives the call number for
   /// Cancel. aDone is called once, unless the call is cancelled first.
-  void Run(const Call& aCall, const std::function<void(std::uint64_t)>& aOnNumber, Done aDone);
+  void Run(const Call& aCall, const std::function<void(std::uint64_t)>& aOnRegistered, Done aDone);
   /// Cancels a call: removes it from the queue, or closes its connection to the target.
   void Cancel(std::uint64_t aCallNumber);
   /// Ends all calls: refuses those that wait, ends those that run with outcome unknown.
