--- a/peridotquay/request/Admission.cpp
+++ b/peridotquay/request/Admission.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 /// Weight of one service time in the moving averages.
-constexpr double kServiceWeight = 0.1;
+constexpr double kServiceTimeWeight = 0.1;
 
 /// The averages halve in this time without new samples. Without the decay a short slowdown could
 /// make every call look too late, and no call would run to correct the average.
-constexpr double kServiceHalfLifeSeconds = 0.5;
+constexpr double kServiceTimeHalfLifeSeconds = 0.5;
 
 /// Minimum length of a window in time and in calls. Shorter windows are mostly noise.
 constexpr Duration kMinWindowPeriod = milliseconds(20);
@@ -88,7 +88,7 @@
 
 /// A class is starved, and may be closed to callers' hosts, if a smaller fraction of its offered
 /// calls is started.
-constexpr double kClosedClassFraction = 0.02;
+constexpr double kMaxStarvedFraction = 0.02;
 
 /// Consecutive starved intervals before a class is closed. A burst of more important calls can
 /// starve a class for one interval.
@@ -135,7 +135,7 @@
 double ExpectedServiceSeconds(const AdmissionState& aState, TimePoint aNow)
 {
   const double age = std::max(0.0, ToSeconds(aNow - aState.lastSampleAt_));
-  return aState.serviceSeconds_ * std::exp2(-age / kServiceHalfLifeSeconds);
+  return aState.serviceSeconds_ * std::exp2(-age / kServiceTimeHalfLifeSeconds);
 }
 
 /// Expected service time of the call's route, or of all routes if its route has no samples.
@@ -148,7 +148,7 @@
     return ExpectedServiceSeconds(aState, aNow);
   }
   const double age = std::max(0.0, ToSeconds(aNow - route->second.lastSampleAt_));
-  return route->second.seconds_ * std::exp2(-age / kServiceHalfLifeSeconds);
+  return route->second.seconds_ * std::exp2(-age / kServiceTimeHalfLifeSeconds);
 }
 
 std::uint32_t RetryAfterMs(const AdmissionState& aState, TimePoint aNow)
@@ -269,25 +269,25 @@
 /// in the least important class, the latest call of the account with the most calls for its weight.
 WaitingCall RemoveCallToShed(AdmissionState& aState, const WaitingCall& aCall)
 {
-  std::size_t worst = aState.queues_.size() - 1;
-  while (worst > Index(aCall.importance_) && aState.queues_[worst].size_ == 0) {
-    --worst;
+  std::size_t leastImportant = aState.queues_.size() - 1;
+  while (leastImportant > Index(aCall.importance_) && aState.queues_[leastImportant].size_ == 0) {
+    --leastImportant;
   }
-  if (worst == Index(aCall.importance_) && aState.queues_[worst].size_ == 0) {
+  if (leastImportant == Index(aCall.importance_) && aState.queues_[leastImportant].size_ == 0) {
     return aCall;
   }
-  ClassQueue& queue = aState.queues_[worst];
-  const bool isCandidate = worst == Index(aCall.importance_);
+  ClassQueue& queue = aState.queues_[leastImportant];
+  const bool isNewCallCandidate = leastImportant == Index(aCall.importance_);
   auto victim = queue.accounts_.end();
   double maxExcess = 0;
-  if (isCandidate) {
+  if (isNewCallCandidate) {
     const auto own = queue.accounts_.find(aCall.clientAccount_);
     const std::size_t calls = own == queue.accounts_.end() ? 0 : own->second.calls_.size();
     maxExcess = (static_cast<double>(calls) + 1) / Weight(aCall);
   }
   for (auto entry = queue.accounts_.begin(); entry != queue.accounts_.end(); ++entry) {
     const auto& calls = entry->second.calls_;
-    if (calls.empty() || (isCandidate && entry->first == aCall.clientAccount_)) {
+    if (calls.empty() || (isNewCallCandidate && entry->first == aCall.clientAccount_)) {
       continue;
     }
     const double excess = static_cast<double>(calls.size()) / Weight(calls.back());
@@ -305,28 +305,28 @@
   return call;
 }
 
-/// Starts a trial with a lower limit.
-void BeginTrial(AdmissionState& aState, double aMean, TimePoint aNow)
+/// Starts a trial with a lower limit. aMeanSeconds is the mean service time before it.
+void BeginTrial(AdmissionState& aState, double aMeanSeconds, TimePoint aNow)
 {
   LimitWindow& window = aState.window_;
   window.trial_ = LimitWindow::Trial::kSettling;
   window.ignoredCalls_ = std::max(1U, aState.running_);
   window.limitBeforeTrial_ = aState.limit_;
-  window.latencyBeforeTrialSeconds_ = aMean;
+  window.latencyBeforeTrialSeconds_ = aMeanSeconds;
   window.lastTrialAt_ = aNow;
   SetLimit(aState, aState.limit_ * kTrialLimitFraction);
 }
 
-/// Ends a trial: keeps a lower limit if aMean, the mean service time under it, confirms that the
-/// latency depends on the limit.
-void EndTrial(AdmissionState& aState, double aMean, TimePoint aNow)
+/// Ends a trial: keeps a lower limit if aMeanSeconds, the mean service time under it, confirms that
+/// the latency depends on the limit.
+void EndTrial(AdmissionState& aState, double aMeanSeconds, TimePoint aNow)
 {
   LimitWindow& window = aState.window_;
   window.trial_ = LimitWindow::Trial::kNone;
-  if (aMean <= window.latencyBeforeTrialSeconds_ * kMaxConfirmedLatencyRatio) {
+  if (aMeanSeconds <= window.latencyBeforeTrialSeconds_ * kMaxConfirmedLatencyRatio) {
     aState.lastDecreaseAt_ = aNow;
     aState.slotsContradicted_ = true;
-    // Calls queue inside the target, so that their latency is proportional to the limit. At this
+    // Calls queue inside the target, so their latency is proportional to the limit. At this
     // fraction of the limit it would be back at the floor.
     const double fraction =
       std::max(kMinTrialResultFraction, aState.floorSeconds_ / window.latencyBeforeTrialSeconds_);
@@ -336,7 +336,7 @@
     return;
   }
   // A lower limit doesn't make the target faster: it became slower for another reason.
-  aState.floorSeconds_ = aMean;
+  aState.floorSeconds_ = aMeanSeconds;
   aState.floorConfirmedAt_ = aNow;
   SetLimit(aState, window.limitBeforeTrial_);
 }
@@ -344,13 +344,13 @@
 void GrowLimit(AdmissionState& aState, TimePoint aNow)
 {
   const LimitWindow& window = aState.window_;
-  const bool refusedLately =
+  const bool refusedRecently =
     window.refusedAtLimit_ > 0 && aNow - aState.lastDecreaseAt_ < kRefusalRetention;
-  const double nearRefusal =
-    refusedLately ? kNearRefusalFraction * window.refusedAtLimit_ : MaxLimit(aState);
-  const double slow = aState.limit_ + kSlowGrowthPerSecond * ToSeconds(aNow - window.start_);
-  const double fast = aState.limit_ + std::max(1.0, kGrowthFractionPerWindow * aState.limit_);
-  SetLimit(aState, std::max(slow, std::min(fast, nearRefusal)));
+  const double maxFastLimit =
+    refusedRecently ? kNearRefusalFraction * window.refusedAtLimit_ : MaxLimit(aState);
+  const double slowLimit = aState.limit_ + kSlowGrowthPerSecond * ToSeconds(aNow - window.start_);
+  const double fastLimit = aState.limit_ + std::max(1.0, kGrowthFractionPerWindow * aState.limit_);
+  SetLimit(aState, std::max(slowLimit, std::min(fastLimit, maxFastLimit)));
 }
 
 /// Detects refusals that don't depend on the limit, because they continue at a small fraction of
@@ -378,24 +378,24 @@
 {
   LimitWindow& window = aState.window_;
   DetectRandomRefusals(aState, aNow);
-  const double mean = window.sumSeconds_ / window.samples_;
+  const double meanSeconds = window.sumSeconds_ / window.samples_;
   if (window.trial_ == LimitWindow::Trial::kMeasuring) {
-    EndTrial(aState, mean, aNow);
+    EndTrial(aState, meanSeconds, aNow);
     return;
   }
   if (aState.floorSeconds_ <= 0) {
-    aState.floorSeconds_ = mean;
+    aState.floorSeconds_ = meanSeconds;
     aState.floorConfirmedAt_ = aNow;
-  } else if (mean < kFloorDropRatio * aState.floorSeconds_) {
+  } else if (meanSeconds < kFloorDropRatio * aState.floorSeconds_) {
     // The target became faster. The limit doesn't grow before the mean has settled.
-    aState.floorSeconds_ = mean;
+    aState.floorSeconds_ = meanSeconds;
     aState.floorConfirmedAt_ = aNow;
     return;
-  } else if (mean < aState.floorSeconds_) {
-    aState.floorSeconds_ += 0.1 * (mean - aState.floorSeconds_);
+  } else if (meanSeconds < aState.floorSeconds_) {
+    aState.floorSeconds_ += 0.1 * (meanSeconds - aState.floorSeconds_);
     aState.floorConfirmedAt_ = aNow;
   }
-  const double ratio = mean / aState.floorSeconds_;
+  const double ratio = meanSeconds / aState.floorSeconds_;
   // The limit grows only if it was reached: that of an idle target would grow without bound.
   const bool limitReached = window.peakRunning_ + 1 >= aState.limit_;
   if (ratio < kMaxGrowthRatio) {
@@ -408,12 +408,13 @@
   // A single slow window is often chance. A trial after it would find a lower latency by chance too
   // and wrongly confirm the lower limit.
   window.slowWindows_ = ratio >= kMinTrialRatio ? window.slowWindows_ + 1 : 0;
-  window.slowSeconds_ = window.slowWindows_ > 1 ? window.slowSeconds_ + mean : mean;
+  window.slowMeanSumSeconds_ =
+    window.slowWindows_ > 1 ? window.slowMeanSumSeconds_ + meanSeconds : meanSeconds;
   const bool trialDue = aNow - window.lastTrialAt_ >= kMinTrialInterval;
   if (window.slowWindows_ >= kSlowWindowsBeforeTrial || trialDue) {
-    const double slowMean = window.slowSeconds_ / std::max(1U, window.slowWindows_);
+    const double slowMeanSeconds = window.slowMeanSumSeconds_ / std::max(1U, window.slowWindows_);
     window.slowWindows_ = 0;
-    BeginTrial(aState, slowMean, aNow);
+    BeginTrial(aState, slowMeanSeconds, aNow);
   }
 }
 
@@ -437,19 +438,20 @@
     return;
   }
   RouteServiceTime& route = aState.routes_[aRoute];
-  route.seconds_ =
-    route.seconds_ <= 0 ? aSeconds : route.seconds_ + kServiceWeight * (aSeconds - route.seconds_);
+  route.seconds_ = route.seconds_ <= 0
+                     ? aSeconds
+                     : route.seconds_ + kServiceTimeWeight * (aSeconds - route.seconds_);
   route.lastSampleAt_ = aNow;
 }
 
 /// Adds a service time to the average and the window, and adapts the limit when the window ends.
 void RecordServiceTime(AdmissionState& aState, const ServiceTime& aServiceTime, TimePoint aNow)
 {
-  const double service = std::max(0.0, ToSeconds(aServiceTime.total_));
+  const double serviceSeconds = std::max(0.0, ToSeconds(aServiceTime.total_));
   aState.serviceSeconds_ =
     aState.serviceSeconds_ <= 0
-      ? service
-      : aState.serviceSeconds_ + kServiceWeight * (service - aState.serviceSeconds_);
+      ? serviceSeconds
+      : aState.serviceSeconds_ + kServiceTimeWeight * (serviceSeconds - aState.serviceSeconds_);
   aState.lastSampleAt_ = aNow;
 
   if (!aState.settings_.adaptive_) {
@@ -520,19 +522,18 @@
 }
 
 /// Closes the lowest open class if hardly any of its calls are started, or opens the next class if
-/// there is room. A class that is started in part stays wholly open: callers' hosts don't know the
-/// fair shares, so that refusing a fraction there would also refuse calls of accounts below their
-/// share. In the policy trials (bench/policy_trials.cpp) that cost the worst account half of its
-/// share.
+/// there is room. A class of which some calls are started stays fully open: callers' hosts don't
+/// know the fair shares, so refusing a fraction there would also refuse calls of accounts below
+/// their share. In bench/policy_trials.cpp this cost the worst-served account half of its share.
 void UpdateOpenClasses(AdmissionState& aState)
 {
   std::size_t& open = aState.openClasses_;
   const std::size_t lowest = open - 1;
   const double offered = aState.offered_[lowest];
-  const bool starved = offered >= kMinLevelSamples &&
-                       aState.admitted_[lowest] < kClosedClassFraction * offered &&
-                       aState.shed_[lowest] > 0.5 * offered;
-  aState.starvedIntervals_ = starved ? aState.starvedIntervals_ + 1 : 0;
+  const bool isStarved = offered >= kMinLevelSamples &&
+                         aState.admitted_[lowest] < kMaxStarvedFraction * offered &&
+                         aState.shed_[lowest] > 0.5 * offered;
+  aState.starvedIntervals_ = isStarved ? aState.starvedIntervals_ + 1 : 0;
   if (lowest > Index(Importance::kCritical) &&
       aState.starvedIntervals_ >= kStarvedIntervalsToClose) {
     --open;
@@ -542,7 +543,7 @@
   if (open == aState.queues_.size()) {
     return;
   }
-  // Fewer calls wait than may run at once, so that the target would soon be idle.
+  // Fewer calls wait than may run at once, so the target would soon be idle.
   std::size_t waiting = 0;
   for (std::size_t i = 0; i <= open; ++i) {
     waiting += aState.queues_[i].size_;
--- a/peridotquay/request/Admission.h
+++ b/peridotquay/request/Admission.h
@@ -1,5 +1,6 @@
 // Admission control of one target: adaptive concurrency limit, queue ordered by importance and fair
-// share, and refusal at the caller's host before a call is sent.
+// share, and refusal at the caller's host before a call is sent. The guard is the part of the node
+// in front of its target that admits or refuses calls.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -17,7 +18,7 @@
 
 namespace peridotquay {
 
-/// Settings of a guard's admission.
+/// Limits of a guard's admission and queue.
 struct AdmissionSettings
 {
   std::uint32_t initialLimit_ = 16;
@@ -72,11 +73,12 @@
   };
   TimePoint start_{};
   std::uint32_t samples_ = 0;
-  double sumSeconds_ = 0;
+  double sumSeconds_ = 0; ///< Sum of the samples: service times without deeper calls.
   std::uint32_t peakRunning_ = 0;
   std::uint32_t refusals_ = 0;    ///< Refusals by the target.
   std::uint32_t slowWindows_ = 0; ///< Consecutive windows with a mean far above the floor.
-  double slowSeconds_ = 0;        ///< Sum of the means of slowWindows_.
+  /// Sum of the mean service times of these windows; without one, the mean of the last window.
+  double slowMeanSumSeconds_ = 0;
   Trial trial_ = Trial::kNone;
   /// Number of ending calls still to ignore, because they started under an earlier limit.
   std::uint32_t ignoredCalls_ = 0;
@@ -85,7 +87,7 @@
   double refusedAtLimit_ = 0;            ///< Limit at the latest refusal by the target; 0 if none.
   TimePoint lastTrialAt_{};
   std::uint32_t refusedWindows_ = 0; ///< Consecutive windows with refusals by the target.
-  double limitBeforeRefusals_ = 0;   ///< Limit before refusals lowered it; 0 if none did lately.
+  double limitBeforeRefusals_ = 0;   ///< Limit before refusals lowered it; 0 if none did recently.
   TimePoint ignoreRefusalsUntil_{};  ///< Until this time, only many refusals lower the limit.
 };
 
@@ -106,7 +108,8 @@
   /// Calls that may run at once: minLimit_ to the smaller of maxLimit_ and announcedSlots_.
   double limit_ = 16;
   std::uint32_t announcedSlots_ = 0;
-  bool slotsContradicted_ = false; ///< The target once refused or queued calls below the limit.
+  /// The target refused or queued calls within the limit, so announced slots aren't trusted.
+  bool slotsContradicted_ = false;
   std::uint32_t running_ = 0;
   std::array<ClassQueue, kImportanceClassCount> queues_;
   std::size_t queued_ = 0;    ///< Invariant: sum of queues_ sizes.
@@ -209,10 +212,10 @@
   std::uint64_t random_ = 0x9E3779B97F4A7C15ULL;
 };
 
-/// An older received level is ignored.
+/// A received level older than this is ignored.
 inline constexpr Duration kAdmissionLevelLifetime = seconds(1);
 
-/// Stores the level of an answer. It replaces an earlier one, also a more restrictive one.
+/// Stores the level of an answer. It replaces any earlier level, even a more restrictive one.
 void RecordAdmissionLevel(ReceivedAdmissionLevel& aReceived,
                           const AdmissionLevel& aLevel,
                           TimePoint aNow);
--- a/peridotquay/request/CallContext.h
+++ b/peridotquay/request/CallContext.h
@@ -21,7 +21,7 @@
 /// Maximum number of contexts; calls beyond it are refused.
 inline constexpr std::size_t kMaxContexts = 8192;
 
-/// Context of one running call.
+/// What a running call shares with its deeper calls, and how long they took.
 struct CallContext
 {
   RetryBudget budget_;
@@ -30,8 +30,8 @@
   Importance importance_ = Importance::kLow;
   std::uint8_t depth_ = 0;
   std::uint32_t deeperCalls_ = 0; ///< Outstanding deeper calls.
-  TimePoint deeperSince_{};       ///< If deeperCalls_ > 0: from when at least one is outstanding.
-  Duration deeperTime_{}; ///< Time before deeperSince_ in which at least one was outstanding.
+  TimePoint deeperSince_{};       ///< Start of the last period with outstanding deeper calls.
+  Duration deeperTime_{}; ///< Total length of the ended periods with outstanding deeper calls.
   bool operator==(const CallContext&) const = default;
 };
 
--- a/peridotquay/request/NaivePolicy.cpp
+++ b/peridotquay/request/NaivePolicy.cpp
@@ -1,4 +1,4 @@
-// Baseline policy.
+// Baseline policy for comparison in benchmarks.
 #include "peridotquay/request/NaivePolicy.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
   if (found == aView.targets_.end() || found->second.empty()) {
     return std::nullopt;
   }
-  const std::uint64_t position = aState.next_[aService]++;
+  const std::uint64_t position = aState.nextPosition_[aService]++;
   return found->second[position % found->second.size()];
 }
 
@@ -24,10 +24,10 @@
   if (isNew) {
     bucket = { aAccount.burst_, aNow };
   }
-  if (aNow > bucket.filled_) {
-    const double gained = ToSeconds(aNow - bucket.filled_) * aAccount.ratePerSecond_;
+  if (aNow > bucket.refilledAt_) {
+    const double gained = ToSeconds(aNow - bucket.refilledAt_) * aAccount.ratePerSecond_;
     bucket.tokens_ = std::min(aAccount.burst_, bucket.tokens_ + gained);
-    bucket.filled_ = aNow;
+    bucket.refilledAt_ = aNow;
   }
   if (bucket.tokens_ < 1) {
     return false;
--- a/peridotquay/request/NaivePolicy.h
+++ b/peridotquay/request/NaivePolicy.h
@@ -20,13 +20,13 @@
 struct NaiveBucket
 {
   double tokens_ = 0;
-  TimePoint filled_{};
+  TimePoint refilledAt_{};
 };
 
 /// State of the baseline in one process.
 struct NaiveState
 {
-  std::map<ServiceId, std::uint64_t> next_; ///< Round robin position of each service.
+  std::map<ServiceId, std::uint64_t> nextPosition_; ///< Round-robin position by service.
   std::map<ClientAccountId, NaiveBucket> buckets_;
 };
 
--- a/peridotquay/request/Outcome.h
+++ b/peridotquay/request/Outcome.h
@@ -19,7 +19,7 @@
 /// Importance class of a route, most important first.
 enum class Importance : std::uint8_t
 {
-  kCritical, ///< Bookings, deposits, permits, seizures: shed last.
+  kCritical, ///< Shed last. For example bookings, deposits, permits and seizures.
   kHigh,
   kNormal,
   kLow
--- a/peridotquay/request/RateShare.cpp
+++ b/peridotquay/request/RateShare.cpp
@@ -61,9 +61,9 @@
 double DemandFraction(const RateShareState& aState, const AccountShare& aAccount)
 {
   const double hosts = 1 + static_cast<double>(aState.activeHosts_);
-  const double total = aAccount.demand_ + aAccount.peersPerSecond_;
+  const double total = aAccount.demandPerSecond_ + aAccount.peerUsePerSecond_;
   const double minDemand = kMinDemandFraction * total / hosts + 1e-6;
-  return (aAccount.demand_ + minDemand) / (total + minDemand * hosts);
+  return (aAccount.demandPerSecond_ + minDemand) / (total + minDemand * hosts);
 }
 
 /// Tokens that this host may grant before it knows what others granted: its share of the tokens
@@ -96,9 +96,9 @@
   const double earning = EarningSeconds(aState, aAccount, aNow);
   aAccount.updatedAt_ = std::max(aAccount.updatedAt_, aNow);
   const double active = ActiveFraction(aState);
-  aAccount.level_ += (aAccount.rate_ * active - aAccount.peersPerSecond_) * elapsed;
+  aAccount.level_ += (aAccount.rate_ * active - aAccount.peerUsePerSecond_) * elapsed;
   aAccount.level_ = std::min(aAccount.level_, aAccount.burst_ * active);
-  aAccount.demand_ *= std::exp(-elapsed / kDemandTimeConstantSeconds);
+  aAccount.demandPerSecond_ *= std::exp(-elapsed / kDemandTimeConstantSeconds);
   const double maxCredit =
     std::max(kMinCredit, MaxCredit(aState, aAccount, DemandFraction(aState, aAccount)));
   aAccount.credit_ = std::min(
@@ -119,12 +119,12 @@
   for (auto& [id, use] : aPeer.uses_) {
     const auto account = aState.accounts_.find(id);
     if (account != aState.accounts_.end()) {
-      account->second.peersPerSecond_ =
-        std::max(0.0, account->second.peersPerSecond_ - use.perSecond_);
+      account->second.peerUsePerSecond_ =
+        std::max(0.0, account->second.peerUsePerSecond_ - use.usePerSecond_);
     }
-    use.used_ += use.perSecond_ * std::max(0.0, ToSeconds(aNow - use.since_));
-    use.perSecond_ = 0;
-    use.since_ = aNow;
+    use.used_ += use.usePerSecond_ * std::max(0.0, ToSeconds(aNow - use.assumedSince_));
+    use.usePerSecond_ = 0;
+    use.assumedSince_ = aNow;
   }
   aPeer.silent_ = true;
   --aState.activeHosts_;
@@ -148,7 +148,8 @@
   }
 }
 
-void SettleGrant(RateShareState& aState, const ShareRequest& aRequest)
+/// Returns the unused tokens of the grant whose use the request reports.
+void ReturnUnusedTokens(RateShareState& aState, const ShareRequest& aRequest)
 {
   const auto grant = aState.grants_.find(aRequest.grant_);
   if (grant == aState.grants_.end()) {
@@ -206,13 +207,13 @@
 /// Hosts by data centre, or by region with an empty data centre.
 using HostsByLocation = std::map<std::pair<RegionId, DataCentreId>, std::vector<HostId>>;
 
-/// The relay of each location: its first host with a recent report. Where there is none, the
-/// searches alternate between the first host and each of the others in turn, because the first may
-/// be down permanently.
-std::vector<HostId> RelaysOf(const RateShareState& aState,
-                             const HostsByLocation& aHostsByLocation,
-                             std::uint64_t& aSearches,
-                             TimePoint aNow)
+/// Selects the relay of each location: its first host with a recent report. Where there is none,
+/// the searches alternate between the first host and each of the others in turn, because the first
+/// may be down permanently.
+std::vector<HostId> SelectRelays(const RateShareState& aState,
+                                 const HostsByLocation& aHostsByLocation,
+                                 std::uint64_t& aSearches,
+                                 TimePoint aNow)
 {
   std::vector<HostId> relays;
   ++aSearches;
@@ -236,7 +237,7 @@
       hostsByLocation[{ location.region_, location.dataCentre_ }].push_back(host);
     }
   }
-  return RelaysOf(aState, hostsByLocation, aState.nearRelaySearches_, aNow);
+  return SelectRelays(aState, hostsByLocation, aState.nearRelaySearches_, aNow);
 }
 
 /// Relays of the other regions.
@@ -248,7 +249,7 @@
       hostsByLocation[{ location.region_, {} }].push_back(host);
     }
   }
-  return RelaysOf(aState, hostsByLocation, aState.farRelaySearches_, aNow);
+  return SelectRelays(aState, hostsByLocation, aState.farRelaySearches_, aNow);
 }
 
 bool IsReportDue(const RateShareState& aState, TimePoint aNow)
@@ -264,9 +265,9 @@
          (useChanged && age >= aState.settings_.reportInterval_);
 }
 
-/// The own report: accounts whose use changed, or every kFullReportInterval reports all accounts
-/// with use, because reports may be lost.
-RateReport OwnReport(RateShareState& aState)
+/// Makes the own report: accounts whose use changed, or every kFullReportInterval reports all
+/// accounts with use, because reports may be lost.
+RateReport MakeOwnReport(RateShareState& aState)
 {
   const bool full = aState.sequence_ % kFullReportInterval == 0;
   RateReport report{ aState.host_, aState.incarnation_, aState.sequence_, {} };
@@ -280,12 +281,12 @@
   return report;
 }
 
-/// Reports of the data centre that weren't relayed within the region yet, or reports of the region
-/// that weren't relayed to other regions.
-std::vector<RateReport> NewReports(RateShareState& aState, bool aFar)
+/// Collects the reports to relay and marks them as relayed: the region's if aToOtherRegions,
+/// otherwise those of the data centre, which go to the other data centres of the region.
+std::vector<RateReport> TakeUnrelayedReports(RateShareState& aState, bool aToOtherRegions)
 {
   std::vector<RateReport> reports;
-  std::uint64_t& ownRelayed = aFar ? aState.ownRelayedFar_ : aState.ownRelayedNear_;
+  std::uint64_t& ownRelayed = aToOtherRegions ? aState.ownRelayedFar_ : aState.ownRelayedNear_;
   if (aState.sequence_ > ownRelayed) {
     RateReport report{ aState.host_, aState.incarnation_, aState.sequence_, {} };
     for (const auto& [id, share] : aState.accounts_) {
@@ -298,11 +299,11 @@
   }
   for (auto& [host, peer] : aState.peers_) {
     const auto location = aState.hosts_.find(host);
-    const bool ours = location != aState.hosts_.end() &&
-                      (aFar ? location->second.region_ == aState.location_.region_
-                            : location->second == aState.location_);
-    std::uint64_t& relayed = aFar ? peer.relayedFar_ : peer.relayedNear_;
-    if (!ours || peer.silent_ || peer.sequence_ <= relayed) {
+    const bool isIncluded = location != aState.hosts_.end() &&
+                            (aToOtherRegions ? location->second.region_ == aState.location_.region_
+                                             : location->second == aState.location_);
+    std::uint64_t& relayed = aToOtherRegions ? peer.relayedFar_ : peer.relayedNear_;
+    if (!isIncluded || peer.silent_ || peer.sequence_ <= relayed) {
       continue;
     }
     RateReport report{ host, peer.incarnation_, peer.sequence_, {} };
@@ -333,11 +334,12 @@
   }
 }
 
-/// Applies the reported use of one account by a host.
+/// Applies the reported use of one account by a host. aElapsedSeconds is the time since the host's
+/// previous report; 0 if there was none.
 void ApplyUse(RateShareState& aState,
               SharePeer& aPeer,
               const AccountUse& aUse,
-              double aSeconds,
+              double aElapsedSeconds,
               bool aWasSilent,
               TimePoint aNow)
 {
@@ -349,28 +351,29 @@
   Advance(aState, share, aNow);
   const bool unknown = !aPeer.allUsesKnown_ && !aPeer.uses_.contains(aUse.account_);
   PeerUse& known = aPeer.uses_[aUse.account_];
-  const double assumed = known.perSecond_ * std::max(0.0, ToSeconds(aNow - known.since_));
+  const double assumed = known.usePerSecond_ * std::max(0.0, ToSeconds(aNow - known.assumedSince_));
   const double newUse = static_cast<double>(aUse.used_) - known.used_;
   known.used_ = static_cast<double>(aUse.used_);
-  known.since_ = aNow;
+  known.assumedSince_ = aNow;
   known.changedInReport_ = aPeer.sequence_;
-  // Use before the first report that this host received from the other one isn't new.
-  if (aSeconds <= 0 || unknown) {
+  // A first report may include use from before this host knew the other one, so it isn't counted.
+  if (aElapsedSeconds <= 0 || unknown) {
     return;
   }
   share.level_ = std::min(share.level_ - newUse + assumed, share.burst_);
-  const double rate = std::max(0.0, newUse) / std::max(aSeconds, kMinRateSeconds);
-  const double previousRate = known.perSecond_;
+  const double rate = std::max(0.0, newUse) / std::max(aElapsedSeconds, kMinRateSeconds);
+  const double previousRate = known.usePerSecond_;
   const double weight = aWasSilent ? 0 : kPreviousRateWeight;
-  known.perSecond_ = weight * previousRate + (1 - weight) * rate;
-  share.peersPerSecond_ = std::max(0.0, share.peersPerSecond_ + known.perSecond_ - previousRate);
+  known.usePerSecond_ = weight * previousRate + (1 - weight) * rate;
+  share.peerUsePerSecond_ =
+    std::max(0.0, share.peerUsePerSecond_ + known.usePerSecond_ - previousRate);
 }
 
 /// Lowers the assumed use of accounts that a host's last report doesn't name: they weren't used.
 void ApplyNoUse(RateShareState& aState, SharePeer& aPeer, TimePoint aNow)
 {
   for (auto& [id, use] : aPeer.uses_) {
-    if (use.changedInReport_ == aPeer.sequence_ || use.perSecond_ <= 0) {
+    if (use.changedInReport_ == aPeer.sequence_ || use.usePerSecond_ <= 0) {
       continue;
     }
     const auto account = aState.accounts_.find(id);
@@ -379,12 +382,15 @@
     }
     AccountShare& share = account->second;
     Advance(aState, share, aNow);
-    share.level_ = std::min(
-      share.level_ + use.perSecond_ * std::max(0.0, ToSeconds(aNow - use.since_)), share.burst_);
-    use.since_ = aNow;
-    const double previousRate = use.perSecond_;
-    use.perSecond_ = previousRate < kMinAssumedPerSecond ? 0 : kPreviousRateWeight * previousRate;
-    share.peersPerSecond_ = std::max(0.0, share.peersPerSecond_ + use.perSecond_ - previousRate);
+    share.level_ = std::min(share.level_ + use.usePerSecond_ *
+                                             std::max(0.0, ToSeconds(aNow - use.assumedSince_)),
+                            share.burst_);
+    use.assumedSince_ = aNow;
+    const double previousRate = use.usePerSecond_;
+    use.usePerSecond_ =
+      previousRate < kMinAssumedPerSecond ? 0 : kPreviousRateWeight * previousRate;
+    share.peerUsePerSecond_ =
+      std::max(0.0, share.peerUsePerSecond_ + use.usePerSecond_ - previousRate);
   }
 }
 
@@ -395,18 +401,18 @@
     return false;
   }
   SharePeer& peer = aState.peers_[aReport.host_];
-  const bool newStart = aReport.incarnation_ > peer.incarnation_;
+  const bool isNewIncarnation = aReport.incarnation_ > peer.incarnation_;
   if (aReport.incarnation_ < peer.incarnation_ ||
-      (!newStart && aReport.sequence_ <= peer.sequence_)) {
+      (!isNewIncarnation && aReport.sequence_ <= peer.sequence_)) {
     return false;
   }
-  const bool first = peer.lastReceivedAt_ == TimePoint{};
-  const double elapsed = first ? 0 : std::max(1e-3, ToSeconds(aNow - peer.lastReceivedAt_));
-  if (newStart && !peer.silent_) {
+  const bool isFirstReport = peer.lastReceivedAt_ == TimePoint{};
+  const double elapsed = isFirstReport ? 0 : std::max(1e-3, ToSeconds(aNow - peer.lastReceivedAt_));
+  if (isNewIncarnation && !peer.silent_) {
     AdvanceAll(aState, aNow);
     StopAssumingUse(aState, peer, aNow);
   }
-  if (newStart) {
+  if (isNewIncarnation) {
     peer.uses_.clear();
     peer.relayedNear_ = 0;
     peer.relayedFar_ = 0;
@@ -422,7 +428,7 @@
   peer.lastReceivedAt_ = aNow;
   aState.lastReceivedAt_ = aNow;
   // The first report after a start names all use since the start.
-  peer.allUsesKnown_ = newStart ? aReport.sequence_ <= 1 : peer.allUsesKnown_;
+  peer.allUsesKnown_ = isNewIncarnation ? aReport.sequence_ <= 1 : peer.allUsesKnown_;
   for (const AccountUse& use : aReport.uses_) {
     ApplyUse(aState, peer, use, elapsed, wasSilent, aNow);
   }
@@ -430,7 +436,7 @@
   peer.allUsesKnown_ = peer.allUsesKnown_ || aReport.sequence_ % kFullReportInterval == 0;
   if (aReport.sequence_ <= aState.settings_.startupReports_ &&
       aState.hosts_.at(aReport.host_) == aState.location_) {
-    aState.newcomers_.insert(aReport.host_);
+    aState.startingHosts_.insert(aReport.host_);
   }
   return true;
 }
@@ -476,7 +482,7 @@
 
 ShareGrant GrantTokens(RateShareState& aState, const ShareRequest& aRequest, TimePoint aNow)
 {
-  SettleGrant(aState, aRequest);
+  ReturnUnusedTokens(aState, aRequest);
   // Tokens of an expired grant count as used.
   std::erase_if(aState.grants_,
                 [aNow](const auto& aEntry) { return aNow >= aEntry.second.expiresAt_; });
@@ -492,12 +498,12 @@
     MarkSilentHosts(aState, aNow);
   }
   Advance(aState, account, aNow);
-  account.demand_ += aRequest.wanted_ / kDemandTimeConstantSeconds;
+  account.demandPerSecond_ += aRequest.wanted_ / kDemandTimeConstantSeconds;
   const double tokens = std::floor(std::min({ aRequest.wanted_, account.credit_, account.level_ }));
   if (tokens < 1) {
     const double fraction = DemandFraction(aState, account);
-    const double wait = 1000 / std::max(1e-3, account.rate_ * fraction);
-    reply.retryAfterMs_ = static_cast<std::uint32_t>(std::clamp(wait, kMinRetryMs, kMaxRetryMs));
+    const double waitMs = 1000 / std::max(1e-3, account.rate_ * fraction);
+    reply.retryAfterMs_ = static_cast<std::uint32_t>(std::clamp(waitMs, kMinRetryMs, kMaxRetryMs));
     return reply;
   }
   account.credit_ -= tokens;
@@ -518,17 +524,20 @@
   if (IsReportDue(aState, aNow)) {
     aState.reportedAt_ = aNow;
     ++aState.sequence_;
-    AddOutgoingReports(outgoing, aState.host_, { OwnReport(aState) }, HostsOfDataCentre(aState));
+    AddOutgoingReports(
+      outgoing, aState.host_, { MakeOwnReport(aState) }, HostsOfDataCentre(aState));
   }
   if (aNow - aState.relayedNearAt_ >= aState.settings_.nearRelayInterval_ &&
       !DataCentreRelay(aState, aNow)) {
     aState.relayedNearAt_ = aNow;
-    AddOutgoingReports(outgoing, aState.host_, NewReports(aState, false), NearRelays(aState, aNow));
+    AddOutgoingReports(
+      outgoing, aState.host_, TakeUnrelayedReports(aState, false), NearRelays(aState, aNow));
   }
   if (aNow - aState.relayedFarAt_ >= aState.settings_.farRelayInterval_ &&
       !RegionRelay(aState, aNow)) {
     aState.relayedFarAt_ = aNow;
-    AddOutgoingReports(outgoing, aState.host_, NewReports(aState, true), FarRelays(aState, aNow));
+    AddOutgoingReports(
+      outgoing, aState.host_, TakeUnrelayedReports(aState, true), FarRelays(aState, aNow));
   }
   return outgoing;
 }
@@ -536,9 +545,9 @@
 std::map<HostId, RateLevels> CollectDueLevels(RateShareState& aState, TimePoint aNow)
 {
   std::map<HostId, RateLevels> due;
-  const std::set<HostId> newcomers = std::move(aState.newcomers_);
-  aState.newcomers_.clear();
-  if (newcomers.empty() || aState.startedAt_ == TimePoint{} ||
+  const std::set<HostId> startingHosts = std::move(aState.startingHosts_);
+  aState.startingHosts_.clear();
+  if (startingHosts.empty() || aState.startedAt_ == TimePoint{} ||
       aNow - aState.startedAt_ < aState.settings_.startupPeriod_ || IsIsolated(aState, aNow)) {
     return due;
   }
@@ -547,7 +556,7 @@
   for (const auto& [id, share] : aState.accounts_) {
     levels.push_back({ id, static_cast<std::uint64_t>(std::max(0.0, share.level_)) });
   }
-  for (const HostId& host : newcomers) {
+  for (const HostId& host : startingHosts) {
     const SharePeer& peer = aState.peers_[host];
     due[host] = { peer.incarnation_, peer.sequence_, levels };
   }
--- a/peridotquay/request/RateShare.h
+++ b/peridotquay/request/RateShare.h
@@ -17,13 +17,13 @@
 
 namespace peridotquay {
 
-/// Settings of distributed rate limiting.
+/// Intervals, timeouts and tolerances of distributed rate limiting.
 struct RateShareSettings
 {
   /// The tokens that are left are handed out over this time, so that use that isn't reported yet
   /// can't exceed them.
   Duration spreadPeriod_ = milliseconds(200);
-  /// Use is reported after this time if it is at least reportFraction_ of the burst.
+  /// Use is reported after this time if it changed by at least reportFraction_ of the burst.
   Duration reportInterval_ = milliseconds(200);
   double reportFraction_ = 0.01;
   /// One host of a data centre relays its reports to the other data centres of the region, and one
@@ -49,13 +49,14 @@
   Duration idleReportInterval_ = milliseconds(300);
   /// A host that sent no report for this long is assumed to use an equal share of all limits.
   Duration silenceTimeout_ = milliseconds(1500);
-  /// A host that receives no reports for this long assumes that it is cut off from all others.
+  /// A host that receives no reports for this long, or longer in a small fleet, assumes that it is
+  /// cut off from all others.
   Duration isolationTimeout_ = milliseconds(330);
   /// A host earns credit for this long after the last report of any other host.
   Duration creditPeriod_ = milliseconds(150);
   Duration grantLifetime_ = milliseconds(1000);
-  /// Number of reports after the start of a host that the others answer with their levels. It is
-  /// more than one, because a starting host comes to know the others one after the other.
+  /// Number of reports after the start of a host that the others of its data centre answer with
+  /// their levels. More than one, because a starting host learns of the others one by one.
   std::uint64_t startupReports_ = 5;
   /// A host that has run for this long knows the levels and sends them to starting hosts.
   Duration startupPeriod_ = milliseconds(3000);
@@ -65,9 +66,9 @@
 /// Use of one account by one other host, as this host knows it.
 struct PeerUse
 {
-  double used_ = 0;      ///< Tokens since the start of that host, from its last report.
-  double perSecond_ = 0; ///< Moving average over its reports; assumed until the next one.
-  TimePoint since_{};    ///< Time from which perSecond_ is assumed without a report.
+  double used_ = 0;          ///< Tokens since the start of that host, from its last report.
+  double usePerSecond_ = 0;  ///< Moving average over its reports, assumed until the next one.
+  TimePoint assumedSince_{}; ///< Time from which usePerSecond_ is assumed without a report.
   std::uint64_t changedInReport_ = 0; ///< Sequence of the last report that named the account.
 };
 
@@ -103,9 +104,10 @@
   double credit_ = 0;   ///< Tokens that this host may grant now; not negative.
   double used_ = 0;     ///< Tokens granted by this host since its start and not returned.
   double reported_ = 0; ///< Value of used_ in the last report that named the account.
-  std::uint64_t changedInReport_ = 0; ///< Sequence of the last own report that named it.
-  double demand_ = 0;                 ///< Moving average of the tokens requested per second.
-  double peersPerSecond_ = 0; ///< Invariant: sum of perSecond_ over all hosts that aren't silent.
+  std::uint64_t changedInReport_ = 0; ///< Sequence of the last own report that named the account.
+  double demandPerSecond_ = 0;        ///< Moving average of the tokens requested per second.
+  /// Invariant: sum of PeerUse::usePerSecond_ over all hosts that aren't silent.
+  double peerUsePerSecond_ = 0;
   TimePoint updatedAt_{};
 };
 
@@ -129,11 +131,11 @@
   std::map<HostId, SharePeer> peers_;
   std::map<std::uint64_t, OpenGrant> grants_;
   std::uint64_t nextGrant_ = 1;
-  TimePoint startedAt_{};       ///< When the first limits were set.
-  std::set<HostId> newcomers_;  ///< Hosts of the data centre to which levels are sent.
-  std::size_t activeHosts_ = 0; ///< Invariant: hosts in peers_ that aren't silent.
-  std::uint64_t sequence_ = 0;  ///< Of the last own report.
-  TimePoint lastReceivedAt_{};  ///< Last report of any other host.
+  TimePoint startedAt_{};          ///< When the first limits were set.
+  std::set<HostId> startingHosts_; ///< Hosts of the data centre to which levels must be sent.
+  std::size_t activeHosts_ = 0;    ///< Invariant: number of hosts in peers_ that aren't silent.
+  std::uint64_t sequence_ = 0;     ///< Sequence of the last own report.
+  TimePoint lastReceivedAt_{};     ///< When the last report of any other host was received.
   TimePoint reportedAt_{};
   TimePoint relayedNearAt_{};
   TimePoint relayedFarAt_{};
--- a/peridotquay/request/RouteChoice.cpp
+++ b/peridotquay/request/RouteChoice.cpp
@@ -22,17 +22,17 @@
 /// Added to latencies so that differences far below a millisecond don't affect the choice.
 constexpr double kLatencyBaseSeconds = 0.001;
 
-/// An older load report of a guard is ignored.
+/// A guard's load report older than this is ignored.
 constexpr Duration kMaxReportAge = seconds(1);
 
 /// Larger reported loads count as this one.
-constexpr double kMaxLoad = 2.0;
+constexpr double kMaxReportedLoad = 2.0;
 
 /// Weight of the load that guards report in the cost of a target.
-constexpr double kReportedWeight = 0.5;
+constexpr double kReportedLoadWeight = 0.5;
 
 /// Weight of the load that targets announce; small, because it lags and may be false.
-constexpr double kAnnouncedWeight = 0.05;
+constexpr double kAnnouncedLoadWeight = 0.05;
 
 /// A target that refused a call is avoided for this long.
 constexpr Duration kRefusalPause = milliseconds(20);
@@ -109,10 +109,10 @@
 /// Expected cost of one more call at the target; the target with the lower cost is chosen.
 double Cost(const Target& aTarget, const TargetStats* aStats, TimePoint aNow)
 {
-  double cost = 1 + kAnnouncedWeight * std::clamp(aTarget.announcedLoad_, 0.0, 1.0);
+  double cost = 1 + kAnnouncedLoadWeight * std::clamp(aTarget.announcedLoad_, 0.0, 1.0);
   double latency = 0;
   if (aStats != nullptr) {
-    cost *= 1 + kReportedWeight * std::clamp(RecentLoad(aStats, aNow), 0.0, kMaxLoad);
+    cost *= 1 + kReportedLoadWeight * std::clamp(RecentLoad(aStats, aNow), 0.0, kMaxReportedLoad);
     latency = RecentLatency(*aStats, aNow);
     cost *= 1 + aStats->inFlight_;
   }
@@ -369,7 +369,7 @@
     }
   }
 
-  // By tier: usable targets, and targets that refused a call lately. The lists are tried in the
+  // By tier: usable targets, and targets that refused a call recently. The lists are tried in the
   // order usable, refusing, failing, ejected.
   std::array<Candidates, 3> usable;
   std::array<Candidates, 3> refusing;
--- a/peridotquay/request/RouteChoice.h
+++ b/peridotquay/request/RouteChoice.h
@@ -13,7 +13,7 @@
 
 namespace peridotquay {
 
-/// Settings of routing.
+/// Thresholds of the choice of targets, ejection and slow start.
 struct RoutingSettings
 {
   Duration slowStartPeriod_ = seconds(10); ///< A cold target gets its full share after this time.
@@ -64,7 +64,7 @@
 };
 
 /// Chooses a target of the service, or none if no target is usable. aExclude holds the hosts that
-/// were tried for this call already. aObjective is the call's latency objective, 0 for none: it
+/// this call already tried. aObjective is the call's latency objective, 0 for none: it
 /// decides how long a call may queue at a near target, and lets a much faster target replace a near
 /// one that is too slow.
 std::optional<Target> ChooseTarget(RoutingState& aState,
--- a/peridotquay/request/TokenCache.cpp
+++ b/peridotquay/request/TokenCache.cpp
@@ -14,8 +14,8 @@
 /// More tokens are requested when the remaining ones won't last this long.
 constexpr double kRequestAheadSeconds = 0.1;
 
-/// A request asks for the tokens of this much time. A grant lives 1 s, so that they are used well
-/// before they expire.
+/// A request asks for the tokens of this much time. A grant lives 1 s, so they are used well before
+/// they expire.
 constexpr double kRequestedUseSeconds = 0.25;
 
 /// A request without a reply after this time counts as lost.
@@ -28,7 +28,7 @@
 constexpr Duration kIdlePeriod = milliseconds(200);
 
 /// Tokens used per second at aNow, decayed since the last consumed token.
-double CurrentUse(const CachedTokens& aTokens, TimePoint aNow)
+double CurrentUsePerSecond(const CachedTokens& aTokens, TimePoint aNow)
 {
   const double age = std::max(0.0, ToSeconds(aNow - aTokens.lastAcquiredAt_));
   return aTokens.usePerSecond_ * std::exp(-age / kUseTimeConstantSeconds);
@@ -48,7 +48,7 @@
   aTokens.next_ = {};
 }
 
-/// Drops expired grants and continues with the next grant if the present one is used up.
+/// Drops expired grants and continues with the next grant if the one in use is spent.
 void AdvanceGrants(CachedTokens& aTokens, TimePoint aNow)
 {
   if (aTokens.next_.grant_ != 0 && aNow >= aTokens.next_.expiresAt_) {
@@ -138,7 +138,7 @@
   double wanted = 0;
   if (tokens.grant_ != 0) {
     result.status_ = AcquireStatus::kAcquired;
-    tokens.usePerSecond_ = CurrentUse(tokens, aNow) + 1 / kUseTimeConstantSeconds;
+    tokens.usePerSecond_ = CurrentUsePerSecond(tokens, aNow) + 1 / kUseTimeConstantSeconds;
     tokens.lastAcquiredAt_ = aNow;
     tokens.tokens_ -= 1;
     tokens.usedOfGrant_ += 1;
@@ -155,7 +155,7 @@
   } else {
     result.status_ = AcquireStatus::kPending;
     wanted = std::max(static_cast<double>(aWaiting) + 1,
-                      std::ceil(CurrentUse(tokens, aNow) * kRequestedUseSeconds));
+                      std::ceil(CurrentUsePerSecond(tokens, aNow) * kRequestedUseSeconds));
   }
   if (wanted >= 1 && !requestPending && !refused) {
     result.shareRequest_ = MakeRequest(aCache, aAccount, tokens, wanted);
--- a/peridotquay/request/TokenCache.h
+++ b/peridotquay/request/TokenCache.h
@@ -14,7 +14,7 @@
 
 namespace peridotquay {
 
-/// Maximum number of client accounts in the cache.
+/// Maximum number of client accounts in a TokenCache.
 inline constexpr std::size_t kMaxCachedAccounts = 256;
 
 /// Maximum time that a call waits for tokens.
@@ -28,7 +28,7 @@
   TimePoint expiresAt_{};
 };
 
-/// Use of a grant from which no more tokens are consumed and whose use isn't reported yet.
+/// Use of a closed grant that isn't reported yet. No more tokens are consumed from a closed grant.
 struct GrantUse
 {
   std::uint64_t grant_ = 0;
@@ -47,7 +47,7 @@
   TimePoint lastAcquiredAt_{};
   std::uint64_t requestNonce_ = 0; ///< Nonce of the outstanding request; 0 if none.
   TimePoint requestedAt_{};
-  GrantedTokens next_;              ///< Used after the grant in use is spent or expired.
+  GrantedTokens next_;              ///< Used after the grant in use is spent or has expired.
   std::deque<GrantUse> unreported_; ///< Each request reports one of these.
   TimePoint refusedUntil_{};        ///< No tokens were granted; callers get 429 until then.
 };
--- a/tests/request/RateShareTest.cpp
+++ b/tests/request/RateShareTest.cpp
@@ -162,7 +162,7 @@
 };
 
 /// Required bound for every window of 5 s: a tenth more than rate and burst, plus 20 requests.
-double Allowed(double aRate, double aBurst)
+double MaxAllowedIn5s(double aRate, double aBurst)
 {
   return (5 * aRate + aBurst) * 1.1 + 20;
 }
@@ -179,7 +179,7 @@
       fleet.Run(0.5 * rate, seconds(8), 16);
       fleet.Run(8 * rate, seconds(10), 16);
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxGrantedIn(seconds(5)) <= MaxAllowedIn5s(rate, rate));
       // At least nine tenths of the rate are served.
       CHECK(static_cast<double>(fleet.grantedAt_.size()) >= 0.9 * (4 * rate + 10 * rate));
     }
@@ -209,7 +209,7 @@
 }
 
 // Guards against isolated hosts and the rest of the fleet each granting the whole limit.
-TEST_CASE("hosts that are cut off keep the limit together", "[rate]")
+TEST_CASE("isolated hosts and the rest of the fleet together keep the limit", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     for (const double rate : { 10.0, 51.0, 400.0 }) {
@@ -222,7 +222,7 @@
       fleet.isolated_.assign(16, false);
       fleet.Run(6 * rate, seconds(5), 16);
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxGrantedIn(seconds(5)) <= MaxAllowedIn5s(rate, rate));
     }
   }
 }
@@ -240,7 +240,7 @@
     }
     fleet.Run(4 * rate, seconds(8), 16);
     INFO("seed " << seed);
-    CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
+    CHECK(fleet.MaxGrantedIn(seconds(5)) <= MaxAllowedIn5s(rate, rate));
   }
 }
 
@@ -283,13 +283,13 @@
         fleet.Run(5 * rate, milliseconds(700), 16);
       }
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxGrantedIn(seconds(5)) <= MaxAllowedIn5s(rate, rate));
     }
   }
 }
 
 // Guards against returned tokens of a grant that still count as used.
-TEST_CASE("unused tokens of a grant come back", "[rate]")
+TEST_CASE("unused tokens of a grant can be granted again", "[rate]")
 {
   Fleet fleet(1, 10, 20, 1);
   fleet.Run(0, seconds(8), 1);
@@ -302,8 +302,8 @@
   CHECK(GrantTokens(host, { 3, kAccount, grant.grant_, 0, 8 }, fleet.now_).tokens_ == 8);
 }
 
-// Guards against use that is counted twice because a report arrives repeatedly or out of order.
-TEST_CASE("reports may be lost, late and repeated", "[rate]")
+// Guards against use that is counted twice because a report arrives twice or late.
+TEST_CASE("repeated reports and reports of an earlier incarnation have no effect", "[rate]")
 {
   Fleet fleet(2, 10, 100, 1);
   fleet.Run(0, seconds(30), 2);
@@ -318,9 +318,9 @@
   CHECK(host.accounts_.at(kAccount).level_ == Approx(level));
 }
 
-// Guards against earlier use that counts as new: a started host receives another host's use of an
-// account for the first time only when that host uses the account again.
-TEST_CASE("what a host used before this one started isn't taken off the level", "[rate]")
+// Guards against earlier use that counts as new: a host that has just started learns another host's
+// use of an account only when that host uses the account again.
+TEST_CASE("another host's use before this host started doesn't lower the level", "[rate]")
 {
   Fleet fleet(2, 10, 100, 1);
   fleet.Run(0, seconds(30), 2);
@@ -330,14 +330,14 @@
   fleet.now_ += milliseconds(300);
   ApplyRateReports(host, { { "h1" }, { { { "h1" }, 2, 51, { { kAccount, 70 } } } } }, fleet.now_);
   CHECK(host.accounts_.at(kAccount).level_ >= level);
-  CHECK(host.accounts_.at(kAccount).peersPerSecond_ == Approx(0));
+  CHECK(host.accounts_.at(kAccount).peerUsePerSecond_ == Approx(0));
   const double before = host.accounts_.at(kAccount).level_;
   ApplyRateReports(host, { { "h1" }, { { { "h1" }, 2, 52, { { kAccount, 75 } } } } }, fleet.now_);
   CHECK(host.accounts_.at(kAccount).level_ == Approx(before - 5));
 }
 
 // Guards against report traffic that grows on the links between regions, which are paid by volume.
-TEST_CASE("few bytes of reports cross between regions", "[rate]")
+TEST_CASE("reports between regions take less than 8 KiB per second", "[rate]")
 {
   Fleet fleet(16, 51, 51, 1);
   fleet.Run(30, seconds(20), 16);
@@ -359,7 +359,7 @@
 }
 
 // Guards against a region whose reports never arrive because its first hosts are down permanently.
-TEST_CASE("regions find each other although the first hosts of both are down", "[rate]")
+TEST_CASE("regions exchange reports although the first hosts of both are down", "[rate]")
 {
   Fleet fleet(16, 50, 50, 1);
   for (const std::size_t down : { 0, 1, 2, 3, 4, 5 }) {
@@ -392,7 +392,7 @@
 
 // Guards against calls to a host that is down permanently, and against treating a region that is
 // cut off as down.
-TEST_CASE("a host that is gone is found by its silence", "[rate]")
+TEST_CASE("a host that sends no more reports is found to be silent", "[rate]")
 {
   Fleet fleet(8, 50, 50, 1);
   const TimePoint start = fleet.now_;
