--- a/tests/request/AdmissionTest.cpp
+++ b/tests/request/AdmissionTest.cpp
@@ -82,7 +82,7 @@
       sum += calls;
     }
     RC_ASSERT(sum == aState.queued_);
-    // No call waits beside a free slot, and no call starts above the limit.
+    // No call waits while a slot is free, and no call starts above the limit.
     const bool hasSlot = static_cast<double>(running_.size()) + 1 <= aState.limit_;
     RC_ASSERT((waiting_.empty() || !hasSlot));
     const bool isOver = static_cast<double>(running_.size()) > aState.limit_;
@@ -150,12 +150,12 @@
   AdmissionState state_;
   int answered_ = 0;
   int refused_ = 0;
-  double leastLimit_ = 1e9;
+  double minLimitInRun_ = 1e9;
 
-  /// Runs for aTime and keeps aQueued calls waiting. With 0, a call is offered only when none runs.
+  /// Runs for aTime and keeps aQueued calls waiting. If it is 0, a call is offered when none runs.
   void Run(Duration aTime, std::size_t aQueued, const Latency& aLatency)
   {
-    leastLimit_ = 1e9;
+    minLimitInRun_ = 1e9;
     for (const TimePoint end = now_ + aTime; now_ < end; now_ += milliseconds(1)) {
       while (!ends_.empty() && ends_.begin()->first <= now_) {
         const Running call = ends_.begin()->second;
@@ -170,7 +170,7 @@
                            now_),
                  aLatency);
       }
-      leastLimit_ = std::min(leastLimit_, state_.limit_);
+      minLimitInRun_ = std::min(minLimitInRun_, state_.limit_);
     }
   }
 
@@ -314,7 +314,7 @@
 }
 
 // Guards against credit for idle time: an account that was idle must not get all slots.
-TEST_CASE("an idle account earns no credit", "[admission]")
+TEST_CASE("an account earns no credit while it is idle", "[admission]")
 {
   AdmissionState state = FixedLimit(1, 100);
   OfferCall(state, MakeCall(1, "steady", kStart), kStart);
@@ -434,7 +434,7 @@
 
 // Guards against refused calls in a surge while announced slots are free, and against trusting the
 // announced slots after the target refused calls below them.
-TEST_CASE("announced slots are believed until the target refuses", "[admission]")
+TEST_CASE("announced slots are trusted until the target refuses calls below them", "[admission]")
 {
   AdmissionState state;
   ApplyAnnouncedSlots(state, 250);
@@ -461,10 +461,10 @@
   const auto fast = [](std::uint32_t) { return 20.0; };
   target.Run(seconds(3), 100, fast);
   target.Run(seconds(5), 100, [](std::uint32_t) { return 100.0; });
-  CHECK(target.leastLimit_ >= 25);
+  CHECK(target.minLimitInRun_ >= 25);
   CHECK(target.state_.limit_ >= 45);
   target.Run(seconds(2), 100, fast);
-  CHECK(target.leastLimit_ >= 25);
+  CHECK(target.minLimitInRun_ >= 25);
   CHECK(target.state_.limit_ >= 45);
 }
 
@@ -486,7 +486,7 @@
 // Guards against a limit far above the calls that a target can run at once, if it announces no
 // slots and queues calls itself: calls must queue in the guard, which respects importance and
 // deadlines.
-TEST_CASE("the limit follows a target that queues inside", "[admission]")
+TEST_CASE("the limit falls to the capacity of a target that queues calls itself", "[admission]")
 {
   SaturatedTarget target;
   const auto latency = [](std::uint32_t aRunning) { return 10.0 * std::max(1.0, aRunning / 20.0); };
@@ -497,7 +497,7 @@
 }
 
 // Guards against many refusals by a target that announces more slots than it has.
-TEST_CASE("the limit follows a target that refuses", "[admission]")
+TEST_CASE("the limit falls when the target refuses and rises when it accepts", "[admission]")
 {
   SaturatedTarget target;
   ApplyAnnouncedSlots(target.state_, 50);
@@ -526,31 +526,31 @@
 // no probes of a closed class.
 TEST_CASE("callers' hosts refuse closed classes and send probes", "[admission]")
 {
-  ReceivedAdmissionLevel upstream;
-  const auto admitted = [&](Importance aImportance, TimePoint aNow) {
+  ReceivedAdmissionLevel received;
+  const auto countSent = [&](Importance aImportance, TimePoint aNow) {
     int count = 0;
     for (int i = 0; i < 10000; ++i) {
-      count += ShouldSendCall(upstream, aImportance, aNow) ? 1 : 0;
+      count += ShouldSendCall(received, aImportance, aNow) ? 1 : 0;
     }
     return count;
   };
-  CHECK(admitted(Importance::kLow, kStart) == 10000);
-  RecordAdmissionLevel(upstream, { Importance::kNormal, 0.4 }, kStart);
-  CHECK(admitted(Importance::kCritical, kStart) == 10000);
-  CHECK(admitted(Importance::kHigh, kStart) == 10000);
-  CHECK(admitted(Importance::kNormal, kStart) == Approx(4000).margin(300));
-  CHECK(admitted(Importance::kLow, kStart) == Approx(100).margin(50));
-  RecordAdmissionLevel(upstream, { Importance::kCritical, 0.5 }, kStart);
-  CHECK(admitted(Importance::kCritical, kStart) == 10000);
-  CHECK(admitted(Importance::kLow, kStart + kAdmissionLevelLifetime) == 10000);
+  CHECK(countSent(Importance::kLow, kStart) == 10000);
+  RecordAdmissionLevel(received, { Importance::kNormal, 0.4 }, kStart);
+  CHECK(countSent(Importance::kCritical, kStart) == 10000);
+  CHECK(countSent(Importance::kHigh, kStart) == 10000);
+  CHECK(countSent(Importance::kNormal, kStart) == Approx(4000).margin(300));
+  CHECK(countSent(Importance::kLow, kStart) == Approx(100).margin(50));
+  RecordAdmissionLevel(received, { Importance::kCritical, 0.5 }, kStart);
+  CHECK(countSent(Importance::kCritical, kStart) == 10000);
+  CHECK(countSent(Importance::kLow, kStart + kAdmissionLevelLifetime) == 10000);
 }
 
 // Guards against an admission level that oscillates, that closes a class which is served in part
 // (accounts below their share would lose calls too), or that stays low after the overload.
-TEST_CASE("the announced level closes classes that are wholly shed", "[admission]")
+TEST_CASE("the announced level closes only classes that are shed completely", "[admission]")
 {
   AdmissionState state = FixedLimit(10, 20);
-  ReceivedAdmissionLevel upstream;
+  ReceivedAdmissionLevel received;
   std::multimap<TimePoint, TimePoint> ends;
   std::uint64_t id = 0;
   std::array<int, kImportanceClassCount> offered{};
@@ -561,7 +561,7 @@
   const auto run = [&](Duration aTime, int aPerMs) {
     offered = sent = {};
     answered = 0;
-    const auto apply = [&](const AdmissionActions& aActions) {
+    const auto recordStarts = [&](const AdmissionActions& aActions) {
       for (std::size_t i = 0; i < aActions.start_.size(); ++i) {
         ends.emplace(now + milliseconds(10), now);
       }
@@ -570,8 +570,8 @@
       while (!ends.empty() && ends.begin()->first <= now) {
         ends.erase(ends.begin());
         ++answered;
-        apply(FinishCall(state, ExecutionResult::kAnswered, milliseconds(10), now));
-        RecordAdmissionLevel(upstream, CurrentAdmissionLevel(state, now), now);
+        recordStarts(FinishCall(state, ExecutionResult::kAnswered, milliseconds(10), now));
+        RecordAdmissionLevel(received, CurrentAdmissionLevel(state, now), now);
       }
       for (int i = 0; i < aPerMs; ++i) {
         const Importance importance = ++id % 10 == 0 ? Importance::kCritical
@@ -579,9 +579,9 @@
                                                      : Importance::kLow;
         const auto index = static_cast<std::size_t>(importance);
         ++offered[index];
-        if (ShouldSendCall(upstream, importance, now)) {
+        if (ShouldSendCall(received, importance, now)) {
           ++sent[index];
-          apply(OfferCall(state, MakeCall(id, "a", now, importance), now));
+          recordStarts(OfferCall(state, MakeCall(id, "a", now, importance), now));
         }
       }
     }
@@ -618,7 +618,7 @@
 
 // Guards against short calls that are refused as too late because other routes of the target have
 // longer service times.
-TEST_CASE("a call is judged by the service time of its route", "[admission]")
+TEST_CASE("whether a call is too late depends on the service time of its route", "[admission]")
 {
   AdmissionState state;
   const TimePoint now{ seconds(1000) };
--- a/tests/request/CallContextTest.cpp
+++ b/tests/request/CallContextTest.cpp
@@ -22,7 +22,7 @@
 
 // Guards against a token that is valid after its call ended, and against returning retries that a
 // deeper call may still spend.
-TEST_CASE("a context lives as long as its call", "[context]")
+TEST_CASE("a context ends with its call", "[context]")
 {
   ContextTable table;
   const std::string token = NewContextToken();
@@ -40,7 +40,7 @@
 
 // Guards against unbounded memory, unbounded call chains, and a call that replaces the context of
 // another.
-TEST_CASE("contexts are bounded", "[context]")
+TEST_CASE("the number and the depth of contexts are bounded", "[context]")
 {
   ContextTable table;
   for (std::size_t i = 0; i < kMaxContexts; ++i) {
@@ -60,7 +60,7 @@
 }
 
 // Guards against counting the time of parallel deeper calls twice.
-TEST_CASE("deeper time is the union of the deeper calls", "[context]")
+TEST_CASE("the time of overlapping deeper calls counts once", "[context]")
 {
   CallContext context;
   const TimePoint start{ seconds(10) };
--- a/tests/request/FailureMeterTest.cpp
+++ b/tests/request/FailureMeterTest.cpp
@@ -13,7 +13,7 @@
 
 // Guards against avoiding a target after a single failure, and against not detecting one that fails
 // a fraction of its requests.
-TEST_CASE("the failure fraction needs several answers", "[failures]")
+TEST_CASE("the failure percentage is 0 until there are enough answers", "[failures]")
 {
   FailureMeter meter;
   RecordAnswer(meter, true, kStart);
@@ -25,7 +25,7 @@
 }
 
 // Guards against old failures that still count after the target recovered.
-TEST_CASE("failures are forgotten", "[failures]")
+TEST_CASE("old failures stop counting", "[failures]")
 {
   FailureMeter meter;
   for (int i = 0; i < 50; ++i) {
--- a/tests/request/NaivePolicyTest.cpp
+++ b/tests/request/NaivePolicyTest.cpp
@@ -1,5 +1,5 @@
-// Tests of the baseline policy: benchmark results are compared with it, so it must not be worse
-// than described.
+// Tests of the baseline policy. Benchmark results are compared with it, so it must not perform
+// worse than described.
 #include "peridotquay/request/NaivePolicy.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 
 using namespace peridotquay;
 
-// Guards against a baseline that prefers a target.
+// Guards against a baseline that prefers one target over another.
 TEST_CASE("the baseline takes targets in turn", "[naive]")
 {
   TargetView view;
--- a/tests/request/OutcomeTest.cpp
+++ b/tests/request/OutcomeTest.cpp
@@ -6,7 +6,7 @@
 using namespace peridotquay;
 
 // Guards against an importance name that is written but can't be parsed.
-TEST_CASE("importance names parse back", "[outcome]")
+TEST_CASE("every importance name can be parsed", "[outcome]")
 {
   for (int i = 0; i < kImportanceClassCount; ++i) {
     const auto importance = static_cast<Importance>(i);
--- a/tests/request/RetryBudgetTest.cpp
+++ b/tests/request/RetryBudgetTest.cpp
@@ -16,8 +16,8 @@
 }
 
 /// Simulates one call with random fan-out, retries, and answers that are lost or claim too many
-/// unused retries. Returns the retries made in its tree; aUnused receives the retries that it
-/// returns.
+/// unused retries. Returns the number of retries made in its tree; aUnused receives the number of
+/// retries that it returns.
 std::uint32_t RunCall(std::uint32_t aRetries, int aDepth, std::uint32_t& aUnused)
 {
   RetryBudget budget{ aRetries, 0, 0 };
@@ -109,7 +109,7 @@
 
 // Guards against retry storms on one service, and against a service with few calls that may never
 // retry.
-TEST_CASE("retries are at most the ratio and one a second", "[retry]")
+TEST_CASE("retries are limited to the ratio plus one per second", "[retry]")
 {
   const RetryRatioSettings settings;
   CHECK(rc::check("ratio over random traffic", [] {
@@ -117,19 +117,19 @@
     RetryRatio state;
     TimePoint now{ seconds(1000) };
     const TimePoint start = now;
-    double tries = 0;
+    double firstAttempts = 0;
     double retries = 0;
     const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 30));
     for (const int step : steps) {
       now += milliseconds(step);
       if (step % 3 != 0) {
         RecordFirstAttempt(state, drawn);
-        tries += 1;
+        firstAttempts += 1;
       } else if (ConsumeRetryToken(state, drawn, now)) {
         retries += 1;
       }
       RC_ASSERT(retries <=
-                2 + drawn.tokensPerFirstAttempt_ * tries + ToSeconds(now - start) + 1e-6);
+                2 + drawn.tokensPerFirstAttempt_ * firstAttempts + ToSeconds(now - start) + 1e-6);
     }
   }));
 
--- a/tests/request/RouteChoiceTest.cpp
+++ b/tests/request/RouteChoiceTest.cpp
@@ -42,7 +42,7 @@
   return state;
 }
 
-void Fail(RoutingState& aState, const Target& aTarget, int aTimes, TimePoint aNow)
+void RecordFailedCalls(RoutingState& aState, const Target& aTarget, int aTimes, TimePoint aNow)
 {
   for (int i = 0; i < aTimes; ++i) {
     RecordCallSent(aState, aTarget);
@@ -108,7 +108,7 @@
 
 // Guards against choosing a target that is draining, left or tried already, and against choosing
 // none although the service has a usable one.
-TEST_CASE("a choice is usable and exists if a usable target exists", "[route]")
+TEST_CASE("a usable target is chosen if there is one", "[route]")
 {
   CHECK(rc::check("random views and results", [] {
     RoutingState state = MakeState();
@@ -173,7 +173,7 @@
     const TargetView view = MakeView(targets);
     RoutingState state = MakeState();
     for (const Target& target : targets) {
-      Fail(state, target, 5, kStart);
+      RecordFailedCalls(state, target, 5, kStart);
     }
     const auto counts = CountChoices(state, view, kStart + milliseconds(10));
     CHECK(static_cast<int>(counts.size()) == count - count / 2);
@@ -187,18 +187,18 @@
   RoutingState state = MakeState();
   const TargetView view = MakeView({ MakeTarget("a"), MakeTarget("b"), MakeTarget("c") });
   const Target& broken = view.targets_.at(kService)[0];
-  Fail(state, broken, 4, kStart);
+  RecordFailedCalls(state, broken, 4, kStart);
   CHECK(CountChoices(state, view, kStart).contains("a"));
-  Fail(state, broken, 1, kStart);
+  RecordFailedCalls(state, broken, 1, kStart);
   CHECK_FALSE(CountChoices(state, view, kStart + milliseconds(999)).contains("a"));
   CHECK(CountChoices(state, view, kStart + milliseconds(1000)).contains("a"));
   // Late failures during the ejection don't count.
-  Fail(state, broken, 5, kStart + milliseconds(1000));
-  Fail(state, broken, 50, kStart + milliseconds(1100));
+  RecordFailedCalls(state, broken, 5, kStart + milliseconds(1000));
+  RecordFailedCalls(state, broken, 50, kStart + milliseconds(1100));
   CHECK_FALSE(CountChoices(state, view, kStart + milliseconds(2999)).contains("a"));
   CHECK(CountChoices(state, view, kStart + milliseconds(3000)).contains("a"));
   // A new incarnation starts without the old one's failures.
-  Fail(state, broken, 5, kStart + seconds(3));
+  RecordFailedCalls(state, broken, 5, kStart + seconds(3));
   Target restarted = broken;
   restarted.incarnation_ = 2;
   const TargetView after = MakeView({ restarted, MakeTarget("b"), MakeTarget("c") });
@@ -207,7 +207,7 @@
 
 // Guards against calls to far targets while near ones accept, and against refused calls while far
 // targets would accept them.
-TEST_CASE("work spills over to the next tier when the nearer one refuses", "[route]")
+TEST_CASE("calls spill over to the next tier when the nearer one refuses", "[route]")
 {
   RoutingState state = MakeState();
   const TargetView view = MakeView(
@@ -293,7 +293,7 @@
 }
 
 // Guards against full load on a target that has just started.
-TEST_CASE("a cold target ramps up", "[route]")
+TEST_CASE("the share of a cold target rises gradually", "[route]")
 {
   double previousFraction = 0;
   for (const int age : { 0, 2, 5, 10 }) {
@@ -312,12 +312,12 @@
 }
 
 // Guards against memory that grows with every host that was ever a target.
-TEST_CASE("stats of absent hosts are forgotten", "[route]")
+TEST_CASE("stats of absent hosts without calls in flight are removed", "[route]")
 {
   RoutingState state = MakeState();
   const Target gone = MakeTarget("gone");
   const Target busy = MakeTarget("busy");
-  Fail(state, gone, 1, kStart);
+  RecordFailedCalls(state, gone, 1, kStart);
   RecordCallSent(state, busy);
   RemoveAbsentHosts(state, MakeView({ MakeTarget("a") }));
   CHECK_FALSE(state.stats_.contains(gone.host_));
@@ -325,9 +325,9 @@
 }
 
 // Guards against a queue at the only target of the own data centre while a target in another one
-// has free slots. After a host died, 6 % of the calls failed in the queue of its overloaded
-// neighbour.
-TEST_CASE("work spills over to the region when nearer targets queue", "[route]")
+// has free slots. After a host failed, 6 % of the calls failed in the queue of the overloaded
+// target beside it.
+TEST_CASE("calls spill over to a farther tier when nearer targets queue", "[route]")
 {
   RoutingState state;
   state.dataCentre_ = DataCentreId{ "north-1" };
@@ -351,7 +351,7 @@
   CHECK(chosen() == "own");
   report(0, 1.1);
   CHECK(chosen() == "near");
-  // The link between regions is slow and paid by volume, so a short queue is preferred.
+  // Links between regions are slow and paid by volume, so a short queue is preferred.
   report(1, 1.1);
   CHECK(chosen() == "own");
   report(0, 1.5);
@@ -359,9 +359,9 @@
   CHECK(chosen() == "far");
 }
 
-// Guards against failuresToEject_ failed calls, each of which costs a retry, to a dead host
-// after each ejection.
-TEST_CASE("an unreachable target is ejected at once and again by its first failure", "[route]")
+// Guards against a dead host that must fail failuresToEject_ calls, each of which costs a retry,
+// before it is ejected, also after an earlier ejection.
+TEST_CASE("an unreachable target is ejected at once and again after one failure", "[route]")
 {
   RoutingState state;
   const std::vector<Target> targets{ MakeTarget("a"), MakeTarget("b") };
@@ -382,7 +382,7 @@
 
 // Guards against a target that fails its calls at once: it seems fast and idle, and would draw more
 // and more calls.
-TEST_CASE("a target that fails more than the others gets hardly any calls", "[route]")
+TEST_CASE("a target that fails more calls than the others is avoided", "[route]")
 {
   RoutingState state;
   const std::vector<Target> targets{ MakeTarget("a"), MakeTarget("b"), MakeTarget("c") };
@@ -401,7 +401,7 @@
 }
 
 // Guards against avoiding all targets because a service that they all call makes them fail.
-TEST_CASE("failures that all targets share are no reason against any", "[route]")
+TEST_CASE("failures that all targets have in common exclude none of them", "[route]")
 {
   RoutingState state;
   const std::vector<Target> targets{ MakeTarget("a"), MakeTarget("b"), MakeTarget("c") };
--- a/tests/request/TokenCacheTest.cpp
+++ b/tests/request/TokenCacheTest.cpp
@@ -93,7 +93,7 @@
 // expired tokens, with replies that are late, lost, repeated or empty.
 TEST_CASE("tokens are used once and before they expire", "[tokens]")
 {
-  CHECK(rc::check("random leader", [] {
+  CHECK(rc::check("random grants and lost replies", [] {
     TokenCache cache;
     Model model;
     std::deque<PendingRequest> pendingRequests;
@@ -188,7 +188,7 @@
 
 // Guards against a host with low use that holds tokens which other hosts need: it must not request
 // tokens ahead.
-TEST_CASE("a rarely used account asks for one token at a time", "[tokens]")
+TEST_CASE("tokens of a rarely used account are requested one at a time", "[tokens]")
 {
   TokenCache cache;
   const TimePoint now{ seconds(100) };
@@ -210,7 +210,7 @@
 
 // Guards against memory that grows with the number of accounts, and against an account that a lost
 // reply blocks permanently.
-TEST_CASE("accounts are bounded and lost replies are requested again", "[tokens]")
+TEST_CASE("cached accounts are bounded and a request without a reply is repeated", "[tokens]")
 {
   TokenCache cache;
   const TimePoint now{ seconds(100) };
