--- a/peridotquay/version/Config.h
+++ b/peridotquay/version/Config.h
@@ -62,16 +62,18 @@
   bool operator==(const Site&) const = default;
 };
 
-/// Settings of the policy under load. The two example deployments differ only in these.
+/// Settings of key checks, rate limits, retries, routing and queues.
 struct Policy
 {
   /// Requests with a key are refused if the configuration was last known to be the newest longer
   /// ago than this; 3 s to 3,600 s.
   Duration keyFreshnessBound_ = seconds(10);
-  double floorFraction_ = 0.25; ///< Fraction of each rate held as long-lived floors; 0 to 0.9.
+  /// Fraction of each rate that is divided equally among the data centres as floors, which don't
+  /// move between them; 0 to 0.9. The rest are elastic shares, which follow the demand.
+  double floorFraction_ = 0.25;
   Duration floorLease_ = seconds(600); ///< Lease duration of floors.
   Duration elasticLease_ = seconds(5); ///< Lease duration of elastic shares.
-  double retryRatio_ = 0.1;            ///< Retry tokens that a first attempt earns; 0 to 1.
+  double retryRatio_ = 0.1;            ///< Retry tokens that a call's first attempt adds; 0 to 1.
   /// Maximum retry tokens that a host accumulates for one service.
   double retryBudgetCapacity_ = 10;
   /// Fractions of a call's slack (its latency objective minus the expected latency) that it may
--- a/peridotquay/version/ConfigCompiler.cpp
+++ b/peridotquay/version/ConfigCompiler.cpp
@@ -300,7 +300,7 @@
   });
 }
 
-/// Parses the entities that the cache lacks or that changed, and removes those that are gone.
+/// Parses the entities that the cache lacks or that changed, and drops those that were removed.
 Result<void> ParseChanged(const Entities& aEntities, ConfigCache& aCache)
 {
   if (!aCache.parsed_) {
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-// Rows in one read of changes or contacts; with the largest changes that is 4 MiB.
-constexpr std::uint32_t kMaxChangeRows = 64;
+// Maximum number of rows in one read of changes or contacts. The largest changes make 4 MiB.
+constexpr std::uint32_t kMaxRowsPerRead = 64;
 
-// Addresses in a contact row: enough that some are still alive after a rack failed.
+// Maximum number of addresses in a contact row. Enough that some are alive after a rack failed.
 constexpr std::size_t kMaxContactAddresses = 4;
 
 // A node that knows no other member waits this long before it replaces its contact row, so that it
@@ -92,12 +92,13 @@
 
 void RecordRecentChange(Dissemination& aState, const Change& aChange)
 {
-  aState.recent_.push_back(aChange);
+  aState.recentChanges_.push_back(aChange);
   aState.recentBytes_ += ChangeBytes(aChange);
-  while (aState.recent_.size() > aState.settings_.maxRecentVersions_ ||
-         (aState.recent_.size() > 1 && aState.recentBytes_ > aState.settings_.maxRecentBytes_)) {
-    aState.recentBytes_ -= ChangeBytes(aState.recent_.front());
-    aState.recent_.pop_front();
+  while (
+    aState.recentChanges_.size() > aState.settings_.maxRecentVersions_ ||
+    (aState.recentChanges_.size() > 1 && aState.recentBytes_ > aState.settings_.maxRecentBytes_)) {
+    aState.recentBytes_ -= ChangeBytes(aState.recentChanges_.front());
+    aState.recentChanges_.pop_front();
   }
 }
 
@@ -106,7 +107,7 @@
 void PutInForce(Dissemination& aState, DisseminationEffects& aEffects)
 {
   const auto version = aState.version_;
-  auto compiled = CompileConfig(aState.compiled_, aState.entities_, aState.dataCentre_, version);
+  auto compiled = CompileConfig(aState.configCache_, aState.entities_, aState.dataCentre_, version);
   if (compiled.has_error()) {
     aEffects.events_.push_back({ EventKind::kVersionRejected, Describe(compiled.assume_error()) });
     return;
@@ -145,7 +146,7 @@
       // An invalid change counts as a version without edits, alike at every node.
       aEffects.events_.push_back({ EventKind::kVersionRejected, Describe(applied.assume_error()) });
     } else {
-      MarkEntitiesChanged(aState.compiled_, change.edits_);
+      MarkEntitiesChanged(aState.configCache_, change.edits_);
     }
     aState.version_ = change.version_;
     RecordRecentChange(aState, change);
@@ -171,9 +172,9 @@
     return;
   }
   aState.entities_ = std::move(aEntities);
-  ResetConfigCache(aState.compiled_);
+  ResetConfigCache(aState.configCache_);
   aState.version_ = aVersion;
-  aState.recent_.clear();
+  aState.recentChanges_.clear();
   aState.recentBytes_ = 0;
   PutInForce(aState, aEffects);
 }
@@ -215,12 +216,12 @@
   }
 }
 
-// Recent changes after a version that fit into one message, at least one if there is any.
+// The first recent changes after a version that fit into one message, at least one if there is any.
 std::vector<Change> RecentChangesAfter(const Dissemination& aState, Version aVersion)
 {
   std::vector<Change> changes;
   std::size_t bytes = 0;
-  for (const auto& change : aState.recent_) {
+  for (const auto& change : aState.recentChanges_) {
     if (change.version_ <= aVersion) {
       continue;
     }
@@ -238,13 +239,13 @@
 void StartPush(Dissemination& aState, bool aFromPlatform, DisseminationEffects& aEffects)
 {
   if (aState.ranking_ == nullptr || aState.version_ <= aState.pushedVersion_ ||
-      aState.recent_.empty()) {
+      aState.recentChanges_.empty()) {
     return;
   }
   auto changes = RecentChangesAfter(aState, aState.pushedVersion_);
   if (changes.empty() || changes.back().version_ != aState.version_) {
-    // Too much for one message: the last change shows the children a gap, and they sync.
-    changes = { aState.recent_.back() };
+    // Too much for one message: the last change alone leaves the children a gap, so they sync.
+    changes = { aState.recentChanges_.back() };
   }
   if (IsRoot(aState)) {
     PushToChildren(aState, changes, aEffects);
@@ -263,7 +264,7 @@
   return static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *aTime).count());
 }
 
-// The whole configuration as one change; empty if that doesn't fit into a frame.
+// The whole configuration as one change; empty if it doesn't fit into a frame.
 std::vector<Change> SnapshotChange(const Dissemination& aState)
 {
   Change change;
@@ -336,8 +337,8 @@
     reply.outageAgeMs_ = AgeMs(aState.failedPollStartedAt_, aNow);
   }
   if (aRequest.version_ < aState.version_) {
-    const bool covered =
-      !aState.recent_.empty() && aState.recent_.front().version_ <= aRequest.version_ + 1;
+    const bool covered = !aState.recentChanges_.empty() &&
+                         aState.recentChanges_.front().version_ <= aRequest.version_ + 1;
     if (covered) {
       reply.changes_ = RecentChangesAfter(aState, aRequest.version_);
     } else {
@@ -421,7 +422,7 @@
     aState.nextPollAt_ = aNow;
   } else {
     ApplyChanges(aState, aReply.changes_, aEffects);
-    // The reply didn't hold all changes: request the rest now.
+    // The reply didn't contain all changes: request the rest now.
     if (!aReply.changes_.empty() && aState.version_ < aReply.version_) {
       aState.nextSyncAt_ = aNow;
     }
@@ -577,7 +578,7 @@
     StartCall(
       aState, VersionCallKind::kSnapshot, GetObjectCall{ SnapshotName(snapshotVersion) }, aEffects);
   } else {
-    ReadRangeCall call{ "config/change/", ChangeRowKey(aState.version_), kMaxChangeRows };
+    ReadRangeCall call{ "config/change/", ChangeRowKey(aState.version_), kMaxRowsPerRead };
     StartCall(aState, VersionCallKind::kChanges, std::move(call), aEffects);
   }
 }
@@ -700,7 +701,7 @@
       aNow + (alone ? aState.settings_.contactIntervalAlone_ : aState.settings_.contactInterval_);
     StartCall(aState,
               VersionCallKind::kReadContacts,
-              ReadRangeCall{ std::string(kContactPrefix), {}, kMaxChangeRows },
+              ReadRangeCall{ std::string(kContactPrefix), {}, kMaxRowsPerRead },
               aEffects);
     return;
   }
@@ -729,12 +730,12 @@
   StartCall(aState, VersionCallKind::kPutSnapshot, std::move(call), aEffects);
 }
 
-void LogFreshnessChange(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
+void ReportFreshnessChange(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
   const auto until = FreshAsOf(aState);
   const bool fresh = until && aNow - *until < aState.freshnessBound_;
-  if (fresh != aState.loggedFresh_) {
-    aState.loggedFresh_ = fresh;
+  if (fresh != aState.reportedFresh_) {
+    aState.reportedFresh_ = fresh;
     aEffects.events_.push_back(
       { fresh ? EventKind::kFreshnessRegained : EventKind::kFreshnessLost, {} });
   }
@@ -893,7 +894,7 @@
   WriteSnapshot(aState, aEffects);
   WriteWatermark(aState, aNow, aWallMs, aEffects);
   ExchangeContacts(aState, aNow, aWallMs, aEffects);
-  LogFreshnessChange(aState, aNow, aEffects);
+  ReportFreshnessChange(aState, aNow, aEffects);
 }
 
 void HandleVersionMessage(Dissemination& aState,
@@ -960,7 +961,7 @@
       }
       break;
   }
-  LogFreshnessChange(aState, aNow, aEffects);
+  ReportFreshnessChange(aState, aNow, aEffects);
 }
 
 void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow)
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -3,7 +3,7 @@
 // configuration in force is known to have been the latest (freshness), and the minimum version in
 // force at all nodes of the data centre (watermark).
 //
-// The module is a struct and free functions without input or output. The owner calls
+// The module consists of a struct and free functions and does no I/O. The owner calls
 // StepDissemination every 100 ms, passes in each message and platform answer, and carries out the
 // effects.
 #pragma once
@@ -30,30 +30,30 @@
 /// Value of SyncReply::ageMs_ and outageAgeMs_ if there is no proof.
 inline constexpr std::uint64_t kUnknownAgeMs = ~std::uint64_t{ 0 };
 
-/// Settings of dissemination.
+/// Intervals, timeouts and size limits of dissemination.
 struct DisseminationSettings
 {
-  Duration pollInterval_ = milliseconds(500); ///< Between reads of config/head by a delegate.
-  Duration syncInterval_ = seconds(1);        ///< Between sync requests to the parent.
+  Duration pollInterval_ = milliseconds(500); ///< Time between reads of config/head by a delegate.
+  Duration syncInterval_ = seconds(1);        ///< Time between sync requests to the parent.
   Duration reportLifetime_ = seconds(3); ///< Reports of a child that didn't sync for this long are
                                          ///< not counted.
   /// A parent that didn't reply for this long is bypassed.
   Duration replyTimeout_ = milliseconds(2500);
   Duration maxProofAge_ = seconds(2);      ///< With an older proof a delegate syncs with the
                                            ///< delegates of other data centres.
-  Duration contactInterval_ = seconds(10); ///< Between reads of contact rows, and at least between
-                                           ///< writes of the own row.
-  /// Between reads of contact rows while no other member is known.
+  Duration contactInterval_ = seconds(10); ///< Time between reads of contact rows, and minimum time
+                                           ///< between writes of the own row.
+  /// Time between reads of contact rows while no other member is known.
   Duration contactIntervalAlone_ = seconds(2);
-  Duration watermarkInterval_ = seconds(1);           ///< At least between writes of the watermark.
-  std::size_t arity_ = 8;                             ///< Children of each node in both trees.
-  std::size_t delegateCount_ = 2;                     ///< Delegates of each data centre.
+  Duration watermarkInterval_ = seconds(1); ///< Minimum time between writes of the watermark.
+  std::size_t arity_ = 8;                   ///< Children of each node in both trees.
+  std::size_t delegateCount_ = 2;           ///< Delegates of each data centre.
   std::size_t maxRecentVersions_ = kSnapshotInterval; ///< Recent changes kept for nodes with a gap.
-  std::size_t maxRecentBytes_ = std::size_t{ 2 } << 20U; ///< Size of these changes.
-  std::size_t maxReplyBytes_ = 65536;                    ///< Size of the changes in one message.
+  std::size_t maxRecentBytes_ = std::size_t{ 2 } << 20U; ///< Maximum size of the recent changes.
+  std::size_t maxReplyBytes_ = 65536;      ///< Maximum size of the changes in one message.
   std::size_t maxSnapshotBytes_ = 900'000; ///< A larger snapshot doesn't fit into a frame; nodes
                                            ///< read it from the object store.
-  std::size_t maxLaggingHosts_ = 8;        ///< Lagging hosts that a report names.
+  std::size_t maxLaggingHosts_ = 8;        ///< Maximum number of lagging hosts in a report.
   bool operator==(const DisseminationSettings&) const = default;
 };
 
@@ -112,12 +112,12 @@
   std::shared_ptr<const MemberRanking> ranking_;
 
   Entities entities_;
-  ConfigCache compiled_; ///< Parsed entities_; each edit of them invalidates its part.
-  Version version_ = 0;  ///< Last version whose change is applied to entities_.
-  Version inForce_ = 0;  ///< Last version compiled and published; less than version_ if later ones
-                         ///< were rejected.
-  Version latestVersion_ = 0; ///< Highest version known to exist.
-  std::deque<Change> recent_; ///< Consecutive changes; the last one is of version_.
+  ConfigCache configCache_; ///< Parsed entities_; an edit marks its entity as changed.
+  Version version_ = 0;     ///< Last version whose change is applied to entities_.
+  Version inForce_ = 0; ///< Last version compiled and published; less than version_ if later ones
+                        ///< were rejected.
+  Version latestVersion_ = 0;        ///< Highest version known to exist.
+  std::deque<Change> recentChanges_; ///< Consecutive changes; the last one is of version_.
   std::size_t recentBytes_ = 0;
   Duration freshnessBound_ = seconds(10); ///< Bound set by the configuration in force.
   std::set<DataCentreId> sites_;          ///< Data centres in the configuration in force.
@@ -132,7 +132,7 @@
   /// Failed poll that the other delegate of this data centre reported.
   std::optional<OutageEvidence> otherDelegateOutage_;
   std::map<DataCentreId, OutageEvidence> centreOutages_; ///< Reported by other data centres.
-  bool loggedFresh_ = false; ///< Whether the last logged event states that this node is fresh.
+  bool reportedFresh_ = false; ///< Whether the last freshness event stated that this node is fresh.
 
   Version pushedVersion_ = 0;                   ///< Latest version pushed to the children.
   std::uint64_t nextNonce_ = 1;                 ///< Matches the next sync request with its reply.
@@ -151,13 +151,13 @@
   bool fetchNeeded_ = false; ///< The parent's snapshot doesn't fit into a frame: read the platform.
   bool snapshotTried_ = false; ///< A snapshot was requested: read the changes next.
   Version snapshotDue_ = 0;    ///< Version of the snapshot to write next; 0 for none.
-  std::string snapshotBody_;   ///< Its text, encoded when the version was applied.
+  std::string snapshotBody_;   ///< Text of that snapshot, encoded when its version was applied.
   bool platformReachable_ = false;
   bool platformKnown_ = false;   ///< At least one platform call ended.
   Version watermark_ = 0;        ///< Minimum version in force in the own data centre.
-  std::string writtenWatermark_; ///< The last written row text without its time.
-  std::string writtenContacts_;  ///< The last written row text without its time.
-  TimePoint aloneSince_{};       ///< Time from which no other member is known.
+  std::string writtenWatermark_; ///< Watermark row last written, without its time.
+  std::string writtenContacts_;  ///< Contact row last written, without its time.
+  TimePoint aloneSince_{};       ///< Time since which no other member is known.
 };
 
 /// A change that the owner logs.
@@ -173,7 +173,7 @@
     kPlatformReachable
   };
   Kind kind_ = Kind::kVersionInForce;
-  std::string subject_; ///< The version, or the reason of a rejection; else empty.
+  std::string subject_; ///< The version, or the reason for a rejection; otherwise empty.
   bool operator==(const DisseminationEvent&) const = default;
 };
 
--- a/peridotquay/version/Membership.cpp
+++ b/peridotquay/version/Membership.cpp
@@ -24,7 +24,7 @@
 constexpr Duration kContradictionHold = seconds(30);
 
 // Relayed probes are removed after this time. The requester has stopped waiting by then.
-constexpr Duration kRelayLifetime = seconds(2);
+constexpr Duration kRelayedProbeLifetime = seconds(2);
 
 bool IsLiving(MemberState aState)
 {
@@ -134,7 +134,7 @@
     if (sendsLeft == aState.sendsLeft_.end()) {
       continue;
     }
-    // kUnreachable holds for this node only, so other members don't receive it.
+    // kUnreachable holds only at this node, so it isn't sent to other members.
     if (member != aState.members_.end() &&
         member->second.entry_.state_ != MemberState::kUnreachable) {
       updates.push_back(member->second.entry_);
@@ -154,7 +154,7 @@
                MembershipEffects& aEffects)
 {
   Probe probe{ aSequence, aState.self_, CollectUpdates(aState) };
-  // A member that is considered suspect or dead learns it from the probe and can refute it.
+  // A member that is considered suspect or dead learns of it from the probe and can refute it.
   if (aMember.entry_.state_ == MemberState::kSuspect ||
       aMember.entry_.state_ == MemberState::kDead) {
     probe.updates_.push_back(aMember.entry_);
@@ -200,11 +200,11 @@
   }
 }
 
-void SetReachable(Membership& aState,
-                  const DataCentreId& aId,
-                  bool aReachable,
-                  TimePoint aNow,
-                  MembershipEffects& aEffects)
+void SetCentreReachable(Membership& aState,
+                        const DataCentreId& aId,
+                        bool aReachable,
+                        TimePoint aNow,
+                        MembershipEffects& aEffects)
 {
   auto& centre = aState.centres_[aId];
   centre.statementSendsLeft_ = SendLimit(aState);
@@ -245,7 +245,7 @@
   if (reachable && aState.isDelegate_ && aNow - centre.lastSummaryAt_ >= kRecentSummaryAge) {
     centre.holdUntil_ = aNow + kContradictionHold;
   }
-  SetReachable(aState, aEntry.dataCentre_, reachable, aNow, aEffects);
+  SetCentreReachable(aState, aEntry.dataCentre_, reachable, aNow, aEffects);
 }
 
 // Weight of a member of another data centre. It depends on this node too, so that nodes keep
@@ -255,10 +255,10 @@
   return RankWeight("sample/" + aState.self_.host_.value_, aEntry.dataCentre_, aEntry.host_);
 }
 
-// Removes the member of another data centre with the least weight from a full table, but never a
-// delegate of its data centre. Returns false if the newcomer isn't to be added. A newcomer below
-// the least weight of the sample is rejected without a search, because each summary contains
-// members outside the sample.
+// Removes the member of another data centre with the minimum weight from a full table, but never a
+// delegate of its data centre. Returns false if the newcomer must not be added. A newcomer at or
+// below the minimum weight of the sample is rejected without a search, because each summary
+// contains members outside the sample.
 bool EvictSampledMember(Membership& aState, const MemberEntry& aNewcomer)
 {
   if (!IsOwnCentre(aState, aNewcomer) &&
@@ -366,7 +366,7 @@
                 TimePoint aNow,
                 MembershipEffects& aEffects)
 {
-  // That a single member is unreachable holds only for the node that found it and isn't adopted.
+  // That a single member is unreachable holds only at the node that found it, so it isn't merged.
   const bool isCentre = aEntry.host_.value_ == kWholeDataCentre;
   if (aEntry.host_.value_.empty() || (!isCentre && aEntry.state_ == MemberState::kUnreachable)) {
     return;
@@ -538,7 +538,7 @@
   centre.lastSummaryAt_ = aNow;
   if (!centre.reachable_) {
     ++centre.statementNumber_;
-    SetReachable(aState, aSummary.dataCentre_, true, aNow, aEffects);
+    SetCentreReachable(aState, aSummary.dataCentre_, true, aNow, aEffects);
   }
 }
 
@@ -686,8 +686,8 @@
         aEffects.events_.push_back({ MembershipEventKind::kDead, it->first.value_ });
       }
     }
-    const bool hasEnded = state == MemberState::kDead || state == MemberState::kLeft;
-    if (hasEnded && age >= aState.settings_.tombstoneLifetime_) {
+    const bool isTombstone = state == MemberState::kDead || state == MemberState::kLeft;
+    if (isTombstone && age >= aState.settings_.tombstoneLifetime_) {
       ++aState.revision_;
       it = aState.members_.erase(it);
     } else {
@@ -877,16 +877,16 @@
     }
     return;
   }
-  ++aState.summaries_;
+  ++aState.summaryRounds_;
   for (auto& [id, centre] : aState.centres_) {
     const auto remoteMembers = RankMembers(aState, kDelegateRole, id);
     const auto delegates = std::min(remoteMembers.size(), aState.settings_.delegateCount_);
     if (delegates == 0) {
       continue;
     }
-    // The rank offsets the turns, so that both delegates together reach both remote delegates in
-    // each round.
-    const auto& peer = remoteMembers[(aState.summaries_ + rank) % delegates];
+    // Offset by the rank, so that both delegates together reach both remote delegates in each
+    // round.
+    const auto& peer = remoteMembers[(aState.summaryRounds_ + rank) % delegates];
     DataCentreSummary summary;
     summary.dataCentre_ = aState.self_.dataCentre_;
     summary.members_ = SummaryMembers(aState, centre);
@@ -903,7 +903,7 @@
   for (auto& [id, centre] : aState.centres_) {
     if (centre.reachable_ && aNow - centre.lastSummaryAt_ >= timeout && aNow >= centre.holdUntil_) {
       ++centre.statementNumber_;
-      SetReachable(aState, id, false, aNow, aEffects);
+      SetCentreReachable(aState, id, false, aNow, aEffects);
     }
   }
 }
@@ -973,7 +973,7 @@
     StartProbe(aState, aNow, aEffects);
     ProbeSuspects(aState, aEffects);
     std::erase_if(aState.relayedProbes_, [&](const auto& aRelay) {
-      return aNow - aRelay.second.sentAt_ > kRelayLifetime;
+      return aNow - aRelay.second.sentAt_ > kRelayedProbeLifetime;
     });
   }
   SendBacklog(aState, aNow, aEffects);
--- a/peridotquay/version/Membership.h
+++ b/peridotquay/version/Membership.h
@@ -1,9 +1,9 @@
 // Cluster membership: failure detection within a data centre by the SWIM protocol, and summaries
 // exchanged between data centres.
 //
-// The module is a struct and free functions without input or output. The owner calls StepMembership
-// every 100 ms, passes each received message to HandleMembershipMessage and carries out the effects
-// of both.
+// The module consists of a struct and free functions and does no I/O. The owner calls
+// StepMembership every 100 ms, passes each received message to HandleMembershipMessage and carries
+// out the effects of both.
 #pragma once
 
 #include "peridotquay/process/Time.h"
@@ -25,33 +25,34 @@
 /// kUnreachable, and a higher incarnation replaces an earlier statement about that data centre.
 inline constexpr std::string_view kWholeDataCentre = "*";
 
-/// Settings of membership.
+/// Intervals, timeouts and limits of the membership protocol.
 struct MembershipSettings
 {
-  Duration probeInterval_ = seconds(1); ///< Between probes, and between summaries of a delegate.
+  Duration probeInterval_ = seconds(1); ///< Time between probes, and between summaries.
   /// Time without an ack until other members are asked to probe.
   Duration indirectProbeDelay_ = milliseconds(300);
-  Duration ackTimeout_ = seconds(1); ///< Not read: a probe without an ack fails when the next one
+  Duration ackTimeout_ = seconds(1); ///< Unused: a probe without an ack fails when the next one
                                      ///< is due, after probeInterval_.
   Duration suspicionTimeout_ = seconds(3); ///< Time in which a suspected member can refute.
   std::uint32_t indirectProbeCount_ = 3;   ///< Members that are asked for an indirect probe.
   /// Suspected members that are probed in addition in each probeInterval_, so that they learn of
   /// the suspicion and refute it in time.
   std::uint32_t suspectProbesPerInterval_ = 2;
-  Duration backlogInterval_ = milliseconds(250); ///< Between extra probes that carry updates while
-                                                 ///< more are queued than one datagram holds.
+  Duration backlogInterval_ = milliseconds(250); ///< Time between extra probes that carry updates
+                                                 ///< while more are queued than one datagram holds.
   std::size_t updatesPerDatagram_ = 6; ///< Keeps a datagram below 1,200 bytes, one IP packet.
   Duration tombstoneLifetime_ = seconds(600); ///< How long dead and left members are kept.
-  Duration reviveInterval_ = seconds(5); ///< Between probes of dead members, which may only have
-                                         ///< been separated by a network partition.
-  Duration joinInterval_ = seconds(1);   ///< Between requests to the seeds until one answers.
-  Duration seedInterval_ = seconds(10);  ///< Between later requests to seeds that aren't members.
-  /// From the start to the first exchange of whole tables. The delay then doubles up to the greater
-  /// of the limits from the next two settings.
+  Duration reviveInterval_ = seconds(5); ///< Time between probes of dead members, which may only
+                                         ///< have been separated by a network partition.
+  Duration joinInterval_ = seconds(1);   ///< Time between requests to the seeds until one answers.
+  /// Time between later requests to seeds that aren't members.
+  Duration seedInterval_ = seconds(10);
+  /// Average time from the start to the first exchange of whole tables. Each later delay doubles,
+  /// up to the greater of the limits from the next two settings.
   Duration firstAntiEntropyDelay_ = seconds(2);
-  Duration antiEntropyInterval_ = seconds(30); ///< Limit of the doubling in small data centres.
-  /// Multiplied by the number of members, the limit of the doubling in large data centres. Bounds
-  /// the traffic to about 500 bytes per second for any number of members.
+  Duration antiEntropyInterval_ = seconds(30); ///< Maximum delay in small data centres.
+  /// Multiplied by the number of members, the maximum delay in large data centres. Bounds the
+  /// traffic to about 500 bytes per second for any number of members.
   Duration antiEntropyIntervalPerMember_ = milliseconds(200);
   Duration centreTimeout_ = seconds(4);      ///< A data centre without a summary for this long is
                                              ///< unreachable.
@@ -59,7 +60,7 @@
                                              ///< are confirmed at random times within this period.
   std::size_t delegateCount_ = 2;            ///< Delegates of each data centre.
   std::size_t maxSummaryChanges_ = 64;       ///< Changed members in one summary.
-  std::size_t summaryRefreshCount_ = 2;      ///< Unchanged members repeated in each summary.
+  std::size_t summaryRefreshCount_ = 2; ///< Members repeated in each summary although unchanged.
   /// If more members of a data centre await confirmation, they are used without a probe, because
   /// each node would probe them all.
   std::size_t maxProbedConfirmations_ = 64;
@@ -84,7 +85,7 @@
   std::uint64_t statementNumber_ = 0; ///< Orders the statements on whether it is reachable.
   bool reachable_ = true;
   TimePoint lastSummaryAt_{}; ///< When this node last received a summary from it.
-  TimePoint holdUntil_{};     ///< Until then this node doesn't declare it unreachable, because
+  TimePoint holdUntil_{};     ///< Until this time this node doesn't declare it unreachable, because
                               ///< another delegate contradicted that.
   std::uint32_t statementSendsLeft_ = 0; ///< Datagrams that still carry the statement.
   std::deque<HostId>
@@ -144,21 +145,22 @@
   std::optional<PendingProbe> probe_;
   std::map<std::uint64_t, RelayedProbe> relayedProbes_; ///< By the number of the relayed probe.
   std::uint64_t nextSequence_ = 1;                      ///< Number of the next probe.
-  std::uint64_t summaries_ = 0; ///< Rounds of summaries; alternates the receiving delegates.
-  HostId refreshCursor_;        ///< The last unchanged member that a summary repeated.
+  /// Number of rounds of summaries; selects the receiving delegates in turn.
+  std::uint64_t summaryRounds_ = 0;
+  HostId refreshCursor_; ///< The last unchanged member that a summary repeated.
   TimePoint lastStepAt_{};
   TimePoint nextProbeAt_{};
   TimePoint nextJoinAt_{};
   TimePoint nextAntiEntropyAt_{};
-  Duration antiEntropyDelay_{}; ///< Between the last two exchanges of whole tables.
+  Duration antiEntropyDelay_{}; ///< Delay before the next exchange of whole tables.
   TimePoint nextBacklogAt_{};
   TimePoint nextReviveAt_{};
   TimePoint nextSummaryAt_{};
   TimePoint delegateSince_{}; ///< When this node last became a delegate.
   bool isDelegate_ = false;
   TimePoint selfReadySince_{}; ///< When the local target last started.
-  std::uint64_t minSampleWeight_ =
-    0; ///< Least weight among the members of other data centres that a full table keeps.
+  /// Minimum weight of the members of other data centres that a full table keeps.
+  std::uint64_t minSampleWeight_ = 0;
   bool loadChanged_ = false;   ///< A load changed since the owner last cleared this flag.
   std::uint64_t revision_ = 0; ///< Grows with each change that affects a view or a ranking.
 };
--- a/peridotquay/version/StoreFeed.h
+++ b/peridotquay/version/StoreFeed.h
@@ -12,7 +12,7 @@
 
 namespace peridotquay {
 
-/// Settings of the feed.
+/// Intervals, timeouts and limits of the feed.
 struct StoreFeedSettings
 {
   /// Time between two questions. A change must be in force 2.5 s after the store accepted it, even
