--- a/tests/version/ConfigParserTest.cpp
+++ b/tests/version/ConfigParserTest.cpp
@@ -210,7 +210,7 @@
       CHECK(CheckEntities(parsed.assume_value()).has_value());
     }
   }
-  // Mutations of comments and descriptions have no effect, so some files stay valid.
+  // Mutations of comments and descriptions leave a file valid.
   CHECK(accepted > 0);
   CHECK(accepted < 3000);
 }
--- a/tests/version/ConfigTest.cpp
+++ b/tests/version/ConfigTest.cpp
@@ -37,7 +37,7 @@
 
 // Guards against a prefix that matches inside a path segment, and against a shorter prefix that is
 // preferred to a longer one.
-TEST_CASE("the longest prefix at a segment boundary wins", "[config]")
+TEST_CASE("the route with the longest prefix at a segment boundary is chosen", "[config]")
 {
   const auto config = Value(CompileConfig(SampleEntities(), { "north" }, 7));
   REQUIRE(FindRoute(*config, "/bells") != nullptr);
@@ -81,7 +81,7 @@
 }
 
 // Guards against withdrawn, unknown or truncated keys that are accepted for an account.
-TEST_CASE("only keys in force find their client account", "[config]")
+TEST_CASE("only keys in force are mapped to a client account", "[config]")
 {
   const auto config = Value(CompileConfig(SampleEntities(), { "north" }, 7));
   const auto* account = FindAccountByKeyDigest(*config, KeyDigest("secret"));
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -22,14 +22,14 @@
 struct NetworkNode
 {
   Membership membership_;
-  Dissemination versions_;
+  Dissemination dissemination_;
   Duration offset_{}; ///< Clock of the node minus true time.
   TimePoint pausedUntil_{};
   bool stopped_ = false;
-  std::uint64_t revision_ = ~std::uint64_t{ 0 }; ///< Of membership, for the last ranking.
+  std::uint64_t revision_ = ~std::uint64_t{ 0 }; ///< Membership revision of the last ranking.
   Version lastVersionInForce_ = 0;               ///< Version in force at the last check.
   std::optional<TimePoint> lastFreshUntil_;      ///< Freshness at the last check.
-  std::uint64_t messages_ = 0;                   ///< Messages sent.
+  std::uint64_t messages_ = 0;                   ///< Number of messages sent.
   std::uint64_t processNumber_ = 0; ///< Platform answers reach only the process that called.
 };
 
@@ -186,7 +186,7 @@
       seeds.push_back({ "127.0.0.1", static_cast<std::uint16_t>(i + 1) });
     }
     const auto local = now_ + node.offset_;
-    node.versions_ = MakeDissemination({}, self.dataCentre_, NextRandom(random_), local);
+    node.dissemination_ = MakeDissemination({}, self.dataCentre_, NextRandom(random_), local);
     node.membership_ = MakeMembership({}, self, seeds, NextRandom(random_), local);
     return node;
   }
@@ -207,13 +207,13 @@
     CarryOut(aNode, effects);
     if (node.revision_ != node.membership_.revision_) {
       node.revision_ = node.membership_.revision_;
-      SetRanking(node.versions_,
+      SetRanking(node.dissemination_,
                  std::make_shared<const MemberRanking>(MakeMemberRanking(node.membership_)),
                  Local(aNode));
     }
-    DisseminationEffects versions;
-    StepDissemination(node.versions_, Local(aNode), 0, versions);
-    CarryOut(aNode, versions);
+    DisseminationEffects disseminationEffects;
+    StepDissemination(node.dissemination_, Local(aNode), 0, disseminationEffects);
+    CarryOut(aNode, disseminationEffects);
   }
 
   void CarryOut(std::size_t aNode, MembershipEffects& aEffects)
@@ -223,7 +223,7 @@
     }
     for (auto& message : aEffects.summaries_) {
       FillSummary(
-        nodes_[aNode].versions_, std::get<DataCentreSummary>(message.message_), Local(aNode));
+        nodes_[aNode].dissemination_, std::get<DataCentreSummary>(message.message_), Local(aNode));
       Send(aNode, std::move(message));
     }
   }
@@ -275,9 +275,10 @@
     MembershipEffects effects;
     HandleMembershipMessage(node.membership_, aPeer, aMessage, Local(aNode), effects);
     CarryOut(aNode, effects);
-    DisseminationEffects versions;
-    HandleVersionMessage(node.versions_, aFrom, aPeer, aMessage, Local(aNode), versions);
-    CarryOut(aNode, versions);
+    DisseminationEffects disseminationEffects;
+    HandleVersionMessage(
+      node.dissemination_, aFrom, aPeer, aMessage, Local(aNode), disseminationEffects);
+    CarryOut(aNode, disseminationEffects);
   }
 
   // Runs a platform call after one random delay and delivers its answer after another.
@@ -311,22 +312,22 @@
     }
     aAnswer.finishedAt_ = Local(aNode);
     DisseminationEffects effects;
-    HandlePlatformAnswer(node.versions_, aAnswer, Local(aNode), effects);
+    HandlePlatformAnswer(node.dissemination_, aAnswer, Local(aNode), effects);
     CarryOut(aNode, effects);
   }
 
-  // Checks at a node after each step that versions and freshness never decrease and that all
-  // changes accepted by the claimed time are in force.
+  // Checks at a node, after each step and message, that versions and freshness never decrease and
+  // that all changes accepted by the claimed time are in force.
   void CheckInvariants(std::size_t aNode)
   {
     auto& node = nodes_[aNode];
-    const auto& versions = node.versions_;
-    const auto freshUntil = FreshAsOf(versions);
-    if (versions.inForce_ < node.lastVersionInForce_ ||
+    const auto& dissemination = node.dissemination_;
+    const auto freshUntil = FreshAsOf(dissemination);
+    if (dissemination.inForce_ < node.lastVersionInForce_ ||
         (node.lastFreshUntil_ && *freshUntil < *node.lastFreshUntil_)) {
       RecordViolation("a version or freshness decreased at node " + std::to_string(aNode));
     }
-    node.lastVersionInForce_ = versions.inForce_;
+    node.lastVersionInForce_ = dissemination.inForce_;
     node.lastFreshUntil_ = freshUntil;
     if (!freshUntil) {
       return;
@@ -336,9 +337,9 @@
     while (latest < acceptedAt_.size() && acceptedAt_[latest] <= trueTime) {
       ++latest;
     }
-    if (trueTime > now_ || versions.inForce_ < latest) {
+    if (trueTime > now_ || dissemination.inForce_ < latest) {
       RecordViolation("node " + std::to_string(aNode) + " claims freshness with version " +
-                      std::to_string(versions.inForce_) + " when " + std::to_string(latest) +
+                      std::to_string(dissemination.inForce_) + " when " + std::to_string(latest) +
                       " had been accepted");
     }
   }
--- a/tests/version/ControlNetworkTest.cpp
+++ b/tests/version/ControlNetworkTest.cpp
@@ -28,7 +28,7 @@
   Version minVersion = ~Version{ 0 };
   for (const auto& node : aNetwork.nodes_) {
     if (!node.stopped_) {
-      minVersion = std::min(minVersion, node.versions_.inForce_);
+      minVersion = std::min(minVersion, node.dissemination_.inForce_);
     }
   }
   return minVersion;
@@ -42,7 +42,7 @@
     if (node.stopped_ || (!aCentre.empty() && aNetwork.CentreOf(i) != aCentre)) {
       continue;
     }
-    const auto freshUntil = FreshAsOf(node.versions_);
+    const auto freshUntil = FreshAsOf(node.dissemination_);
     maxAge =
       std::max(maxAge, freshUntil ? aNetwork.Local(i) - *freshUntil : Duration(seconds(1000000)));
   }
@@ -100,7 +100,7 @@
 }
 
 // Guards against a paused node that isn't accepted again, or that itself declares the others dead.
-TEST_CASE("a paused member refutes its death", "[network]")
+TEST_CASE("a paused member that was declared dead is accepted again", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 1, 0 });
   network->Pause(3, seconds(20));
@@ -140,7 +140,7 @@
 
 // Guards against a node that keeps an old version when pushes are lost, and against a joining node
 // that can't close a gap wider than the recent changes of its peers.
-TEST_CASE("nodes close gaps by sync and by snapshot", "[network]")
+TEST_CASE("nodes get missed changes by sync and by snapshot", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 1, 0.2 });
   network->Stop(7);
@@ -150,7 +150,7 @@
   }
   network->Restart(7, 1000);
   network->Run(seconds(20));
-  CHECK(network->nodes_[7].versions_.inForce_ == 301);
+  CHECK(network->nodes_[7].dissemination_.inForce_ == 301);
   CHECK(MinVersionInForce(*network) == 301);
   CHECK(network->platform_.objects_.count("config/snapshot/256") == 1);
   CHECK_FALSE(network->violated_);
@@ -158,7 +158,7 @@
 
 // Guards against a watermark higher than the version of a reachable host, and against one that
 // doesn't name a stopped host as unreachable.
-TEST_CASE("the watermark waits for every reachable host", "[network]")
+TEST_CASE("the watermark doesn't exceed the version of any reachable host", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 1, 0 });
   const auto row = [&] {
@@ -259,7 +259,7 @@
 
 // Guards against a node that claims to be fresher than it is and against versions that decrease,
 // under random loss, delays of seconds, pauses, network partitions and restarts.
-TEST_CASE("freshness is never claimed later than the truth", "[network][property]")
+TEST_CASE("a node never claims to be fresher than it is", "[network][property]")
 {
   CHECK(rc::check([] {
     NetworkSettings settings;
--- a/tests/version/MembershipTest.cpp
+++ b/tests/version/MembershipTest.cpp
@@ -1,4 +1,4 @@
-// Tests of membership at single nodes, without a network: the tests pass messages themselves.
+// Tests of membership at single nodes. There is no network: each test passes the messages itself.
 #include "peridotquay/version/Membership.h"
 
 #include "peridotquay/version/MembershipRank.h"
@@ -82,7 +82,8 @@
   CHECK(state.self_.incarnation_ == 106);
 }
 
-// Guards against indirect probes, suspicion or death too early or too late.
+// Guards against indirect probes, suspicions and declarations of death that are too early or too
+// late.
 TEST_CASE("a silent member is probed indirectly, suspected and declared dead", "[membership]")
 {
   auto state = MakeTestMembership();
@@ -151,7 +152,7 @@
 
 // Guards against a partitioned node that declares all other members dead, and against a paused node
 // that suspects them for the time of its pause.
-TEST_CASE("a partitioned node finds others unreachable and a paused node suspects none",
+TEST_CASE("a partitioned node finds others unreachable, and a paused node suspects none",
           "[membership]")
 {
   auto partitioned = MakeTestMembership();
@@ -197,7 +198,7 @@
 
 // Guards against a datagram too large for one IP packet, and against a table above maxMembers_ or
 // one that drops members of the own data centre.
-TEST_CASE("datagrams and the table are bounded", "[membership]")
+TEST_CASE("the sizes of datagrams and of the member table are bounded", "[membership]")
 {
   auto state = MakeTestMembership();
   state.settings_.maxMembers_ = 50;
@@ -231,7 +232,8 @@
       entry.incarnation_ = 100 + *rc::gen::inRange<std::uint64_t>(0, 4);
       entry.state_ = *rc::gen::element(
         MemberState::kAlive, MemberState::kSuspect, MemberState::kDead, MemberState::kLeft);
-      // A node raises its incarnation with each change, so equal incarnations have equal fields.
+      // A node raises its incarnation with each change of slots, so equal incarnations have equal
+      // slots.
       entry.slots_ = static_cast<std::uint32_t>(entry.incarnation_);
       statements.push_back(entry);
     }
--- a/tests/version/StoreFeedTest.cpp
+++ b/tests/version/StoreFeedTest.cpp
@@ -161,14 +161,14 @@
   follower.ReceiveAnswer(follower.NextQuestion(), 10);
   CHECK_FALSE(follower.Tick(std::nullopt));
   CHECK_FALSE(follower.state_.followingSource_);
-  // A change of the source doesn't interrupt following; the new source may still be abandoned.
+  // After a change of source the host follows the new one before its first answer.
   follower.ReceiveAnswer(follower.NextQuestion(), 10);
   follower.Tick(HostId{ "h2" });
   CHECK(follower.state_.followingSource_);
 }
 
-// Guards against a host that proves every 0.7 s although no other host asks it. The platform
-// charges for each of these reads.
+// Guards against a host that reads the store every 0.7 s for a proof although no other host asks
+// it. The platform charges for each of these reads.
 TEST_CASE("a host is a source only while other hosts ask it", "[feed]")
 {
   StoreFeedState state;
