--- a/peridotquay/request/Admission.cpp
+++ b/peridotquay/request/Admission.cpp
@@ -59,8 +59,8 @@
 /// Minimum limit after a refusal by the target, as a fraction of the limit before.
 constexpr double kMinRefusalLimitFraction = 0.9;
 
-/// Refusals lower the limit at most once in this time, because calls that started together are
-/// refused together.
+/// Refusals lower the limit at most once in this time or in the mean service time, whichever is
+/// longer, because calls that started together are refused together.
 constexpr Duration kMinDecreaseInterval = milliseconds(20);
 
 /// Ratio of refusals to answers in a window from which the limit is far too high: it then falls
@@ -217,8 +217,8 @@
   ++aState.queued_;
 }
 
-/// Updates the sizes after aCount calls left the queue. An empty queue forgets its accounts and
-/// virtual time.
+/// Updates the sizes after aCount calls left the queue. If the queue is empty, its accounts and
+/// virtual time are reset.
 void RecordRemovedCalls(AdmissionState& aState, ClassQueue& aQueue, std::size_t aCount)
 {
   assert(aQueue.size_ >= aCount && aState.queued_ >= aCount);
--- a/peridotquay/request/FailureMeter.cpp
+++ b/peridotquay/request/FailureMeter.cpp
@@ -15,7 +15,7 @@
 
 double Decay(const FailureMeter& aMeter, TimePoint aNow)
 {
-  return std::exp2(-std::max(0.0, ToSeconds(aNow - aMeter.updated_)) / kHalfLifeSeconds);
+  return std::exp2(-std::max(0.0, ToSeconds(aNow - aMeter.updatedAt_)) / kHalfLifeSeconds);
 }
 
 } // namespace
@@ -25,7 +25,7 @@
   const double decay = Decay(aMeter, aNow);
   aMeter.failed_ = aMeter.failed_ * decay + (aFailed ? 1 : 0);
   aMeter.total_ = aMeter.total_ * decay + 1;
-  aMeter.updated_ = aNow;
+  aMeter.updatedAt_ = aNow;
 }
 
 std::uint32_t FailedPercent(const FailureMeter& aMeter, TimePoint aNow)
--- a/peridotquay/request/FailureMeter.h
+++ b/peridotquay/request/FailureMeter.h
@@ -12,7 +12,7 @@
 {
   double failed_ = 0;
   double total_ = 0; ///< At least failed_.
-  TimePoint updated_{};
+  TimePoint updatedAt_{};
 };
 
 /// Counts an answer of the target.
--- a/peridotquay/request/RouteChoice.h
+++ b/peridotquay/request/RouteChoice.h
@@ -16,7 +16,7 @@
 /// Thresholds of the choice of targets, ejection and slow start.
 struct RoutingSettings
 {
-  Duration slowStartPeriod_ = seconds(10); ///< A cold target gets its full share after this time.
+  Duration slowStartPeriod_ = seconds(10); ///< Time from Target::readySince_ to the full share.
   std::uint32_t failuresToEject_ = 5;      ///< Consecutive failures that eject a target.
   Duration firstEjection_ = seconds(1);    ///< Doubles with each consecutive ejection.
   Duration maxEjection_ = seconds(30);     ///< Upper bound of the doubled ejection.
--- a/tests/request/AdmissionTest.cpp
+++ b/tests/request/AdmissionTest.cpp
@@ -85,8 +85,8 @@
     // No call waits while a slot is free, and no call starts above the limit.
     const bool hasSlot = static_cast<double>(running_.size()) + 1 <= aState.limit_;
     RC_ASSERT((waiting_.empty() || !hasSlot));
-    const bool isOver = static_cast<double>(running_.size()) > aState.limit_;
-    RC_ASSERT((aActions.start_.empty() || !isOver));
+    const bool isOverLimit = static_cast<double>(running_.size()) > aState.limit_;
+    RC_ASSERT((aActions.start_.empty() || !isOverLimit));
     RC_ASSERT(aState.limit_ >= 1);
     const bool isAboveSlots = aState.announcedSlots_ > 0 && aState.limit_ > aState.announcedSlots_;
     RC_ASSERT(!isAboveSlots);
@@ -160,9 +160,9 @@
       while (!ends_.empty() && ends_.begin()->first <= now_) {
         const Running call = ends_.begin()->second;
         ends_.erase(ends_.begin());
-        answered_ += call.end_ == ExecutionResult::kAnswered ? 1 : 0;
-        refused_ += call.end_ == ExecutionResult::kTargetRefused ? 1 : 0;
-        StartAll(FinishCall(state_, call.end_, now_ - call.start_, now_), aLatency);
+        answered_ += call.result_ == ExecutionResult::kAnswered ? 1 : 0;
+        refused_ += call.result_ == ExecutionResult::kTargetRefused ? 1 : 0;
+        StartAll(FinishCall(state_, call.result_, now_ - call.start_, now_), aLatency);
       }
       while (state_.queued_ < aQueued || (aQueued == 0 && state_.running_ == 0)) {
         StartAll(OfferCall(state_,
@@ -178,7 +178,7 @@
   struct Running
   {
     TimePoint start_{};
-    ExecutionResult end_ = ExecutionResult::kAnswered;
+    ExecutionResult result_ = ExecutionResult::kAnswered;
   };
 
   void StartAll(const AdmissionActions& aActions, const Latency& aLatency)
