--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -202,7 +202,8 @@
     return;
   }
   aState.pushedVersion_ = aChanges.back().version_;
-  const auto order = PushOrder(*aState.ranking_, aState.pushedVersion_, aState.settings_.arity_);
+  const auto order =
+    PushOrder(*aState.ranking_, aState.pushedVersion_, aState.settings_.treeArity_);
   const auto self = std::find_if(order.begin(), order.end(), [&](const auto& aMember) {
     return aMember.host_ == aState.ranking_->self_;
   });
@@ -210,7 +211,7 @@
     return;
   }
   const auto position = static_cast<std::size_t>(self - order.begin());
-  for (const auto child : TreeChildren(position, order.size(), aState.settings_.arity_)) {
+  for (const auto child : TreeChildren(position, order.size(), aState.settings_.treeArity_)) {
     aEffects.messages_.push_back(
       { order[child].address_, VersionPush{ order.front().host_, aChanges }, false });
   }
@@ -487,7 +488,7 @@
   if (position == 0) {
     return &members[1];
   }
-  const auto parent = (position - 1) / aState.settings_.arity_;
+  const auto parent = (position - 1) / aState.settings_.treeArity_;
   const bool silent = aNow - aState.lastParentReplyAt_ > aState.settings_.replyTimeout_;
   if (silent && position > 1 && parent != 1) {
     return &members[1];
@@ -575,11 +576,13 @@
                            snapshotVersion > aState.version_;
   if (useSnapshot && !aState.snapshotTried_) {
     aState.snapshotTried_ = true;
-    StartCall(
-      aState, VersionCallKind::kSnapshot, GetObjectCall{ SnapshotName(snapshotVersion) }, aEffects);
+    StartCall(aState,
+              VersionCallKind::kReadSnapshot,
+              GetObjectCall{ SnapshotName(snapshotVersion) },
+              aEffects);
   } else {
     ReadRangeCall call{ "config/change/", ChangeRowKey(aState.version_), kMaxRowsPerRead };
-    StartCall(aState, VersionCallKind::kChanges, std::move(call), aEffects);
+    StartCall(aState, VersionCallKind::kReadChanges, std::move(call), aEffects);
   }
 }
 
@@ -590,7 +593,7 @@
     return;
   }
   aState.nextPollAt_ = aNow + aState.settings_.pollInterval_;
-  StartCall(aState, VersionCallKind::kHead, ReadRowCall{ std::string(kHeadRowKey) }, aEffects);
+  StartCall(aState, VersionCallKind::kReadHead, ReadRowCall{ std::string(kHeadRowKey) }, aEffects);
 }
 
 // Builds the watermark; empty while the report of an alive or suspected member is missing.
@@ -636,7 +639,7 @@
   watermark->writtenMs_ = aWallMs;
   auto call =
     MakeRowWrite(aState, WatermarkRowKey(aState.dataCentre_), EncodeWatermark(*watermark));
-  StartCall(aState, VersionCallKind::kWatermark, std::move(call), aEffects);
+  StartCall(aState, VersionCallKind::kWriteWatermark, std::move(call), aEffects);
 }
 
 std::string EncodeContacts(const Dissemination& aState, std::uint64_t aWallMs)
@@ -727,7 +730,7 @@
     return;
   }
   PutObjectCall call{ SnapshotName(aState.snapshotDue_), aState.snapshotBody_ };
-  StartCall(aState, VersionCallKind::kPutSnapshot, std::move(call), aEffects);
+  StartCall(aState, VersionCallKind::kWriteSnapshot, std::move(call), aEffects);
 }
 
 void ReportFreshnessChange(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
@@ -929,13 +932,13 @@
   aState.call_.reset();
   RecordPlatformState(aState, aAnswer, aEffects);
   switch (kind) {
-    case VersionCallKind::kHead:
+    case VersionCallKind::kReadHead:
       HandleHead(aState, aAnswer, aEffects);
       break;
-    case VersionCallKind::kChanges:
+    case VersionCallKind::kReadChanges:
       HandleChanges(aState, aAnswer, aEffects);
       break;
-    case VersionCallKind::kSnapshot:
+    case VersionCallKind::kReadSnapshot:
       HandleSnapshot(aState, aAnswer, aEffects);
       break;
     case VersionCallKind::kReadContacts:
@@ -943,7 +946,7 @@
         DecodeContacts(row, aEffects.contacts_);
       }
       break;
-    case VersionCallKind::kWatermark:
+    case VersionCallKind::kWriteWatermark:
       // After a failure or a lost answer the row is written again even with the same content.
       if (aAnswer.error_) {
         aState.writtenWatermark_.clear();
@@ -954,7 +957,7 @@
         aState.writtenContacts_.clear();
       }
       break;
-    case VersionCallKind::kPutSnapshot:
+    case VersionCallKind::kWriteSnapshot:
       if (!aAnswer.error_) {
         aState.snapshotDue_ = 0;
         aState.snapshotBody_ = {};
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -46,8 +46,8 @@
   /// Time between reads of contact rows while no other member is known.
   Duration contactIntervalAlone_ = seconds(2);
   Duration watermarkInterval_ = seconds(1); ///< Minimum time between writes of the watermark.
-  std::size_t arity_ = 8;                   ///< Children of each node in both trees.
-  std::size_t delegateCount_ = 2;           ///< Delegates of each data centre.
+  std::size_t treeArity_ = 8;               ///< Maximum number of children of a node in both trees.
+  std::size_t delegateCount_ = 2;           ///< Number of delegates of each data centre.
   std::size_t maxRecentVersions_ = kSnapshotInterval; ///< Recent changes kept for nodes with a gap.
   std::size_t maxRecentBytes_ = std::size_t{ 2 } << 20U; ///< Maximum size of the recent changes.
   std::size_t maxReplyBytes_ = 65536;      ///< Maximum size of the changes in one message.
@@ -93,11 +93,11 @@
 /// Purpose of a platform call of this module.
 enum class VersionCallKind : std::uint8_t
 {
-  kHead,
-  kChanges,
-  kSnapshot,
-  kPutSnapshot,
-  kWatermark,
+  kReadHead,
+  kReadChanges,
+  kReadSnapshot,
+  kWriteSnapshot,
+  kWriteWatermark,
   kReadContacts,
   kWriteContacts
 };
--- a/peridotquay/version/Membership.h
+++ b/peridotquay/version/Membership.h
@@ -34,7 +34,7 @@
   Duration ackTimeout_ = seconds(1); ///< Unused: a probe without an ack fails when the next one
                                      ///< is due, after probeInterval_.
   Duration suspicionTimeout_ = seconds(3); ///< Time in which a suspected member can refute.
-  std::uint32_t indirectProbeCount_ = 3;   ///< Members that are asked for an indirect probe.
+  std::uint32_t indirectProbeCount_ = 3;   ///< Number of members asked for an indirect probe.
   /// Suspected members that are probed in addition in each probeInterval_, so that they learn of
   /// the suspicion and refute it in time.
   std::uint32_t suspectProbesPerInterval_ = 2;
@@ -58,13 +58,13 @@
                                              ///< unreachable.
   Duration confirmationPeriod_ = seconds(5); ///< Members of a data centre that is reachable again
                                              ///< are confirmed at random times within this period.
-  std::size_t delegateCount_ = 2;            ///< Delegates of each data centre.
-  std::size_t maxSummaryChanges_ = 64;       ///< Changed members in one summary.
-  std::size_t summaryRefreshCount_ = 2; ///< Members repeated in each summary although unchanged.
+  std::size_t delegateCount_ = 2;            ///< Number of delegates of each data centre.
+  std::size_t maxSummaryChanges_ = 64;       ///< Maximum number of changed members in one summary.
+  std::size_t summaryRefreshCount_ = 2; ///< Number of unchanged members repeated in each summary.
   /// If more members of a data centre await confirmation, they are used without a probe, because
   /// each node would probe them all.
   std::size_t maxProbedConfirmations_ = 64;
-  std::size_t maxMembers_ = 4096; ///< Entries in the member table.
+  std::size_t maxMembers_ = 4096; ///< Maximum number of entries in the member table.
   bool operator==(const MembershipSettings&) const = default;
 };
 
--- a/peridotquay/version/TargetView.h
+++ b/peridotquay/version/TargetView.h
@@ -12,8 +12,8 @@
 /// State that a target announced for itself.
 enum class TargetState : std::uint8_t
 {
-  kCold,     ///< Started recently; in slow start, so its share of the traffic rises.
-  kReady,    ///< Receives its full share of the traffic.
+  kCold,     ///< Started recently. Target::readySince_ determines the slow start.
+  kReady,    ///< Receives its full share of the traffic after the slow start.
   kDraining, ///< Receives no new requests.
   kLeft      ///< Left the fleet deliberately.
 };
