--- a/peridotquay/process/ControlActorVersion.cpp
+++ b/peridotquay/process/ControlActorVersion.cpp
@@ -57,7 +57,7 @@
 {
   const auto& dissemination = aState.dissemination_;
   ControlStatus status;
-  status.version_ = dissemination.inForce_;
+  status.version_ = dissemination.versionInForce_;
   const auto freshAsOf = FreshAsOf(dissemination);
   status.freshnessAgeMs_ =
     freshAsOf
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -68,7 +68,7 @@
 void ApplyProof(Dissemination& aState, FreshnessProof aProof, DisseminationEffects& aEffects)
 {
   aState.latestVersion_ = std::max(aState.latestVersion_, aProof.version_);
-  if (aState.inForce_ < aProof.version_) {
+  if (aState.versionInForce_ < aProof.version_) {
     if (!aState.pendingProof_ || aState.pendingProof_->time_ < aProof.time_) {
       aState.pendingProof_ = aProof;
     }
@@ -83,7 +83,7 @@
 
 void ApplyPendingProof(Dissemination& aState, DisseminationEffects& aEffects)
 {
-  if (aState.pendingProof_ && aState.pendingProof_->version_ <= aState.inForce_) {
+  if (aState.pendingProof_ && aState.pendingProof_->version_ <= aState.versionInForce_) {
     const auto proof = *aState.pendingProof_;
     aState.pendingProof_.reset();
     ApplyProof(aState, proof, aEffects);
@@ -113,8 +113,8 @@
     return;
   }
   const auto& config = compiled.assume_value();
-  assert(version > aState.inForce_);
-  aState.inForce_ = version;
+  assert(version > aState.versionInForce_);
+  aState.versionInForce_ = version;
   aState.freshnessBound_ = config->policy_.keyFreshnessBound_;
   aState.sites_.clear();
   for (const auto& [id, site] : config->sites_) {
@@ -296,14 +296,14 @@
 std::optional<OutageEvidence> OwnOutage(const Dissemination& aState, TimePoint aNow)
 {
   if (!IsDelegate(aState) || !aState.failedPollStartedAt_ || aState.pendingProof_ ||
-      aState.inForce_ == 0) {
+      aState.versionInForce_ == 0) {
     return std::nullopt;
   }
-  OutageEvidence evidence{ aState.inForce_, *aState.failedPollStartedAt_ };
+  OutageEvidence evidence{ aState.versionInForce_, *aState.failedPollStartedAt_ };
   if (OtherDelegate(aState) != nullptr) {
     const auto& other = aState.otherDelegateOutage_;
     if (!other || aNow - other->time_ >= aState.freshnessBound_ ||
-        other->version_ > aState.inForce_) {
+        other->version_ > aState.versionInForce_) {
       return std::nullopt;
     }
     evidence.time_ = std::min(evidence.time_, other->time_);
@@ -326,7 +326,7 @@
   }
   SyncReply reply;
   reply.nonce_ = aRequest.nonce_;
-  reply.version_ = aState.inForce_;
+  reply.version_ = aState.versionInForce_;
   // Extensions aren't reported to other data centres, because they would hide that this one doesn't
   // reach the platform.
   reply.ageMs_ = AgeMs(fromOwnCentre ? FreshAsOf(aState) : aState.provenUntil_, aNow);
@@ -378,7 +378,7 @@
     const auto found = aState.centreOutages_.find(id);
     if (found == aState.centreOutages_.end() ||
         aNow - found->second.time_ >= aState.freshnessBound_ ||
-        found->second.version_ > aState.inForce_) {
+        found->second.version_ > aState.versionInForce_) {
       return;
     }
     oldest = std::min(oldest, found->second.time_);
@@ -969,7 +969,7 @@
 
 void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow)
 {
-  aSummary.version_ = aState.inForce_;
+  aSummary.version_ = aState.versionInForce_;
   aSummary.ageMs_ = AgeMs(aState.provenUntil_, aNow);
   aSummary.platformReachable_ = aState.platformReachable_;
 }
@@ -1016,7 +1016,7 @@
   SubtreeReport total;
   total.receivedAt_ = aNow;
   total.nodes_ = 1;
-  total.minVersion_ = aState.inForce_;
+  total.minVersion_ = aState.versionInForce_;
   for (const auto& [host, report] : aState.subtreeReports_) {
     total.nodes_ += report.nodes_;
     if (report.minVersion_ != 0 &&
@@ -1027,7 +1027,7 @@
   // A node names the hosts below it that are at the minimum, if its own version is higher.
   for (const auto& [host, report] : aState.subtreeReports_) {
     if (report.minVersion_ == 0 || report.minVersion_ != total.minVersion_ ||
-        report.minVersion_ >= aState.inForce_) {
+        report.minVersion_ >= aState.versionInForce_) {
       continue;
     }
     auto named = report.lagging_;
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -103,7 +103,7 @@
 };
 
 /// State of dissemination at one node. Only the functions below change it.
-/// Invariants: version_, inForce_ and freshness never decrease; inForce_ <= version_.
+/// Invariants: version_, versionInForce_ and freshness never decrease; versionInForce_ <= version_.
 struct Dissemination
 {
   DisseminationSettings settings_;
@@ -112,20 +112,21 @@
   std::shared_ptr<const MemberRanking> ranking_;
 
   Entities entities_;
-  ConfigCache configCache_; ///< Parsed entities_; an edit marks its entity as changed.
-  Version version_ = 0;     ///< Last version whose change is applied to entities_.
-  Version inForce_ = 0; ///< Last version compiled and published; less than version_ if later ones
-                        ///< were rejected.
+  ConfigCache configCache_;    ///< Parsed entities_; an edit marks its entity as changed.
+  Version version_ = 0;        ///< Last version whose change is applied to entities_.
+  Version versionInForce_ = 0; ///< Last version compiled and published; less than version_ if later
+                               ///< ones were rejected.
   Version latestVersion_ = 0;        ///< Highest version known to exist.
   std::deque<Change> recentChanges_; ///< Consecutive changes; the last one is of version_.
   std::size_t recentBytes_ = 0;
   Duration freshnessBound_ = seconds(10); ///< Bound set by the configuration in force.
   std::set<DataCentreId> sites_;          ///< Data centres in the configuration in force.
 
-  /// Latest time at which a poll or a sync reply proves that inForce_ was the latest version.
+  /// Latest time at which a poll or a sync reply proves that versionInForce_ was the latest
+  /// version.
   std::optional<TimePoint> provenUntil_;
-  /// Latest time at which inForce_ counts as the latest version because no data centre reached the
-  /// platform.
+  /// Latest time at which versionInForce_ counts as the latest version because no data centre
+  /// reached the platform.
   std::optional<TimePoint> extendedUntil_;
   std::optional<FreshnessProof> pendingProof_;   ///< Proof of a version not yet in force here.
   std::optional<TimePoint> failedPollStartedAt_; ///< Start of the last poll, if it failed.
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -323,11 +323,11 @@
     auto& node = nodes_[aNode];
     const auto& dissemination = node.dissemination_;
     const auto freshUntil = FreshAsOf(dissemination);
-    if (dissemination.inForce_ < node.lastVersionInForce_ ||
+    if (dissemination.versionInForce_ < node.lastVersionInForce_ ||
         (node.lastFreshUntil_ && *freshUntil < *node.lastFreshUntil_)) {
       RecordViolation("a version or freshness decreased at node " + std::to_string(aNode));
     }
-    node.lastVersionInForce_ = dissemination.inForce_;
+    node.lastVersionInForce_ = dissemination.versionInForce_;
     node.lastFreshUntil_ = freshUntil;
     if (!freshUntil) {
       return;
@@ -337,10 +337,10 @@
     while (latest < acceptedAt_.size() && acceptedAt_[latest] <= trueTime) {
       ++latest;
     }
-    if (trueTime > now_ || dissemination.inForce_ < latest) {
+    if (trueTime > now_ || dissemination.versionInForce_ < latest) {
       RecordViolation("node " + std::to_string(aNode) + " claims freshness with version " +
-                      std::to_string(dissemination.inForce_) + " when " + std::to_string(latest) +
-                      " had been accepted");
+                      std::to_string(dissemination.versionInForce_) + " when " +
+                      std::to_string(latest) + " had been accepted");
     }
   }
 
--- a/tests/version/ControlNetworkTest.cpp
+++ b/tests/version/ControlNetworkTest.cpp
@@ -28,7 +28,7 @@
   Version minVersion = ~Version{ 0 };
   for (const auto& node : aNetwork.nodes_) {
     if (!node.stopped_) {
-      minVersion = std::min(minVersion, node.dissemination_.inForce_);
+      minVersion = std::min(minVersion, node.dissemination_.versionInForce_);
     }
   }
   return minVersion;
@@ -150,7 +150,7 @@
   }
   network->Restart(7, 1000);
   network->Run(seconds(20));
-  CHECK(network->nodes_[7].dissemination_.inForce_ == 301);
+  CHECK(network->nodes_[7].dissemination_.versionInForce_ == 301);
   CHECK(MinVersionInForce(*network) == 301);
   CHECK(network->platform_.objects_.count("config/snapshot/256") == 1);
   CHECK_FALSE(network->violated_);
