--- a/tests/request/RateShareTest.cpp
+++ b/tests/request/RateShareTest.cpp
@@ -47,11 +47,12 @@
     , random_(aSeed)
   {
     for (std::size_t i = 0; i < aHosts; ++i) {
-      hosts_.push_back(Start(i, 1));
+      hosts_.push_back(MakeStartedHost(i, 1));
     }
   }
 
-  RateShareState Start(std::size_t aHost, Incarnation aIncarnation)
+  /// State of a host that starts now.
+  RateShareState MakeStartedHost(std::size_t aHost, Incarnation aIncarnation)
   {
     RateShareState state;
     state.host_ = { "h" + std::to_string(aHost) };
@@ -236,7 +237,7 @@
     fleet.Run(0, seconds(8), 16);
     fleet.Run(4 * rate, seconds(3), 16);
     for (std::size_t i = 0; i < 16; ++i) {
-      fleet.hosts_[i] = fleet.Start(i, 2);
+      fleet.hosts_[i] = fleet.MakeStartedHost(i, 2);
     }
     fleet.Run(4 * rate, seconds(8), 16);
     INFO("seed " << seed);
@@ -256,7 +257,7 @@
       const std::size_t refusedBefore = fleet.refused_;
       const std::size_t grantedBefore = fleet.grantedAt_.size();
       for (std::size_t i = 0; i < 16; ++i) {
-        fleet.hosts_[i] = fleet.Start(i, 2);
+        fleet.hosts_[i] = fleet.MakeStartedHost(i, 2);
         fleet.Run(0.6 * rate, seconds(1), hosts);
       }
       const std::size_t requests =
@@ -278,7 +279,7 @@
       fleet.Run(rate, seconds(8), 16);
       for (std::size_t i = 0; i < 24; ++i) {
         for (const std::size_t host : { i % 16, (i + 5) % 16, (i + 10) % 16 }) {
-          fleet.hosts_[host] = fleet.Start(host, 2 + i);
+          fleet.hosts_[host] = fleet.MakeStartedHost(host, 2 + i);
         }
         fleet.Run(5 * rate, milliseconds(700), 16);
       }
@@ -379,7 +380,7 @@
   Fleet fleet(80, 60, 60, 1);
   fleet.Run(40, seconds(6), 80);
   for (std::size_t i = 0; i < 80; ++i) {
-    fleet.hosts_[i] = fleet.Start(i, 2);
+    fleet.hosts_[i] = fleet.MakeStartedHost(i, 2);
     // The first hosts of both regions stay down.
     fleet.isolated_[i] = i < 4 || i == 10 || i == 11 || i == 12 || i == 13;
   }
