--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -620,7 +620,7 @@
   for (const auto& [nodes, stopped] :
        { std::pair<std::size_t, std::size_t>{ 16, 1 }, { 200, 1 }, { 200, 40 } }) {
     ControlNetwork network({ nodes, 1 });
-    network.AcceptAccount(5);
+    network.AcceptRateChange(5);
     network.Run(seconds(60));
     for (std::size_t i = 0; i < stopped; ++i) {
       network.Stop(nodes - 1 - i);
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -86,7 +86,7 @@
   }
 
   /// Writes an operator's change to the platform. It isn't accepted while the platform is down.
-  void Accept(std::vector<EntityEdit> aEdits)
+  void AcceptChange(std::vector<EntityEdit> aEdits)
   {
     const Version version = acceptedAt_.size() + 1;
     Change change;
@@ -102,9 +102,9 @@
   }
 
   /// Writes a change of the rate of a client account.
-  void AcceptAccount(int aRate)
+  void AcceptRateChange(int aRate)
   {
-    Accept({ { "account/mill", R"({"burst":10,"rate":)" + std::to_string(aRate) + "}" } });
+    AcceptChange({ { "account/mill", R"({"burst":10,"rate":)" + std::to_string(aRate) + "}" } });
   }
 
   /// The present time on the clock of a node.
--- a/tests/version/ControlNetworkTest.cpp
+++ b/tests/version/ControlNetworkTest.cpp
@@ -63,7 +63,7 @@
 std::unique_ptr<ControlNetwork> MakeSettledNetwork(NetworkSettings aSettings)
 {
   auto network = std::make_unique<ControlNetwork>(aSettings);
-  network->Accept(FirstChange(aSettings.centres_));
+  network->AcceptChange(FirstChange(aSettings.centres_));
   network->Run(seconds(30));
   return network;
 }
@@ -131,7 +131,7 @@
 {
   auto network = MakeSettledNetwork({ 64, 1, 0 });
   for (int i = 0; i < 20; ++i) {
-    network->AcceptAccount(10 + i);
+    network->AcceptRateChange(10 + i);
     network->Run(seconds(1));
     CHECK(MinVersionInForce(*network) == network->acceptedAt_.size());
   }
@@ -145,7 +145,7 @@
   auto network = MakeSettledNetwork({ 16, 1, 0.2 });
   network->Stop(7);
   for (int i = 0; i < 300; ++i) {
-    network->AcceptAccount(10 + i);
+    network->AcceptRateChange(10 + i);
     network->Run(milliseconds(100));
   }
   network->Restart(7, 1000);
@@ -169,7 +169,7 @@
   CHECK(row().version_ == 1);
   CHECK(row().nodes_ == 16);
   network->Pause(3, seconds(3));
-  network->AcceptAccount(6);
+  network->AcceptRateChange(6);
   for (int i = 0; i < 25; ++i) {
     network->Run(milliseconds(100));
     CHECK(row().version_ <= MinVersionInForce(*network));
@@ -220,7 +220,7 @@
     network->centresWithoutPlatform_ = { "b" };
     network->Run(seconds(60));
     CHECK(MaxFreshnessAge(*network) < seconds(8));
-    network->AcceptAccount(7);
+    network->AcceptRateChange(7);
     network->Run(seconds(5));
     CHECK(MinVersionInForce(*network) == 2);
   }
@@ -230,7 +230,7 @@
     network->Run(seconds(300));
     CHECK(MaxFreshnessAge(*network) < seconds(10));
     network->platform_.down_ = false;
-    network->AcceptAccount(7);
+    network->AcceptRateChange(7);
     network->Run(seconds(5));
     CHECK(MinVersionInForce(*network) == 2);
   }
@@ -269,14 +269,14 @@
     settings.maxDelay_ = milliseconds(*rc::gen::element(5, 50, 1500, 4000));
     settings.seed_ = *rc::gen::arbitrary<std::uint64_t>();
     ControlNetwork network(settings);
-    network.Accept(FirstChange(settings.centres_));
+    network.AcceptChange(FirstChange(settings.centres_));
     for (int i = 0; i < 40; ++i) {
       const auto node = *rc::gen::inRange<std::size_t>(0, settings.nodes_);
       switch (*rc::gen::inRange(0, 8)) {
         case 0:
         case 1:
         case 2:
-          network.AcceptAccount(10 + i);
+          network.AcceptRateChange(10 + i);
           break;
         case 3:
           network.Pause(node, milliseconds(*rc::gen::element(300, 2000, 12000)));
