--- a/peridotquay/request/Admission.cpp
+++ b/peridotquay/request/Admission.cpp
@@ -164,7 +164,7 @@
   if (aNow >= aCall.deadline_) {
     return true;
   }
-  // If nothing runs, only a started call can show the present service time.
+  // If nothing runs, only a started call can show the current service time.
   return aState.running_ > 0 &&
          ToSeconds(aCall.deadline_ - aNow) < ExpectedRouteServiceSeconds(aState, aCall, aNow);
 }
@@ -209,7 +209,7 @@
   ClassQueue& queue = aState.queues_[Index(aCall.importance_)];
   ClassQueue::AccountQueue& account = queue.accounts_[aCall.clientAccount_];
   if (account.calls_.empty()) {
-    // An account that was idle starts at the present virtual time: idle time earns no credit.
+    // An account that was idle starts at the current virtual time: idle time earns no credit.
     account.finishTag_ = std::max(account.finishTag_, queue.virtualTime_);
   }
   account.calls_.push_back(aCall);
--- a/peridotquay/request/Admission.h
+++ b/peridotquay/request/Admission.h
@@ -200,7 +200,7 @@
 /// OfferCall, FinishCall or DropLateCalls.
 void ApplyAnnouncedSlots(AdmissionState& aState, std::uint32_t aSlots);
 
-/// The least important class that the guard admits at present; sent to callers with each answer.
+/// The least important class that the guard currently admits; sent to callers with each answer.
 AdmissionLevel CurrentAdmissionLevel(AdmissionState& aState, TimePoint aNow);
 
 /// Admission level that a caller's host received with the latest answer of a guard.
@@ -220,9 +220,9 @@
                           const AdmissionLevel& aLevel,
                           TimePoint aNow);
 
-/// Whether the caller's host should send a call of the class or refuse it at once. At least 1 % of
-/// a closed class is sent as probes. `critical` is always sent: otherwise a probe of a lower class
-/// could be admitted while a critical call is refused here.
+/// Whether the caller's host should send a call of the class or refuse it immediately. At least 1 %
+/// of a closed class is sent as probes. `critical` is always sent: otherwise a probe of a lower
+/// class could be admitted while a critical call is refused here.
 bool ShouldSendCall(ReceivedAdmissionLevel& aReceived, Importance aImportance, TimePoint aNow);
 
 } // namespace peridotquay
--- a/peridotquay/request/NaivePolicy.h
+++ b/peridotquay/request/NaivePolicy.h
@@ -13,7 +13,7 @@
 
 namespace peridotquay {
 
-/// Maximum number of retries of one call at one hop, whatever other hops retried.
+/// Maximum number of retries of one call at one hop, regardless of retries at other hops.
 inline constexpr std::uint32_t kNaiveRetries = 3;
 
 /// A plain token bucket.
@@ -30,7 +30,8 @@
   std::map<ClientAccountId, NaiveBucket> buckets_;
 };
 
-/// The next target of the service in turn, whatever its state; none if the service has no targets.
+/// The next target of the service in round-robin order, regardless of its state; none if the
+/// service has no targets.
 std::optional<Target> ChooseNaiveTarget(NaiveState& aState,
                                         const TargetView& aView,
                                         const ServiceId& aService);
--- a/peridotquay/request/RateShare.cpp
+++ b/peridotquay/request/RateShare.cpp
@@ -12,7 +12,7 @@
 constexpr double kDemandTimeConstantSeconds = 2.0;
 
 /// Every host's demand counts as at least this fraction of the mean, so that a host whose demand
-/// begins has a share at once.
+/// begins has a share immediately.
 constexpr double kMinDemandFraction = 0.1;
 
 /// A host's credit may always reach this while the account has tokens left, so that two
--- a/peridotquay/request/RateShare.h
+++ b/peridotquay/request/RateShare.h
@@ -38,7 +38,8 @@
   Duration nearRelayTimeout_ = milliseconds(700);
   Duration farRelayTimeout_ = milliseconds(1100);
   /// The limit may be exceeded by overshootFraction_ of the tokens allowed in overshootSeconds_
-  /// plus overshootRequests_. Divided among the hosts, this lets each grant a few requests at once.
+  /// plus overshootRequests_. Divided among the hosts, this lets each grant a few requests
+  /// immediately.
   double overshootFraction_ = 0.03;
   double overshootSeconds_ = 5;
   double overshootRequests_ = 4;
@@ -153,7 +154,7 @@
   std::vector<HostId> to_;
 };
 
-/// Sets the limits of all accounts from a configuration. A lowered burst takes effect at once.
+/// Sets the limits of all accounts from a configuration. A lowered burst takes effect immediately.
 void SetRateLimits(RateShareState& aState, const Config& aConfig, TimePoint aNow);
 
 /// Sets the hosts that grant tokens; this host may be among them.
@@ -171,7 +172,8 @@
 std::map<HostId, RateLevels> CollectDueLevels(RateShareState& aState, TimePoint aNow);
 
 /// Applies the levels that another host sent after this host's start. Without them a host begins
-/// with empty bursts, which is necessary when all hosts start at once and none knows what was used.
+/// with empty bursts, which is necessary when all hosts start together and none knows what was
+/// used.
 void ApplyRateLevels(RateShareState& aState, const RateLevels& aLevels, TimePoint aNow);
 
 /// The host that relays for this data centre; empty if this host does.
--- a/peridotquay/request/RouteChoice.cpp
+++ b/peridotquay/request/RouteChoice.cpp
@@ -160,7 +160,7 @@
 
 using Candidates = std::vector<const Target*>;
 
-/// Keeps each target in slow start with the probability of its present fraction. Returns all
+/// Keeps each target in slow start with the probability of its current fraction. Returns all
 /// candidates if none would be left.
 Candidates SampleSlowStarting(RoutingState& aState, const Candidates& aCandidates, TimePoint aNow)
 {
--- a/peridotquay/request/RouteChoice.h
+++ b/peridotquay/request/RouteChoice.h
@@ -31,7 +31,7 @@
   /// above as they are.
   double slackFractionWithinRegion_ = 0;
   double slackFractionBetweenRegions_ = 0;
-  double maxSpillLoad_ = 3.0; ///< Load from which calls go elsewhere whatever their slack.
+  double maxSpillLoad_ = 3.0; ///< Load from which calls go elsewhere regardless of their slack.
   bool operator==(const RoutingSettings&) const = default;
 };
 
@@ -80,7 +80,7 @@
   kAnswered,
   kRefused,     ///< The guard or the target refused: it is busy, not broken.
   kFailed,      ///< Connection lost, outcome unknown or answer truncated.
-  kUnreachable, ///< No connection could be opened; ejects the target at once.
+  kUnreachable, ///< No connection could be opened; ejects the target immediately.
   kTimedOut,
   kCancelled
 };
--- a/peridotquay/version/ConfigCompiler.cpp
+++ b/peridotquay/version/ConfigCompiler.cpp
@@ -341,7 +341,7 @@
   const auto& routes = aParsed.base_.routes_;
   for (std::size_t i = 0; i < routes.size(); ++i) {
     const auto entity = "route/" + routes[i].id_.value_;
-    // Routes are sorted, so equal prefixes are neighbours.
+    // Routes are sorted, so equal prefixes are adjacent.
     if (i > 0 && routes[i - 1].prefix_ == routes[i].prefix_) {
       return Fail(ErrorCode::kContradiction,
                   entity + ": prefix",
--- a/peridotquay/version/ConfigParser.cpp
+++ b/peridotquay/version/ConfigParser.cpp
@@ -263,11 +263,11 @@
   return entities;
 }
 
-Result<Entities> MergeConfigFiles(const Entities& aPresent, const Entities& aFiles)
+Result<Entities> MergeConfigFiles(const Entities& aCurrent, const Entities& aFiles)
 {
   auto merged = aFiles;
-  for (auto entry = aPresent.lower_bound("key/");
-       entry != aPresent.end() && entry->first.compare(0, 4, "key/") == 0;
+  for (auto entry = aCurrent.lower_bound("key/");
+       entry != aCurrent.end() && entry->first.compare(0, 4, "key/") == 0;
        ++entry) {
     const auto json = ConfigJson::parse(entry->second, nullptr, false);
     const bool object = json.is_object();
--- a/peridotquay/version/ConfigParser.h
+++ b/peridotquay/version/ConfigParser.h
@@ -27,9 +27,9 @@
                                   const std::vector<ConfigFile>& aOverlays,
                                   EntityLocations* aLocations = nullptr);
 
-/// Returns the configuration after the files are applied to the present one: the entities of the
+/// Returns the configuration after the files are applied to the current one: the entities of the
 /// files and the keys that were granted by command. Errors: kContradiction if the files list a
 /// withdrawn key, which would otherwise be granted again.
-Result<Entities> MergeConfigFiles(const Entities& aPresent, const Entities& aFiles);
+Result<Entities> MergeConfigFiles(const Entities& aCurrent, const Entities& aFiles);
 
 } // namespace peridotquay
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -143,7 +143,7 @@
     }
     const auto applied = ApplyChange(aState.entities_, change);
     if (applied.has_error()) {
-      // An invalid change counts as a version without edits, alike at every node.
+      // An invalid change counts as a version without edits, as at every other node.
       aEffects.events_.push_back({ EventKind::kVersionRejected, Describe(applied.assume_error()) });
     } else {
       MarkEntitiesChanged(aState.configCache_, change.edits_);
--- a/peridotquay/version/Membership.h
+++ b/peridotquay/version/Membership.h
@@ -241,7 +241,7 @@
   bool operator==(const MemberRanking&) const = default;
 };
 
-/// Builds the ranking from the present members.
+/// Builds the ranking from the current members.
 MemberRanking MakeMemberRanking(const Membership& aState);
 
 } // namespace peridotquay
--- a/tests/request/RateShareTest.cpp
+++ b/tests/request/RateShareTest.cpp
@@ -228,7 +228,8 @@
   }
 }
 
-// Guards against a second burst after all hosts restart at once and lose what they knew of the use.
+// Guards against a second burst after all hosts restart together and lose what they knew of the
+// use.
 TEST_CASE("restarted hosts don't hand out the burst again", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -247,7 +248,7 @@
 
 // Guards against refusals below the limit while hosts restart one after the other: a host that
 // begins with empty bursts must receive the levels from the others.
-TEST_CASE("accounts within their rate are served while hosts restart in turn", "[rate]")
+TEST_CASE("accounts within their rate are served while hosts restart one by one", "[rate]")
 {
   for (const std::size_t hosts : { std::size_t{ 16 }, std::size_t{ 73 } }) {
     for (const double rate : { 20.0, 60.0, 400.0 }) {
@@ -271,7 +272,7 @@
 }
 
 // Guards against grants above the limit when many starting hosts receive the same levels.
-TEST_CASE("hosts that restart in turn keep the limit", "[rate]")
+TEST_CASE("hosts that restart a few at a time keep the limit", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     for (const double rate : { 10.0, 51.0, 400.0 }) {
@@ -375,7 +376,7 @@
 
 // Guards against regions that need as many attempts as they have hosts to find each other's relay:
 // until then each leaves the other's share of all rates unused.
-TEST_CASE("large regions that restarted at once exchange reports within two seconds", "[rate]")
+TEST_CASE("large regions that restarted together exchange reports within two seconds", "[rate]")
 {
   Fleet fleet(80, 60, 60, 1);
   fleet.Run(40, seconds(6), 80);
--- a/tests/request/RouteChoiceTest.cpp
+++ b/tests/request/RouteChoiceTest.cpp
@@ -361,7 +361,7 @@
 
 // Guards against a dead host that must fail failuresToEject_ calls, each of which costs a retry,
 // before it is ejected, also after an earlier ejection.
-TEST_CASE("an unreachable target is ejected at once and again after one failure", "[route]")
+TEST_CASE("an unreachable target is ejected immediately and again after one failure", "[route]")
 {
   RoutingState state;
   const std::vector<Target> targets{ MakeTarget("a"), MakeTarget("b") };
@@ -380,8 +380,8 @@
   CHECK(ejected(kStart + milliseconds(2900)));
 }
 
-// Guards against a target that fails its calls at once: it seems fast and idle, and would draw more
-// and more calls.
+// Guards against a target that fails its calls immediately: it seems fast and idle, and would draw
+// more and more calls.
 TEST_CASE("a target that fails more calls than the others is avoided", "[route]")
 {
   RoutingState state;
--- a/tests/version/ConfigParserTest.cpp
+++ b/tests/version/ConfigParserTest.cpp
@@ -164,9 +164,9 @@
 {
   const std::string key = "key/" + std::string(64, 'a');
   const Entities files{ { key, R"({"account":"mill","source":"file"})" } };
-  const Entities present{ { key, R"({"account":"mill","source":"file","withdrawn":true})" } };
-  CHECK(Failure(MergeConfigFiles(present, files)).code_ == ErrorCode::kContradiction);
-  CHECK(Value(MergeConfigFiles(present, {})).empty());
+  const Entities current{ { key, R"({"account":"mill","source":"file","withdrawn":true})" } };
+  CHECK(Failure(MergeConfigFiles(current, files)).code_ == ErrorCode::kContradiction);
+  CHECK(Value(MergeConfigFiles(current, {})).empty());
   const Entities granted{ { key, R"({"account":"mill","source":"command"})" } };
   CHECK(Value(MergeConfigFiles(granted, {})) == granted);
 }
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -107,7 +107,7 @@
     AcceptChange({ { "account/mill", R"({"burst":10,"rate":)" + std::to_string(aRate) + "}" } });
   }
 
-  /// The present time on the clock of a node.
+  /// Current time on the clock of a node.
   TimePoint Local(std::size_t aNode) const { return now_ + nodes_[aNode].offset_; }
 
   /// Ends the process without an announcement.
--- a/tests/version/FakePlatform.h
+++ b/tests/version/FakePlatform.h
@@ -61,9 +61,9 @@
     }
     for (const auto& condition : aTransaction.conditions_) {
       const auto found = rows_.find(condition.key_);
-      const auto present = found == rows_.end() ? 0 : found->second.revision_;
-      if (present != condition.revision_) {
-        return Fail(ErrorCode::kPlatformConflict, condition.key_, std::to_string(present));
+      const auto currentRevision = found == rows_.end() ? 0 : found->second.revision_;
+      if (currentRevision != condition.revision_) {
+        return Fail(ErrorCode::kPlatformConflict, condition.key_, std::to_string(currentRevision));
       }
     }
     ++writes_;
