--- a/peridotquay/request/NaivePolicy.h
+++ b/peridotquay/request/NaivePolicy.h
@@ -13,24 +13,25 @@
 
 namespace peridotquay {
 
-/// Maximum number of retries of one call at one hop, whatever other hops retried.
+/// Maximum number of retries of one call at one hop, regardless of retries at other hops.
 inline constexpr std::uint32_t kNaiveRetries = 3;
 
 /// A plain token bucket.
 struct NaiveBucket
 {
   double tokens_ = 0;
-  TimePoint filled_{};
+  TimePoint refilledAt_{};
 };
 
 /// State of the baseline in one process.
 struct NaiveState
 {
-  std::map<ServiceId, std::uint64_t> next_; ///< Round robin position of each service.
+  std::map<ServiceId, std::uint64_t> nextPosition_; ///< Round-robin position by service.
   std::map<ClientAccountId, NaiveBucket> buckets_;
 };
 
-/// The next target of the service in turn, whatever its state; none if the service has no targets.
+/// The next target of the service in round-robin order, regardless of its state; none if the
+/// service has no targets.
 std::optional<Target> ChooseNaiveTarget(NaiveState& aState,
                                         const TargetView& aView,
                                         const ServiceId& aService);
--- a/peridotquay/request/RouteChoice.h
+++ b/peridotquay/request/RouteChoice.h
@@ -13,10 +13,10 @@
 
 namespace peridotquay {
 
-/// Settings of routing.
+/// Thresholds of the choice of targets, ejection and slow start.
 struct RoutingSettings
 {
-  Duration slowStartPeriod_ = seconds(10); ///< A cold target gets its full share after this time.
+  Duration slowStartPeriod_ = seconds(10); ///< Time from Target::readySince_ to the full share.
   std::uint32_t failuresToEject_ = 5;      ///< Consecutive failures that eject a target.
   Duration firstEjection_ = seconds(1);    ///< Doubles with each consecutive ejection.
   Duration maxEjection_ = seconds(30);     ///< Upper bound of the doubled ejection.
@@ -31,7 +31,7 @@
   /// above as they are.
   double slackFractionWithinRegion_ = 0;
   double slackFractionBetweenRegions_ = 0;
-  double maxSpillLoad_ = 3.0; ///< Load from which calls go elsewhere whatever their slack.
+  double maxSpillLoad_ = 3.0; ///< Load from which calls go elsewhere regardless of their slack.
   bool operator==(const RoutingSettings&) const = default;
 };
 
@@ -64,7 +64,7 @@
 };
 
 /// Chooses a target of the service, or none if no target is usable. aExclude holds the hosts that
-/// were tried for this call already. aObjective is the call's latency objective, 0 for none: it
+/// this call already tried. aObjective is the call's latency objective, 0 for none: it
 /// decides how long a call may queue at a near target, and lets a much faster target replace a near
 /// one that is too slow.
 std::optional<Target> ChooseTarget(RoutingState& aState,
@@ -80,7 +80,7 @@
   kAnswered,
   kRefused,     ///< The guard or the target refused: it is busy, not broken.
   kFailed,      ///< Connection lost, outcome unknown or answer truncated.
-  kUnreachable, ///< No connection could be opened; ejects the target at once.
+  kUnreachable, ///< No connection could be opened; ejects the target immediately.
   kTimedOut,
   kCancelled
 };
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-// Rows in one read of changes or contacts; with the largest changes that is 4 MiB.
-constexpr std::uint32_t kMaxChangeRows = 64;
+// Maximum number of rows in one read of changes or contacts. The largest changes make 4 MiB.
+constexpr std::uint32_t kMaxRowsPerRead = 64;
 
-// Addresses in a contact row: enough that some are still alive after a rack failed.
+// Maximum number of addresses in a contact row. Enough that some are alive after a rack failed.
 constexpr std::size_t kMaxContactAddresses = 4;
 
 // A node that knows no other member waits this long before it replaces its contact row, so that it
@@ -68,7 +68,7 @@
 void ApplyProof(Dissemination& aState, FreshnessProof aProof, DisseminationEffects& aEffects)
 {
   aState.latestVersion_ = std::max(aState.latestVersion_, aProof.version_);
-  if (aState.inForce_ < aProof.version_) {
+  if (aState.versionInForce_ < aProof.version_) {
     if (!aState.pendingProof_ || aState.pendingProof_->time_ < aProof.time_) {
       aState.pendingProof_ = aProof;
     }
@@ -83,7 +83,7 @@
 
 void ApplyPendingProof(Dissemination& aState, DisseminationEffects& aEffects)
 {
-  if (aState.pendingProof_ && aState.pendingProof_->version_ <= aState.inForce_) {
+  if (aState.pendingProof_ && aState.pendingProof_->version_ <= aState.versionInForce_) {
     const auto proof = *aState.pendingProof_;
     aState.pendingProof_.reset();
     ApplyProof(aState, proof, aEffects);
@@ -92,12 +92,13 @@
 
 void RecordRecentChange(Dissemination& aState, const Change& aChange)
 {
-  aState.recent_.push_back(aChange);
+  aState.recentChanges_.push_back(aChange);
   aState.recentBytes_ += ChangeBytes(aChange);
-  while (aState.recent_.size() > aState.settings_.maxRecentVersions_ ||
-         (aState.recent_.size() > 1 && aState.recentBytes_ > aState.settings_.maxRecentBytes_)) {
-    aState.recentBytes_ -= ChangeBytes(aState.recent_.front());
-    aState.recent_.pop_front();
+  while (
+    aState.recentChanges_.size() > aState.settings_.maxRecentVersions_ ||
+    (aState.recentChanges_.size() > 1 && aState.recentBytes_ > aState.settings_.maxRecentBytes_)) {
+    aState.recentBytes_ -= ChangeBytes(aState.recentChanges_.front());
+    aState.recentChanges_.pop_front();
   }
 }
 
@@ -106,14 +107,14 @@
 void PutInForce(Dissemination& aState, DisseminationEffects& aEffects)
 {
   const auto version = aState.version_;
-  auto compiled = CompileConfig(aState.compiled_, aState.entities_, aState.dataCentre_, version);
+  auto compiled = CompileConfig(aState.configCache_, aState.entities_, aState.dataCentre_, version);
   if (compiled.has_error()) {
     aEffects.events_.push_back({ EventKind::kVersionRejected, Describe(compiled.assume_error()) });
     return;
   }
   const auto& config = compiled.assume_value();
-  assert(version > aState.inForce_);
-  aState.inForce_ = version;
+  assert(version > aState.versionInForce_);
+  aState.versionInForce_ = version;
   aState.freshnessBound_ = config->policy_.keyFreshnessBound_;
   aState.sites_.clear();
   for (const auto& [id, site] : config->sites_) {
@@ -142,10 +143,10 @@
     }
     const auto applied = ApplyChange(aState.entities_, change);
     if (applied.has_error()) {
-      // An invalid change counts as a version without edits, alike at every node.
+      // An invalid change counts as a version without edits, as at every other node.
       aEffects.events_.push_back({ EventKind::kVersionRejected, Describe(applied.assume_error()) });
     } else {
-      MarkEntitiesChanged(aState.compiled_, change.edits_);
+      MarkEntitiesChanged(aState.configCache_, change.edits_);
     }
     aState.version_ = change.version_;
     RecordRecentChange(aState, change);
@@ -171,9 +172,9 @@
     return;
   }
   aState.entities_ = std::move(aEntities);
-  ResetConfigCache(aState.compiled_);
+  ResetConfigCache(aState.configCache_);
   aState.version_ = aVersion;
-  aState.recent_.clear();
+  aState.recentChanges_.clear();
   aState.recentBytes_ = 0;
   PutInForce(aState, aEffects);
 }
@@ -201,7 +202,8 @@
     return;
   }
   aState.pushedVersion_ = aChanges.back().version_;
-  const auto order = PushOrder(*aState.ranking_, aState.pushedVersion_, aState.settings_.arity_);
+  const auto order =
+    PushOrder(*aState.ranking_, aState.pushedVersion_, aState.settings_.treeArity_);
   const auto self = std::find_if(order.begin(), order.end(), [&](const auto& aMember) {
     return aMember.host_ == aState.ranking_->self_;
   });
@@ -209,18 +211,18 @@
     return;
   }
   const auto position = static_cast<std::size_t>(self - order.begin());
-  for (const auto child : TreeChildren(position, order.size(), aState.settings_.arity_)) {
+  for (const auto child : TreeChildren(position, order.size(), aState.settings_.treeArity_)) {
     aEffects.messages_.push_back(
       { order[child].address_, VersionPush{ order.front().host_, aChanges }, false });
   }
 }
 
-// Recent changes after a version that fit into one message, at least one if there is any.
+// The first recent changes after a version that fit into one message, at least one if there is any.
 std::vector<Change> RecentChangesAfter(const Dissemination& aState, Version aVersion)
 {
   std::vector<Change> changes;
   std::size_t bytes = 0;
-  for (const auto& change : aState.recent_) {
+  for (const auto& change : aState.recentChanges_) {
     if (change.version_ <= aVersion) {
       continue;
     }
@@ -238,13 +240,13 @@
 void StartPush(Dissemination& aState, bool aFromPlatform, DisseminationEffects& aEffects)
 {
   if (aState.ranking_ == nullptr || aState.version_ <= aState.pushedVersion_ ||
-      aState.recent_.empty()) {
+      aState.recentChanges_.empty()) {
     return;
   }
   auto changes = RecentChangesAfter(aState, aState.pushedVersion_);
   if (changes.empty() || changes.back().version_ != aState.version_) {
-    // Too much for one message: the last change shows the children a gap, and they sync.
-    changes = { aState.recent_.back() };
+    // Too much for one message: the last change alone leaves the children a gap, so they sync.
+    changes = { aState.recentChanges_.back() };
   }
   if (IsRoot(aState)) {
     PushToChildren(aState, changes, aEffects);
@@ -263,7 +265,7 @@
   return static_cast<std::uint64_t>(std::chrono::ceil<milliseconds>(aNow - *aTime).count());
 }
 
-// The whole configuration as one change; empty if that doesn't fit into a frame.
+// The whole configuration as one change; empty if it doesn't fit into a frame.
 std::vector<Change> SnapshotChange(const Dissemination& aState)
 {
   Change change;
@@ -294,14 +296,14 @@
 std::optional<OutageEvidence> OwnOutage(const Dissemination& aState, TimePoint aNow)
 {
   if (!IsDelegate(aState) || !aState.failedPollStartedAt_ || aState.pendingProof_ ||
-      aState.inForce_ == 0) {
+      aState.versionInForce_ == 0) {
     return std::nullopt;
   }
-  OutageEvidence evidence{ aState.inForce_, *aState.failedPollStartedAt_ };
+  OutageEvidence evidence{ aState.versionInForce_, *aState.failedPollStartedAt_ };
   if (OtherDelegate(aState) != nullptr) {
     const auto& other = aState.otherDelegateOutage_;
     if (!other || aNow - other->time_ >= aState.freshnessBound_ ||
-        other->version_ > aState.inForce_) {
+        other->version_ > aState.versionInForce_) {
       return std::nullopt;
     }
     evidence.time_ = std::min(evidence.time_, other->time_);
@@ -324,7 +326,7 @@
   }
   SyncReply reply;
   reply.nonce_ = aRequest.nonce_;
-  reply.version_ = aState.inForce_;
+  reply.version_ = aState.versionInForce_;
   // Extensions aren't reported to other data centres, because they would hide that this one doesn't
   // reach the platform.
   reply.ageMs_ = AgeMs(fromOwnCentre ? FreshAsOf(aState) : aState.provenUntil_, aNow);
@@ -336,8 +338,8 @@
     reply.outageAgeMs_ = AgeMs(aState.failedPollStartedAt_, aNow);
   }
   if (aRequest.version_ < aState.version_) {
-    const bool covered =
-      !aState.recent_.empty() && aState.recent_.front().version_ <= aRequest.version_ + 1;
+    const bool covered = !aState.recentChanges_.empty() &&
+                         aState.recentChanges_.front().version_ <= aRequest.version_ + 1;
     if (covered) {
       reply.changes_ = RecentChangesAfter(aState, aRequest.version_);
     } else {
@@ -376,7 +378,7 @@
     const auto found = aState.centreOutages_.find(id);
     if (found == aState.centreOutages_.end() ||
         aNow - found->second.time_ >= aState.freshnessBound_ ||
-        found->second.version_ > aState.inForce_) {
+        found->second.version_ > aState.versionInForce_) {
       return;
     }
     oldest = std::min(oldest, found->second.time_);
@@ -421,7 +423,7 @@
     aState.nextPollAt_ = aNow;
   } else {
     ApplyChanges(aState, aReply.changes_, aEffects);
-    // The reply didn't hold all changes: request the rest now.
+    // The reply didn't contain all changes: request the rest now.
     if (!aReply.changes_.empty() && aState.version_ < aReply.version_) {
       aState.nextSyncAt_ = aNow;
     }
@@ -486,7 +488,7 @@
   if (position == 0) {
     return &members[1];
   }
-  const auto parent = (position - 1) / aState.settings_.arity_;
+  const auto parent = (position - 1) / aState.settings_.treeArity_;
   const bool silent = aNow - aState.lastParentReplyAt_ > aState.settings_.replyTimeout_;
   if (silent && position > 1 && parent != 1) {
     return &members[1];
@@ -574,11 +576,13 @@
                            snapshotVersion > aState.version_;
   if (useSnapshot && !aState.snapshotTried_) {
     aState.snapshotTried_ = true;
-    StartCall(
-      aState, VersionCallKind::kSnapshot, GetObjectCall{ SnapshotName(snapshotVersion) }, aEffects);
+    StartCall(aState,
+              VersionCallKind::kReadSnapshot,
+              GetObjectCall{ SnapshotName(snapshotVersion) },
+              aEffects);
   } else {
-    ReadRangeCall call{ "config/change/", ChangeRowKey(aState.version_), kMaxChangeRows };
-    StartCall(aState, VersionCallKind::kChanges, std::move(call), aEffects);
+    ReadRangeCall call{ "config/change/", ChangeRowKey(aState.version_), kMaxRowsPerRead };
+    StartCall(aState, VersionCallKind::kReadChanges, std::move(call), aEffects);
   }
 }
 
@@ -589,7 +593,7 @@
     return;
   }
   aState.nextPollAt_ = aNow + aState.settings_.pollInterval_;
-  StartCall(aState, VersionCallKind::kHead, ReadRowCall{ std::string(kHeadRowKey) }, aEffects);
+  StartCall(aState, VersionCallKind::kReadHead, ReadRowCall{ std::string(kHeadRowKey) }, aEffects);
 }
 
 // Builds the watermark; empty while the report of an alive or suspected member is missing.
@@ -635,7 +639,7 @@
   watermark->writtenMs_ = aWallMs;
   auto call =
     MakeRowWrite(aState, WatermarkRowKey(aState.dataCentre_), EncodeWatermark(*watermark));
-  StartCall(aState, VersionCallKind::kWatermark, std::move(call), aEffects);
+  StartCall(aState, VersionCallKind::kWriteWatermark, std::move(call), aEffects);
 }
 
 std::string EncodeContacts(const Dissemination& aState, std::uint64_t aWallMs)
@@ -700,7 +704,7 @@
       aNow + (alone ? aState.settings_.contactIntervalAlone_ : aState.settings_.contactInterval_);
     StartCall(aState,
               VersionCallKind::kReadContacts,
-              ReadRangeCall{ std::string(kContactPrefix), {}, kMaxChangeRows },
+              ReadRangeCall{ std::string(kContactPrefix), {}, kMaxRowsPerRead },
               aEffects);
     return;
   }
@@ -726,15 +730,15 @@
     return;
   }
   PutObjectCall call{ SnapshotName(aState.snapshotDue_), aState.snapshotBody_ };
-  StartCall(aState, VersionCallKind::kPutSnapshot, std::move(call), aEffects);
+  StartCall(aState, VersionCallKind::kWriteSnapshot, std::move(call), aEffects);
 }
 
-void LogFreshnessChange(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
+void ReportFreshnessChange(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
   const auto until = FreshAsOf(aState);
   const bool fresh = until && aNow - *until < aState.freshnessBound_;
-  if (fresh != aState.loggedFresh_) {
-    aState.loggedFresh_ = fresh;
+  if (fresh != aState.reportedFresh_) {
+    aState.reportedFresh_ = fresh;
     aEffects.events_.push_back(
       { fresh ? EventKind::kFreshnessRegained : EventKind::kFreshnessLost, {} });
   }
@@ -893,7 +897,7 @@
   WriteSnapshot(aState, aEffects);
   WriteWatermark(aState, aNow, aWallMs, aEffects);
   ExchangeContacts(aState, aNow, aWallMs, aEffects);
-  LogFreshnessChange(aState, aNow, aEffects);
+  ReportFreshnessChange(aState, aNow, aEffects);
 }
 
 void HandleVersionMessage(Dissemination& aState,
@@ -928,13 +932,13 @@
   aState.call_.reset();
   RecordPlatformState(aState, aAnswer, aEffects);
   switch (kind) {
-    case VersionCallKind::kHead:
+    case VersionCallKind::kReadHead:
       HandleHead(aState, aAnswer, aEffects);
       break;
-    case VersionCallKind::kChanges:
+    case VersionCallKind::kReadChanges:
       HandleChanges(aState, aAnswer, aEffects);
       break;
-    case VersionCallKind::kSnapshot:
+    case VersionCallKind::kReadSnapshot:
       HandleSnapshot(aState, aAnswer, aEffects);
       break;
     case VersionCallKind::kReadContacts:
@@ -942,7 +946,7 @@
         DecodeContacts(row, aEffects.contacts_);
       }
       break;
-    case VersionCallKind::kWatermark:
+    case VersionCallKind::kWriteWatermark:
       // After a failure or a lost answer the row is written again even with the same content.
       if (aAnswer.error_) {
         aState.writtenWatermark_.clear();
@@ -953,19 +957,19 @@
         aState.writtenContacts_.clear();
       }
       break;
-    case VersionCallKind::kPutSnapshot:
+    case VersionCallKind::kWriteSnapshot:
       if (!aAnswer.error_) {
         aState.snapshotDue_ = 0;
         aState.snapshotBody_ = {};
       }
       break;
   }
-  LogFreshnessChange(aState, aNow, aEffects);
+  ReportFreshnessChange(aState, aNow, aEffects);
 }
 
 void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow)
 {
-  aSummary.version_ = aState.inForce_;
+  aSummary.version_ = aState.versionInForce_;
   aSummary.ageMs_ = AgeMs(aState.provenUntil_, aNow);
   aSummary.platformReachable_ = aState.platformReachable_;
 }
@@ -1012,7 +1016,7 @@
   SubtreeReport total;
   total.receivedAt_ = aNow;
   total.nodes_ = 1;
-  total.minVersion_ = aState.inForce_;
+  total.minVersion_ = aState.versionInForce_;
   for (const auto& [host, report] : aState.subtreeReports_) {
     total.nodes_ += report.nodes_;
     if (report.minVersion_ != 0 &&
@@ -1023,7 +1027,7 @@
   // A node names the hosts below it that are at the minimum, if its own version is higher.
   for (const auto& [host, report] : aState.subtreeReports_) {
     if (report.minVersion_ == 0 || report.minVersion_ != total.minVersion_ ||
-        report.minVersion_ >= aState.inForce_) {
+        report.minVersion_ >= aState.versionInForce_) {
       continue;
     }
     auto named = report.lagging_;
--- a/tests/request/RateShareTest.cpp
+++ b/tests/request/RateShareTest.cpp
@@ -47,11 +47,12 @@
     , random_(aSeed)
   {
     for (std::size_t i = 0; i < aHosts; ++i) {
-      hosts_.push_back(Start(i, 1));
+      hosts_.push_back(MakeStartedHost(i, 1));
     }
   }
 
-  RateShareState Start(std::size_t aHost, Incarnation aIncarnation)
+  /// State of a host that starts now.
+  RateShareState MakeStartedHost(std::size_t aHost, Incarnation aIncarnation)
   {
     RateShareState state;
     state.host_ = { "h" + std::to_string(aHost) };
@@ -162,7 +163,7 @@
 };
 
 /// Required bound for every window of 5 s: a tenth more than rate and burst, plus 20 requests.
-double Allowed(double aRate, double aBurst)
+double MaxAllowedIn5s(double aRate, double aBurst)
 {
   return (5 * aRate + aBurst) * 1.1 + 20;
 }
@@ -179,7 +180,7 @@
       fleet.Run(0.5 * rate, seconds(8), 16);
       fleet.Run(8 * rate, seconds(10), 16);
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxGrantedIn(seconds(5)) <= MaxAllowedIn5s(rate, rate));
       // At least nine tenths of the rate are served.
       CHECK(static_cast<double>(fleet.grantedAt_.size()) >= 0.9 * (4 * rate + 10 * rate));
     }
@@ -209,7 +210,7 @@
 }
 
 // Guards against isolated hosts and the rest of the fleet each granting the whole limit.
-TEST_CASE("hosts that are cut off keep the limit together", "[rate]")
+TEST_CASE("isolated hosts and the rest of the fleet together keep the limit", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     for (const double rate : { 10.0, 51.0, 400.0 }) {
@@ -222,12 +223,13 @@
       fleet.isolated_.assign(16, false);
       fleet.Run(6 * rate, seconds(5), 16);
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxGrantedIn(seconds(5)) <= MaxAllowedIn5s(rate, rate));
     }
   }
 }
 
-// Guards against a second burst after all hosts restart at once and lose what they knew of the use.
+// Guards against a second burst after all hosts restart together and lose what they knew of the
+// use.
 TEST_CASE("restarted hosts don't hand out the burst again", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -236,17 +238,17 @@
     fleet.Run(0, seconds(8), 16);
     fleet.Run(4 * rate, seconds(3), 16);
     for (std::size_t i = 0; i < 16; ++i) {
-      fleet.hosts_[i] = fleet.Start(i, 2);
+      fleet.hosts_[i] = fleet.MakeStartedHost(i, 2);
     }
     fleet.Run(4 * rate, seconds(8), 16);
     INFO("seed " << seed);
-    CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
+    CHECK(fleet.MaxGrantedIn(seconds(5)) <= MaxAllowedIn5s(rate, rate));
   }
 }
 
 // Guards against refusals below the limit while hosts restart one after the other: a host that
 // begins with empty bursts must receive the levels from the others.
-TEST_CASE("accounts within their rate are served while hosts restart in turn", "[rate]")
+TEST_CASE("accounts within their rate are served while hosts restart one by one", "[rate]")
 {
   for (const std::size_t hosts : { std::size_t{ 16 }, std::size_t{ 73 } }) {
     for (const double rate : { 20.0, 60.0, 400.0 }) {
@@ -256,7 +258,7 @@
       const std::size_t refusedBefore = fleet.refused_;
       const std::size_t grantedBefore = fleet.grantedAt_.size();
       for (std::size_t i = 0; i < 16; ++i) {
-        fleet.hosts_[i] = fleet.Start(i, 2);
+        fleet.hosts_[i] = fleet.MakeStartedHost(i, 2);
         fleet.Run(0.6 * rate, seconds(1), hosts);
       }
       const std::size_t requests =
@@ -270,7 +272,7 @@
 }
 
 // Guards against grants above the limit when many starting hosts receive the same levels.
-TEST_CASE("hosts that restart in turn keep the limit", "[rate]")
+TEST_CASE("hosts that restart a few at a time keep the limit", "[rate]")
 {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     for (const double rate : { 10.0, 51.0, 400.0 }) {
@@ -278,18 +280,18 @@
       fleet.Run(rate, seconds(8), 16);
       for (std::size_t i = 0; i < 24; ++i) {
         for (const std::size_t host : { i % 16, (i + 5) % 16, (i + 10) % 16 }) {
-          fleet.hosts_[host] = fleet.Start(host, 2 + i);
+          fleet.hosts_[host] = fleet.MakeStartedHost(host, 2 + i);
         }
         fleet.Run(5 * rate, milliseconds(700), 16);
       }
       INFO("seed " << seed << " rate " << rate);
-      CHECK(fleet.MaxGrantedIn(seconds(5)) <= Allowed(rate, rate));
+      CHECK(fleet.MaxGrantedIn(seconds(5)) <= MaxAllowedIn5s(rate, rate));
     }
   }
 }
 
 // Guards against returned tokens of a grant that still count as used.
-TEST_CASE("unused tokens of a grant come back", "[rate]")
+TEST_CASE("unused tokens of a grant can be granted again", "[rate]")
 {
   Fleet fleet(1, 10, 20, 1);
   fleet.Run(0, seconds(8), 1);
@@ -302,8 +304,8 @@
   CHECK(GrantTokens(host, { 3, kAccount, grant.grant_, 0, 8 }, fleet.now_).tokens_ == 8);
 }
 
-// Guards against use that is counted twice because a report arrives repeatedly or out of order.
-TEST_CASE("reports may be lost, late and repeated", "[rate]")
+// Guards against use that is counted twice because a report arrives twice or late.
+TEST_CASE("repeated reports and reports of an earlier incarnation have no effect", "[rate]")
 {
   Fleet fleet(2, 10, 100, 1);
   fleet.Run(0, seconds(30), 2);
@@ -318,9 +320,9 @@
   CHECK(host.accounts_.at(kAccount).level_ == Approx(level));
 }
 
-// Guards against earlier use that counts as new: a started host receives another host's use of an
-// account for the first time only when that host uses the account again.
-TEST_CASE("what a host used before this one started isn't taken off the level", "[rate]")
+// Guards against earlier use that counts as new: a host that has just started learns another host's
+// use of an account only when that host uses the account again.
+TEST_CASE("another host's use before this host started doesn't lower the level", "[rate]")
 {
   Fleet fleet(2, 10, 100, 1);
   fleet.Run(0, seconds(30), 2);
@@ -330,14 +332,14 @@
   fleet.now_ += milliseconds(300);
   ApplyRateReports(host, { { "h1" }, { { { "h1" }, 2, 51, { { kAccount, 70 } } } } }, fleet.now_);
   CHECK(host.accounts_.at(kAccount).level_ >= level);
-  CHECK(host.accounts_.at(kAccount).peersPerSecond_ == Approx(0));
+  CHECK(host.accounts_.at(kAccount).peerUsePerSecond_ == Approx(0));
   const double before = host.accounts_.at(kAccount).level_;
   ApplyRateReports(host, { { "h1" }, { { { "h1" }, 2, 52, { { kAccount, 75 } } } } }, fleet.now_);
   CHECK(host.accounts_.at(kAccount).level_ == Approx(before - 5));
 }
 
 // Guards against report traffic that grows on the links between regions, which are paid by volume.
-TEST_CASE("few bytes of reports cross between regions", "[rate]")
+TEST_CASE("reports between regions take less than 8 KiB per second", "[rate]")
 {
   Fleet fleet(16, 51, 51, 1);
   fleet.Run(30, seconds(20), 16);
@@ -359,7 +361,7 @@
 }
 
 // Guards against a region whose reports never arrive because its first hosts are down permanently.
-TEST_CASE("regions find each other although the first hosts of both are down", "[rate]")
+TEST_CASE("regions exchange reports although the first hosts of both are down", "[rate]")
 {
   Fleet fleet(16, 50, 50, 1);
   for (const std::size_t down : { 0, 1, 2, 3, 4, 5 }) {
@@ -374,12 +376,12 @@
 
 // Guards against regions that need as many attempts as they have hosts to find each other's relay:
 // until then each leaves the other's share of all rates unused.
-TEST_CASE("large regions that restarted at once exchange reports within two seconds", "[rate]")
+TEST_CASE("large regions that restarted together exchange reports within two seconds", "[rate]")
 {
   Fleet fleet(80, 60, 60, 1);
   fleet.Run(40, seconds(6), 80);
   for (std::size_t i = 0; i < 80; ++i) {
-    fleet.hosts_[i] = fleet.Start(i, 2);
+    fleet.hosts_[i] = fleet.MakeStartedHost(i, 2);
     // The first hosts of both regions stay down.
     fleet.isolated_[i] = i < 4 || i == 10 || i == 11 || i == 12 || i == 13;
   }
@@ -392,7 +394,7 @@
 
 // Guards against calls to a host that is down permanently, and against treating a region that is
 // cut off as down.
-TEST_CASE("a host that is gone is found by its silence", "[rate]")
+TEST_CASE("a host that sends no more reports is found to be silent", "[rate]")
 {
   Fleet fleet(8, 50, 50, 1);
   const TimePoint start = fleet.now_;
--- a/tests/version/ConfigParserTest.cpp
+++ b/tests/version/ConfigParserTest.cpp
@@ -164,9 +164,9 @@
 {
   const std::string key = "key/" + std::string(64, 'a');
   const Entities files{ { key, R"({"account":"mill","source":"file"})" } };
-  const Entities present{ { key, R"({"account":"mill","source":"file","withdrawn":true})" } };
-  CHECK(Failure(MergeConfigFiles(present, files)).code_ == ErrorCode::kContradiction);
-  CHECK(Value(MergeConfigFiles(present, {})).empty());
+  const Entities current{ { key, R"({"account":"mill","source":"file","withdrawn":true})" } };
+  CHECK(Failure(MergeConfigFiles(current, files)).code_ == ErrorCode::kContradiction);
+  CHECK(Value(MergeConfigFiles(current, {})).empty());
   const Entities granted{ { key, R"({"account":"mill","source":"command"})" } };
   CHECK(Value(MergeConfigFiles(granted, {})) == granted);
 }
@@ -210,7 +210,7 @@
       CHECK(CheckEntities(parsed.assume_value()).has_value());
     }
   }
-  // Mutations of comments and descriptions have no effect, so some files stay valid.
+  // Mutations of comments and descriptions leave a file valid.
   CHECK(accepted > 0);
   CHECK(accepted < 3000);
 }
--- a/tests/version/ControlNetworkTest.cpp
+++ b/tests/version/ControlNetworkTest.cpp
@@ -28,7 +28,7 @@
   Version minVersion = ~Version{ 0 };
   for (const auto& node : aNetwork.nodes_) {
     if (!node.stopped_) {
-      minVersion = std::min(minVersion, node.versions_.inForce_);
+      minVersion = std::min(minVersion, node.dissemination_.versionInForce_);
     }
   }
   return minVersion;
@@ -42,7 +42,7 @@
     if (node.stopped_ || (!aCentre.empty() && aNetwork.CentreOf(i) != aCentre)) {
       continue;
     }
-    const auto freshUntil = FreshAsOf(node.versions_);
+    const auto freshUntil = FreshAsOf(node.dissemination_);
     maxAge =
       std::max(maxAge, freshUntil ? aNetwork.Local(i) - *freshUntil : Duration(seconds(1000000)));
   }
@@ -63,7 +63,7 @@
 std::unique_ptr<ControlNetwork> MakeSettledNetwork(NetworkSettings aSettings)
 {
   auto network = std::make_unique<ControlNetwork>(aSettings);
-  network->Accept(FirstChange(aSettings.centres_));
+  network->AcceptChange(FirstChange(aSettings.centres_));
   network->Run(seconds(30));
   return network;
 }
@@ -100,7 +100,7 @@
 }
 
 // Guards against a paused node that isn't accepted again, or that itself declares the others dead.
-TEST_CASE("a paused member refutes its death", "[network]")
+TEST_CASE("a paused member that was declared dead is accepted again", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 1, 0 });
   network->Pause(3, seconds(20));
@@ -131,7 +131,7 @@
 {
   auto network = MakeSettledNetwork({ 64, 1, 0 });
   for (int i = 0; i < 20; ++i) {
-    network->AcceptAccount(10 + i);
+    network->AcceptRateChange(10 + i);
     network->Run(seconds(1));
     CHECK(MinVersionInForce(*network) == network->acceptedAt_.size());
   }
@@ -140,17 +140,17 @@
 
 // Guards against a node that keeps an old version when pushes are lost, and against a joining node
 // that can't close a gap wider than the recent changes of its peers.
-TEST_CASE("nodes close gaps by sync and by snapshot", "[network]")
+TEST_CASE("nodes get missed changes by sync and by snapshot", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 1, 0.2 });
   network->Stop(7);
   for (int i = 0; i < 300; ++i) {
-    network->AcceptAccount(10 + i);
+    network->AcceptRateChange(10 + i);
     network->Run(milliseconds(100));
   }
   network->Restart(7, 1000);
   network->Run(seconds(20));
-  CHECK(network->nodes_[7].versions_.inForce_ == 301);
+  CHECK(network->nodes_[7].dissemination_.versionInForce_ == 301);
   CHECK(MinVersionInForce(*network) == 301);
   CHECK(network->platform_.objects_.count("config/snapshot/256") == 1);
   CHECK_FALSE(network->violated_);
@@ -158,7 +158,7 @@
 
 // Guards against a watermark higher than the version of a reachable host, and against one that
 // doesn't name a stopped host as unreachable.
-TEST_CASE("the watermark waits for every reachable host", "[network]")
+TEST_CASE("the watermark doesn't exceed the version of any reachable host", "[network]")
 {
   auto network = MakeSettledNetwork({ 16, 1, 0 });
   const auto row = [&] {
@@ -169,7 +169,7 @@
   CHECK(row().version_ == 1);
   CHECK(row().nodes_ == 16);
   network->Pause(3, seconds(3));
-  network->AcceptAccount(6);
+  network->AcceptRateChange(6);
   for (int i = 0; i < 25; ++i) {
     network->Run(milliseconds(100));
     CHECK(row().version_ <= MinVersionInForce(*network));
@@ -220,7 +220,7 @@
     network->centresWithoutPlatform_ = { "b" };
     network->Run(seconds(60));
     CHECK(MaxFreshnessAge(*network) < seconds(8));
-    network->AcceptAccount(7);
+    network->AcceptRateChange(7);
     network->Run(seconds(5));
     CHECK(MinVersionInForce(*network) == 2);
   }
@@ -230,7 +230,7 @@
     network->Run(seconds(300));
     CHECK(MaxFreshnessAge(*network) < seconds(10));
     network->platform_.down_ = false;
-    network->AcceptAccount(7);
+    network->AcceptRateChange(7);
     network->Run(seconds(5));
     CHECK(MinVersionInForce(*network) == 2);
   }
@@ -259,7 +259,7 @@
 
 // Guards against a node that claims to be fresher than it is and against versions that decrease,
 // under random loss, delays of seconds, pauses, network partitions and restarts.
-TEST_CASE("freshness is never claimed later than the truth", "[network][property]")
+TEST_CASE("a node never claims to be fresher than it is", "[network][property]")
 {
   CHECK(rc::check([] {
     NetworkSettings settings;
@@ -269,14 +269,14 @@
     settings.maxDelay_ = milliseconds(*rc::gen::element(5, 50, 1500, 4000));
     settings.seed_ = *rc::gen::arbitrary<std::uint64_t>();
     ControlNetwork network(settings);
-    network.Accept(FirstChange(settings.centres_));
+    network.AcceptChange(FirstChange(settings.centres_));
     for (int i = 0; i < 40; ++i) {
       const auto node = *rc::gen::inRange<std::size_t>(0, settings.nodes_);
       switch (*rc::gen::inRange(0, 8)) {
         case 0:
         case 1:
         case 2:
-          network.AcceptAccount(10 + i);
+          network.AcceptRateChange(10 + i);
           break;
         case 3:
           network.Pause(node, milliseconds(*rc::gen::element(300, 2000, 12000)));
