--- a/peridotquay/connection/Datagram.cpp
+++ b/peridotquay/connection/Datagram.cpp
@@ -39,7 +39,7 @@
         if (aError == boost::asio::error::operation_aborted || !self->socket_.is_open()) {
           return;
         }
-        // Other errors mean that an earlier datagram was sent to a port without a receiver.
+        // Other errors report that an earlier datagram was sent to a port without a receiver.
         if (!aError) {
           auto message = DecodePeerMessage(std::string_view(self->buffer_.data(), aBytes));
           if (message.has_error()) {
--- a/peridotquay/connection/Datagram.h
+++ b/peridotquay/connection/Datagram.h
@@ -11,8 +11,8 @@
 
 namespace peridotquay {
 
-/// Maximum size of a datagram in bytes. Fits loopback in one packet; not all networks pass it
-/// unfragmented.
+/// Maximum size of a datagram in bytes. Fits into one packet on loopback; other networks may
+/// fragment it.
 inline constexpr std::size_t kMaxDatagramBytes = std::size_t{ 16 } * 1024;
 
 /// Sends and receives peer messages as datagrams. Drops and counts malformed datagrams. Used only
--- a/peridotquay/connection/HttpFront.cpp
+++ b/peridotquay/connection/HttpFront.cpp
@@ -52,7 +52,7 @@
 std::optional<ErrorCode> CheckHead(std::string_view aHead)
 {
   std::set<std::string> seen;
-  bool first = true;
+  bool isRequestLine = true;
   while (!aHead.empty()) {
     const std::size_t end = aHead.find("\r\n");
     if (end == std::string_view::npos) {
@@ -64,8 +64,8 @@
     if (line.find_first_of(std::string_view("\r\n\0", 3)) != std::string_view::npos) {
       return ErrorCode::kMalformedRequest;
     }
-    if (first || line.empty()) {
-      first = false;
+    if (isRequestLine || line.empty()) {
+      isRequestLine = false;
       continue;
     }
     const std::size_t colon = line.find(':');
@@ -194,7 +194,7 @@
                       "\r\n";
     }
     writeBuffer_ += keep ? "\r\n" : "Connection: close\r\n\r\n";
-    if (!isHead_ && !bodiless) {
+    if (!isHeadRequest_ && !bodiless) {
       writeBuffer_ += aResponse.body_;
     }
     RestartTimer(front_.settings_.writeTimeout_, false);
@@ -423,7 +423,7 @@
     front_.loop_.CancelTimer(timer_);
     timer_ = 0;
     keepAlive_ = message.keep_alive();
-    isHead_ = message.method() == http::verb::head;
+    isHeadRequest_ = message.method() == http::verb::head;
     exchange_ = std::make_shared<Exchange>(shared_from_this());
     HttpRequest& request = exchange_->request_;
     request.method_ = std::string(message.method_string());
@@ -474,7 +474,7 @@
   bool reading_ = false;
   bool writing_ = false;
   bool keepAlive_ = true;
-  bool isHead_ = false;        ///< The current request has method HEAD.
+  bool isHeadRequest_ = false; ///< The current request has the method HEAD.
   bool discardsInput_ = false; ///< Further input is read and discarded.
   bool closed_ = false;
 };
--- a/peridotquay/connection/HttpFront.h
+++ b/peridotquay/connection/HttpFront.h
@@ -26,7 +26,7 @@
   Duration writeTimeout_ = seconds(10); ///< Limits sending a whole answer.
 };
 
-/// One request, and the means to answer it. Used only on the loop's thread.
+/// One request and the connection to answer it on. Used only on the loop's thread.
 class HttpExchange
 {
 public:
--- a/peridotquay/connection/HttpMessage.h
+++ b/peridotquay/connection/HttpMessage.h
@@ -1,4 +1,4 @@
-// HTTP requests and answers as plain values, header functions, and error answers that nodes create.
+// Types for HTTP requests and answers, header functions, and the error answers of a node.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
--- a/peridotquay/connection/KeepAlive.cpp
+++ b/peridotquay/connection/KeepAlive.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 // Silence before the first probe, interval between probes, and number of unanswered probes that end
-// the connection. A silent connection ends after 3 s, so that a new one is used within the 3 s for
-// which a host counts as disturbed.
+// the connection. A silent connection ends after 3 s, so that a new one replaces it within the 3 s
+// for which a host counts as disturbed by a failure.
 constexpr int kIdleSeconds = 1;
 constexpr int kProbeIntervalSeconds = 1;
 constexpr int kMaxUnansweredProbes = 2;
--- a/peridotquay/connection/PeerLink.cpp
+++ b/peridotquay/connection/PeerLink.cpp
@@ -331,7 +331,8 @@
   std::string framesBeforeHello_; ///< Frames that wait until the peer's Hello arrives.
   std::string queuedFrames_;      ///< Frames that wait until writeBuffer_ is written.
   std::string writeBuffer_;       ///< Bytes that are being written.
-  /// Time of the last byte received, of the first outstanding call or of a late check.
+  /// Start of the current silence: the last received byte, the first outstanding call or a late
+  /// silence check, whichever was latest.
   TimePoint silentSince_{};
   std::uint64_t lastPingNonce_ = 0;
   std::uint64_t handshakeTimer_ = 0;
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -39,8 +39,8 @@
   bool operator==(const Hello&) const = default;
 };
 
-/// A request for the target of the receiving node, whose guard (the part in front of the target)
-/// admits or refuses it. Never contains a caller's API key.
+/// A request for the receiving node's target. The node's guard, the admission control in front of
+/// the target, runs or refuses it. Never contains a caller's API key.
 struct Call
 {
   std::uint64_t callId_ = 0; ///< Unique within the incarnation of the sender.
@@ -53,15 +53,15 @@
   ClientAccountId clientAccount_; ///< Empty on open routes.
   Importance importance_ = Importance::kNormal;
   std::uint32_t deadlineMs_ = 0; ///< Time left until the deadline when sent.
-  std::uint32_t retries_ = 0;    ///< Retries left for this call and all calls below it.
+  std::uint32_t retries_ = 0;    ///< Retries left for this call and the calls that it causes.
   bool repeatable_ = true;       ///< False: must run at most once.
-  /// Calls above this one in the call graph; 0 for a caller's own request.
+  /// Number of calls that led to this one; 0 for a caller's own request.
   std::uint8_t depth_ = 0;
   bool operator==(const Call&) const = default;
 };
 
-/// Which calls a guard currently admits. Sent with each answer, so that the hosts that send calls
-/// shed load before sending.
+/// Which calls a guard currently admits. Sent with each answer, so that the calling hosts shed load
+/// before they send it.
 struct AdmissionLevel
 {
   Importance minAdmittedImportance_ = Importance::kLow; ///< Calls of lower importance are refused.
@@ -169,8 +169,8 @@
   RegionId region_;
   ServiceId service_;
   TargetState targetState_ = TargetState::kCold;
-  std::uint32_t slots_ = 0; ///< Concurrent requests that the target announced; 0 for none.
-  double load_ = 0;
+  std::uint32_t slots_ = 0; ///< Concurrent requests that the target can serve; 0 if unknown.
+  double load_ = 0;         ///< Fraction of the slots that are in use, 0 to 1.
   HostId successor_; ///< If state_ is kLeft: host that took over its request records, or empty.
   bool operator==(const MemberEntry&) const = default;
 };
@@ -360,7 +360,8 @@
 {
   std::uint64_t nonce_ = 0;
   std::uint64_t proofAgeMs_ = 0; ///< Time since newest_.config_ was last proved to be the newest.
-  /// Time since the store last answered the sender, which watches the store meanwhile.
+  /// Time since the sender's last call that the store answered. Later changes reach the sender
+  /// through its watch of the store.
   std::uint64_t answerAgeMs_ = 0;
   RowVersions newest_; ///< Versions that the sender holds.
   bool operator==(const FeedAnswer&) const = default;
--- a/peridotquay/connection/TargetClient.cpp
+++ b/peridotquay/connection/TargetClient.cpp
@@ -25,6 +25,7 @@
 namespace {
 
 class TargetConnection;
+
 // Size of the read buffer in bytes.
 constexpr std::size_t kReadBytes = std::size_t{ 16 } * 1024;
 
@@ -102,8 +103,8 @@
     parser_->header_limit(static_cast<std::uint32_t>(client->settings_.maxHeaderBytes_));
     parser_->body_limit(client->settings_.maxBodyBytes_);
     parser_->eager(true);
-    isHead_ = aRequest.method_ == "HEAD";
-    parser_->skip(isHead_);
+    isHeadRequest_ = aRequest.method_ == "HEAD";
+    parser_->skip(isHeadRequest_);
     loop_.CancelTimer(timer_);
     timer_ = 0;
     if (open_) {
@@ -270,8 +271,7 @@
            std::string_view(field->value().data(), field->value().size()) != expectedEcho_;
   }
 
-  // Shortens idleTimeout_ to less than the timeout in seconds that the target states in its
-  // Keep-Alive header.
+  // Limits idleTimeout_ to less than the timeout that the target's Keep-Alive header states.
   void ReadKeepAliveTimeout()
   {
     constexpr std::string_view kName = "timeout=";
@@ -294,7 +294,7 @@
     }
   }
 
-  // Parses the answer after one that was dropped.
+  // Parses the answer that follows a skipped one.
   void ParseNextAnswer()
   {
     const auto client = client_.lock();
@@ -305,7 +305,7 @@
     parser_->header_limit(static_cast<std::uint32_t>(client->settings_.maxHeaderBytes_));
     parser_->body_limit(client->settings_.maxBodyBytes_);
     parser_->eager(true);
-    parser_->skip(isHead_);
+    parser_->skip(isHeadRequest_);
     const std::string rest = std::move(unparsed_);
     unparsed_.clear();
     if (rest.empty()) {
@@ -334,7 +334,7 @@
     RemoveHopByHopHeaders(response.headers_);
     RemoveHeader(response.headers_, "Content-Length");
     response.body_ = std::move(message.body());
-    if (isHead_ || response.status_ == 304) {
+    if (isHeadRequest_ || response.status_ == 304) {
       response.declaredLength_ = length ? std::optional<std::uint64_t>(*length) : std::nullopt;
     }
     open_ = keep;
@@ -394,7 +394,7 @@
   Duration idleTimeout_{};
   bool answerBegan_ = false;
   bool reading_ = false;
-  bool isHead_ = false;
+  bool isHeadRequest_ = false;
   bool closed_ = false;
 };
 
--- a/peridotquay/connection/TargetClient.h
+++ b/peridotquay/connection/TargetClient.h
@@ -26,7 +26,7 @@
   /// Header that the target copies from the request to the answer. An answer with another value
   /// belongs to an earlier request and is dropped. Empty for none.
   std::string echoHeader_{};
-  /// True: an answer without a length is complete when the target closes the connection in order.
+  /// True: an answer without a length is complete when the target closes the connection regularly.
   /// False: it counts as truncated, because a complete answer can't be told from a truncated one.
   bool allowsCloseDelimited_ = false;
 };
@@ -53,8 +53,7 @@
 {
   kAny,
   /// Only a connection that was used within recentlyUsedPeriod_. The target may have dropped one
-  /// that was idle for longer. A request on it would be reset, and it would be unknown whether it
-  /// ran.
+  /// that was idle for longer. A request on it would be reset without showing whether it ran.
   kRecentlyUsed
 };
 
--- a/tests/connection/HttpFrontTest.cpp
+++ b/tests/connection/HttpFrontTest.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// A front on its own thread that answers each request with its method, path and body. It never
-// answers /hold, and delays the answer to /slow.
+// An HTTP server on its own thread that answers each request with its method, path and body. It
+// never answers /hold, and delays the answer to /slow.
 struct EchoFront
 {
   EventLoop loop_;
@@ -58,7 +58,7 @@
   }
 };
 
-// Bytes of an invalid request and the HTTP status that must answer it.
+// An invalid request and the HTTP status that it must be answered with.
 struct BadInput
 {
   std::string name_;
@@ -190,8 +190,8 @@
   CHECK(front.closedCount_ == 1);
 }
 
-// Guards against truncated answers that pass as complete, and against reporting a request that was
-// sent as not sent.
+// Guards against truncated answers that pass as complete, and against sent requests that are
+// reported as not sent.
 TEST_CASE("the target client tells complete answers from truncated ones", "[target]")
 {
   struct Script
@@ -309,7 +309,7 @@
 }
 
 // Guards against sending a request that must run at most once on an idle connection that the target
-// may have dropped: the request would be reset, and it would be unknown whether it ran.
+// may have dropped. The request would be reset without showing whether it ran.
 TEST_CASE("a request that must run at most once doesn't reuse a connection idle for long",
           "[target]")
 {
@@ -351,7 +351,7 @@
   target.join();
 }
 
-// Guards against treating a request as possibly run although the connect failed and no byte was
+// Guards against a request that counts as possibly run although the connect failed and no byte was
 // sent.
 TEST_CASE("a request without a connection is reported as not sent", "[target]")
 {
--- a/tests/connection/PeerCodecTest.cpp
+++ b/tests/connection/PeerCodecTest.cpp
@@ -167,8 +167,8 @@
   CHECK(DecodePeerMessage(EncodePeerMessage(request)).has_error());
 }
 
-// Guards against frames that are cut or merged when the stream arrives in chunks of other sizes
-// than sent.
+// Guards against frames that are cut or merged when the stream arrives in other chunks than it was
+// sent in.
 TEST_CASE("frames are read correctly however the stream is split", "[frames]")
 {
   std::string stream;
--- a/tests/connection/PeerHubTest.cpp
+++ b/tests/connection/PeerHubTest.cpp
@@ -92,7 +92,8 @@
   CHECK(right.hub_->OpenLinkCount() == 1);
 }
 
-// Guards against reporting a call as not sent that may have been sent, and the reverse.
+// Guards against a call that is reported as not sent although it may have been sent, and against
+// the reverse.
 TEST_CASE("a lost call reports whether it was sent", "[peer]")
 {
   EventLoop loop;
@@ -166,7 +167,8 @@
   CHECK(left.hub_->EndCall(2));
 }
 
-// Guards against peers of another protocol version and against malicious first bytes.
+// Guards against accepting a peer of another protocol version, and against malicious first bytes
+// that disturb other connections.
 TEST_CASE("invalid peers are disconnected and other connections keep working", "[peer]")
 {
   EventLoop loop;
