--- a/tests/platform/DecoderTest.cpp
+++ b/tests/platform/DecoderTest.cpp
@@ -46,7 +46,7 @@
 queue_deadline_fraction = 0.6
 )";
 
-HostRecord SomeRecord()
+HostRecord SampleRecord()
 {
   HostRecord record;
   record.host_ = { "side-1" };
@@ -56,7 +56,7 @@
   record.region_ = { "r" };
   record.service_ = { "s1" };
   record.targetId_ = "i-1";
-  record.state_ = TargetState::kReady;
+  record.targetState_ = TargetState::kReady;
   record.slots_ = 54;
   return record;
 }
@@ -188,8 +188,8 @@
 // Guards against a record field that is lost or changed between writer and reader.
 TEST_CASE("a decoded host record equals the encoded one", "[platform]")
 {
-  CHECK(Value(DecodeRecord(EncodeRecord(SomeRecord()))) == SomeRecord());
-  HostRecord unknown = SomeRecord();
+  CHECK(Value(DecodeRecord(EncodeRecord(SampleRecord()))) == SampleRecord());
+  HostRecord unknown = SampleRecord();
   unknown.targetId_.clear();
   CHECK(Value(DecodeRecord(EncodeRecord(unknown))) == unknown);
 }
@@ -198,11 +198,11 @@
 TEST_CASE("the target view has only targets that are known and haven't left", "[platform]")
 {
   std::map<std::string, HostEntry> records;
-  records["side-1"] = { SomeRecord(), 1, {} };
-  records["side-2"] = { SomeRecord(), 1, {} };
+  records["side-1"] = { SampleRecord(), 1, {} };
+  records["side-2"] = { SampleRecord(), 1, {} };
   records["side-2"].record_.host_ = { "side-2" };
-  records["side-2"].record_.state_ = TargetState::kLeft;
-  records["side-3"] = { SomeRecord(), 1, {} };
+  records["side-2"].record_.targetState_ = TargetState::kLeft;
+  records["side-3"] = { SampleRecord(), 1, {} };
   records["side-3"].record_.host_ = { "side-3" };
   records["side-3"].record_.targetId_.clear();
   const TargetView view = BuildTargetView(records);
@@ -274,7 +274,7 @@
   for (int i = 0; i < 4000; ++i) {
     rejectedCount += DecodeConfig(Mutate(kDocument, random), Policy{}).has_error() ? 1 : 0;
     rejectedCount += DecodeHeartbeat("i-1", Mutate(kHeartbeat, random)).has_error() ? 1 : 0;
-    rejectedCount += DecodeRecord(Mutate(EncodeRecord(SomeRecord()), random)).has_error() ? 1 : 0;
+    rejectedCount += DecodeRecord(Mutate(EncodeRecord(SampleRecord()), random)).has_error() ? 1 : 0;
     rejectedCount += ParseRows(Mutate(kRows, random)).has_error() ? 1 : 0;
     rejectedCount += ParsePlatformSettings(Mutate(kSettings, random), "f").has_error() ? 1 : 0;
   }
--- a/tests/platform/HeartbeatTest.cpp
+++ b/tests/platform/HeartbeatTest.cpp
@@ -47,7 +47,7 @@
 }
 
 // Guards against a leave message that has no effect because its body is malformed.
-TEST_CASE("a leave message without a valid start time counts as one without any", "[heartbeat]")
+TEST_CASE("a malformed leave message counts as one without a start time", "[heartbeat]")
 {
   CHECK(ParseLeaveStart(R"({"born":17})") == 17);
   CHECK(ParseLeaveStart(R"({"born":"17"})") == 0);
