--- a/programs/quayctl.cpp
+++ b/programs/quayctl.cpp
@@ -51,7 +51,7 @@
 {
   std::string_view name_; ///< One or two words.
   std::string_view help_;
-  std::size_t arguments_ = 0; ///< Positional arguments after the name.
+  std::size_t argumentCount_ = 0; ///< Number of positional arguments after the name.
   std::function<OperatorReport(const Arguments&)> run_;
 };
 
@@ -99,14 +99,14 @@
   return version;
 }
 
-/// Options of a command that writes a new version. aSummary is used if --summary isn't given.
-WriteOptions WriteOptionsFromFlags(const std::string& aAgainst, const std::string& aSummary)
+/// Options of a command that writes a new version. aDefaultSummary is used without --summary.
+WriteOptions WriteOptionsFromFlags(const std::string& aAgainst, const std::string& aDefaultSummary)
 {
   WriteOptions options;
   options.operator_ = RequiredFlag(FLAGS_operator, "--operator");
   options.summary_ = absl::GetFlag(FLAGS_summary);
   if (options.summary_.empty()) {
-    options.summary_ = aSummary;
+    options.summary_ = aDefaultSummary;
   }
   options.expectedVersion_ = ParseExpectedVersion(aAgainst);
   options.waitUntilInForce_ = absl::GetFlag(FLAGS_wait);
@@ -120,11 +120,11 @@
   return against.empty() ? "latest" : against;
 }
 
-OperatorReport QueryNode(const std::string& aMethod, const std::string& aTarget)
+OperatorReport QueryNode(const std::string& aMethod, const std::string& aPath)
 {
   return NodeCommand(ParseAddressOrThrow(RequiredFlag(FLAGS_node, "--node"), "--node"),
                      aMethod,
-                     aTarget,
+                     aPath,
                      milliseconds(absl::GetFlag(FLAGS_timeout_ms)));
 }
 
@@ -286,7 +286,7 @@
   }
   const auto nameWordCount = command->name_.find(' ') == std::string_view::npos ? 1U : 2U;
   const Arguments arguments(aWords.begin() + nameWordCount, aWords.end());
-  if (arguments.size() != command->arguments_) {
+  if (arguments.size() != command->argumentCount_) {
     PrintHelp(std::cerr, command);
     return kExitUsage;
   }
--- a/programs/quayd.cpp
+++ b/programs/quayd.cpp
@@ -52,7 +52,7 @@
 constexpr int kExitPortFile = 11;
 constexpr int kExitStopped = 12;
 
-// Exit code of a failure to start.
+// Exit code for an error that prevents the start.
 int ExitCodeOf(ErrorCode aCode)
 {
   switch (aCode) {
@@ -111,7 +111,7 @@
 }
 
 /// Time of the file's last modification in nanoseconds since 1970; 0 if it can't be read.
-std::int64_t ChangeTimeNs(const std::string& aFile)
+std::int64_t ModificationTimeNs(const std::string& aFile)
 {
   struct stat status
   {};
@@ -127,18 +127,18 @@
 public:
   SettingsFile(std::string aFile, FileSettings aSettings)
     : file_(std::move(aFile))
-    , changeTimeNs_(ChangeTimeNs(file_))
+    , modificationTimeNs_(ModificationTimeNs(file_))
     , settings_(std::move(aSettings))
   {
   }
 
-  bool HasChanged() const { return ChangeTimeNs(file_) != changeTimeNs_; }
+  bool HasChanged() const { return ModificationTimeNs(file_) != modificationTimeNs_; }
 
   /// Reads the file again. A changed policy takes effect at once, other settings at the next start
-  /// of the process. A file with errors is rejected whole.
+  /// of the process. A file with errors is rejected as a whole.
   void Reload(Node& aNode)
   {
-    changeTimeNs_ = ChangeTimeNs(file_);
+    modificationTimeNs_ = ModificationTimeNs(file_);
     auto read = ReadSettings(file_);
     if (read.has_error()) {
       LogEvent(Event::kSettingsRejected, { { "error", Describe(read.assume_error()) } });
@@ -160,7 +160,7 @@
 
 private:
   std::string file_;
-  std::int64_t changeTimeNs_ = 0;
+  std::int64_t modificationTimeNs_ = 0;
   FileSettings settings_; ///< The settings in force.
 };
 
@@ -246,7 +246,7 @@
   return signals.WasStopped() ? kExitStopped : 0;
 }
 
-// Replaces dashes in flag names by underscores, which are all that Abseil accepts.
+// Replaces dashes in flag names by underscores, because Abseil's flag names have no dashes.
 std::vector<std::string> NormalizeFlags(int aCount, char** aArguments)
 {
   std::vector<std::string> arguments(aArguments, aArguments + aCount);
--- a/programs/quayload.cpp
+++ b/programs/quayload.cpp
@@ -114,6 +114,7 @@
 nlohmann::json LatencyJson(const std::vector<LatencyComparison>& aTurns)
 {
   nlohmann::json json;
+  // The call rates of MeasureLatency, per second.
   for (const double rate : { 253.0, 2530.0 }) {
     nlohmann::json entry{ { "rate", rate } };
     std::vector<double> p50;
