--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -249,7 +249,8 @@
   aVisit(aItem.host_, aItem.incarnation_, aItem.secret_, aItem.records_, aItem.isLastBatch_);
 }
 
-// Id types, which wrap a string in value_ and are encoded as that string.
+// Id types, which wrap a string in value_ and are encoded as that string. Message types must not
+// have a string member of that name, because they would match too.
 template<typename T>
 concept StringId = requires(T aItem)
 {
