--- a/peridotquay/connection/Datagram.cpp
+++ b/peridotquay/connection/DatagramSocket.cpp
@@ -1,5 +1,5 @@
-// Implementation of Datagram on Boost.Asio.
-#include "peridotquay/connection/Datagram.h"
+// Implementation of DatagramSocket on Boost.Asio.
+#include "peridotquay/connection/DatagramSocket.h"
 
 #include "peridotquay/connection/PeerCodec.h"
 
@@ -14,7 +14,7 @@
 using boost::asio::ip::udp;
 using boost::system::error_code;
 
-struct Datagram::State : std::enable_shared_from_this<State>
+struct DatagramSocket::State : std::enable_shared_from_this<State>
 {
   EventLoop& loop_;
   OnMessage onMessage_;
@@ -54,18 +54,18 @@
   }
 };
 
-Datagram::Datagram(EventLoop& aLoop, OnMessage aOnMessage)
+DatagramSocket::DatagramSocket(EventLoop& aLoop, OnMessage aOnMessage)
   : state_(std::make_shared<State>(aLoop, std::move(aOnMessage)))
 {
 }
 
-Datagram::~Datagram()
+DatagramSocket::~DatagramSocket()
 {
   error_code ignored;
   state_->socket_.close(ignored);
 }
 
-Result<std::uint16_t> Datagram::Listen(const Address& aAddress)
+Result<std::uint16_t> DatagramSocket::Listen(const Address& aAddress)
 {
   const std::string text = aAddress.ip_ + ":" + std::to_string(aAddress.port_);
   error_code error;
@@ -89,7 +89,7 @@
   return state_->socket_.local_endpoint().port();
 }
 
-void Datagram::Send(const Address& aPeer, const PeerMessage& aMessage)
+void DatagramSocket::Send(const Address& aPeer, const PeerMessage& aMessage)
 {
   const std::string body = EncodePeerMessage(aMessage);
   error_code error;
@@ -100,7 +100,7 @@
   state_->socket_.send_to(boost::asio::buffer(body), udp::endpoint(ip, aPeer.port_), 0, error);
 }
 
-std::uint64_t Datagram::DroppedDatagrams() const
+std::uint64_t DatagramSocket::DroppedDatagrams() const
 {
   return state_->dropped_;
 }
--- a/peridotquay/connection/Datagram.h
+++ b/peridotquay/connection/DatagramSocket.h
@@ -17,15 +17,15 @@
 
 /// Sends and receives peer messages as datagrams. Drops and counts malformed datagrams. Used only
 /// on the loop's thread.
-class Datagram
+class DatagramSocket
 {
 public:
   using OnMessage = std::function<void(const Address&, PeerMessage)>;
 
-  Datagram(EventLoop& aLoop, OnMessage aOnMessage);
-  Datagram(const Datagram&) = delete;
-  Datagram& operator=(const Datagram&) = delete;
-  ~Datagram();
+  DatagramSocket(EventLoop& aLoop, OnMessage aOnMessage);
+  DatagramSocket(const DatagramSocket&) = delete;
+  DatagramSocket& operator=(const DatagramSocket&) = delete;
+  ~DatagramSocket();
 
   /// Starts receiving and returns the bound port. Errors: kOutOfRange, kAddressInUse.
   Result<std::uint16_t> Listen(const Address& aAddress);
--- a/peridotquay/process/Node.cpp
+++ b/peridotquay/process/Node.cpp
@@ -1,7 +1,7 @@
 // Assembles a node, routes peer messages, answers admin requests and drains.
 #include "peridotquay/process/Node.h"
 
-#include "peridotquay/connection/Datagram.h"
+#include "peridotquay/connection/DatagramSocket.h"
 #include "peridotquay/connection/EventLoop.h"
 #include "peridotquay/connection/HttpFront.h"
 #include "peridotquay/connection/PeerHub.h"
@@ -80,7 +80,7 @@
   EventLoop loop_;
   Metrics metrics_;
   std::unique_ptr<PeerHub> hub_;
-  std::unique_ptr<Datagram> datagram_;
+  std::unique_ptr<DatagramSocket> datagram_;
   std::unique_ptr<Guard> guard_;
   std::unique_ptr<Dispatcher> dispatcher_;
   std::unique_ptr<HttpFront> callers_;
@@ -173,7 +173,7 @@
         return port.as_failure();
       }
       datagram_ =
-        std::make_unique<Datagram>(loop_, [this](const Address& aFrom, PeerMessage aMessage) {
+        std::make_unique<DatagramSocket>(loop_, [this](const Address& aFrom, PeerMessage aMessage) {
           if (control_) {
             control_->OnDatagram(aFrom, std::move(aMessage));
           }
--- a/tests/connection/PeerHubTest.cpp
+++ b/tests/connection/PeerHubTest.cpp
@@ -1,7 +1,7 @@
 // Tests of peer connections over loopback: lost calls, silent connections and invalid peers.
 #include "peridotquay/connection/PeerHub.h"
 
-#include "peridotquay/connection/Datagram.h"
+#include "peridotquay/connection/DatagramSocket.h"
 #include "peridotquay/connection/PeerCodec.h"
 
 #include "tests/connection/RawSocket.h"
@@ -202,9 +202,9 @@
 {
   EventLoop loop;
   std::vector<PeerMessage> received;
-  Datagram right(
+  DatagramSocket right(
     loop, [&](const Address&, PeerMessage aMessage) { received.push_back(std::move(aMessage)); });
-  Datagram left(loop, [](const Address&, const PeerMessage&) {});
+  DatagramSocket left(loop, [](const Address&, const PeerMessage&) {});
   const auto port = right.Listen({ "127.0.0.1", 0 });
   REQUIRE(port.has_value());
   REQUIRE(left.Listen({ "127.0.0.1", 0 }).has_value());
