--- a/bench/path_latency.cpp
+++ b/bench/path_latency.cpp
@@ -2,7 +2,7 @@
 // directly to a target, and through a first host and a guard. Both paths alternate in short slices,
 // so that they see the same machine load. Nodes, target and callers are threads of this process and
 // use the loopback interface.
-#include "peridotquay/connection/HttpFront.h"
+#include "peridotquay/connection/HttpServer.h"
 #include "peridotquay/process/Node.h"
 
 #include <absl/flags/flag.h>
@@ -257,7 +257,7 @@
 
   EventLoop targetLoop;
   auto target =
-    HttpFront::Listen(targetLoop, {}, [&](const std::shared_ptr<HttpExchange>& aExchange) {
+    HttpServer::Listen(targetLoop, {}, [&](const std::shared_ptr<HttpExchange>& aExchange) {
       const bool health = aExchange->request_.path_ == "/health";
       aExchange->Respond(
         { 200, {}, health ? std::string(R"({"state":"ready"})") : body, std::nullopt });
--- a/peridotquay/connection/HttpFront.cpp
+++ b/peridotquay/connection/HttpServer.cpp
@@ -1,7 +1,7 @@
-// Implementation of HttpFront on Boost.Asio and Boost.Beast's parser. The head of a request is
+// Implementation of HttpServer on Boost.Asio and Boost.Beast's parser. The head of a request is
 // checked as raw bytes before it is parsed, because the parser joins folded lines and merges
 // repeated headers.
-#include "peridotquay/connection/HttpFront.h"
+#include "peridotquay/connection/HttpServer.h"
 
 #include "peridotquay/connection/KeepAlive.h"
 
@@ -93,10 +93,10 @@
 
 } // namespace
 
-struct HttpFront::State
+struct HttpServer::State
 {
   EventLoop& loop_;
-  HttpFrontSettings settings_;
+  HttpServerSettings settings_;
   Handler handler_;
   tcp::acceptor acceptor_;
   std::set<std::shared_ptr<Session>> sessions_;
@@ -104,7 +104,7 @@
   std::size_t pendingAnswers_ = 0;
   bool closeAfterAnswers_ = false;
 
-  State(EventLoop& aLoop, const HttpFrontSettings& aSettings, Handler aHandler)
+  State(EventLoop& aLoop, const HttpServerSettings& aSettings, Handler aHandler)
     : loop_(aLoop)
     , settings_(aSettings)
     , handler_(std::move(aHandler))
@@ -134,15 +134,15 @@
 class Session final : public std::enable_shared_from_this<Session>
 {
 public:
-  Session(HttpFront::State& aFront, tcp::socket aSocket)
-    : front_(aFront)
+  Session(HttpServer::State& aServer, tcp::socket aSocket)
+    : server_(aServer)
     , socket_(std::move(aSocket))
   {
   }
 
   void Start()
   {
-    RestartTimer(front_.settings_.idleTimeout_, false);
+    RestartTimer(server_.settings_.idleTimeout_, false);
     Read();
   }
 
@@ -153,14 +153,14 @@
       return;
     }
     closed_ = true;
-    front_.loop_.CancelTimer(timer_);
+    server_.loop_.CancelTimer(timer_);
     error_code ignored;
     socket_.close(ignored);
     if (writing_) {
-      --front_.pendingAnswers_;
+      --server_.pendingAnswers_;
     }
     const auto self = shared_from_this();
-    front_.sessions_.erase(self);
+    server_.sessions_.erase(self);
     if (exchange_) {
       const auto exchange = std::move(exchange_);
       if (exchange->onClosed_) {
@@ -176,7 +176,7 @@
       return;
     }
     exchange_.reset();
-    const bool keep = keepAlive_ && !front_.closeAfterAnswers_;
+    const bool keep = keepAlive_ && !server_.closeAfterAnswers_;
     keepAlive_ = keep;
     writeBuffer_ = "HTTP/1.1 " + std::to_string(aResponse.status_) + " ";
     writeBuffer_ += http::obsolete_reason(http::int_to_status(aResponse.status_));
@@ -197,9 +197,9 @@
     if (!isHeadRequest_ && !bodiless) {
       writeBuffer_ += aResponse.body_;
     }
-    RestartTimer(front_.settings_.writeTimeout_, false);
+    RestartTimer(server_.settings_.writeTimeout_, false);
     writing_ = true;
-    ++front_.pendingAnswers_;
+    ++server_.pendingAnswers_;
     boost::asio::async_write(
       socket_,
       boost::asio::buffer(writeBuffer_),
@@ -211,7 +211,7 @@
   // Answers an invalid request with an error and discards further input.
   void Reject(ErrorCode aCode)
   {
-    ++front_.rejectedRequests_;
+    ++server_.rejectedRequests_;
     keepAlive_ = false;
     discardsInput_ = true;
     Answer(ErrorResponse(aCode, Outcome::kNotRun, "request was not accepted"));
@@ -225,8 +225,8 @@
   // After aTimeout, closes the connection or, if aRejectsRequest, rejects the request as too slow.
   void RestartTimer(Duration aTimeout, bool aRejectsRequest)
   {
-    front_.loop_.CancelTimer(timer_);
-    timer_ = front_.loop_.After(aTimeout, [weak = weak_from_this(), aRejectsRequest] {
+    server_.loop_.CancelTimer(timer_);
+    timer_ = server_.loop_.After(aTimeout, [weak = weak_from_this(), aRejectsRequest] {
       const auto self = weak.lock();
       if (!self || self->closed_) {
         return;
@@ -257,7 +257,7 @@
 
   std::size_t MaxInputBytes() const
   {
-    return front_.settings_.maxBodyBytes_ + front_.settings_.maxHeaderBytes_;
+    return server_.settings_.maxBodyBytes_ + server_.settings_.maxHeaderBytes_;
   }
 
   void OnRead(const error_code& aError, std::size_t aBytes)
@@ -297,11 +297,11 @@
       }
       if (!requestBegan_) {
         requestBegan_ = true;
-        RestartTimer(front_.settings_.readTimeout_, true);
+        RestartTimer(server_.settings_.readTimeout_, true);
       }
       const std::size_t end = unparsed_.find("\r\n\r\n");
       const std::size_t headBytes = end == std::string::npos ? unparsed_.size() : end + 4;
-      if (headBytes > front_.settings_.maxHeaderBytes_) {
+      if (headBytes > server_.settings_.maxHeaderBytes_) {
         Reject(ErrorCode::kHeadersTooLarge);
         return;
       }
@@ -323,8 +323,8 @@
       return false;
     }
     parser_.emplace();
-    parser_->header_limit(static_cast<std::uint32_t>(front_.settings_.maxHeaderBytes_));
-    parser_->body_limit(front_.settings_.maxBodyBytes_);
+    parser_->header_limit(static_cast<std::uint32_t>(server_.settings_.maxHeaderBytes_));
+    parser_->body_limit(server_.settings_.maxBodyBytes_);
     error_code error;
     parser_->put(boost::asio::buffer(aHead.data(), aHead.size()), error);
     if (error == http::error::body_limit) {
@@ -352,7 +352,7 @@
       return false;
     }
     const auto length = parser_->content_length();
-    if (length && *length > front_.settings_.maxBodyBytes_) {
+    if (length && *length > server_.settings_.maxBodyBytes_) {
       Reject(ErrorCode::kRequestTooLarge);
       return false;
     }
@@ -409,7 +409,7 @@
     unparsed_.erase(0, offset);
     if (parser_->is_done()) {
       Dispatch();
-    } else if (unparsed_.size() > front_.settings_.maxHeaderBytes_) {
+    } else if (unparsed_.size() > server_.settings_.maxHeaderBytes_) {
       // The parser leaves only an incomplete chunk header unparsed, and this one is too long.
       Reject(ErrorCode::kMalformedRequest);
     }
@@ -420,7 +420,7 @@
     auto message = parser_->release();
     parser_.reset();
     requestBegan_ = false;
-    front_.loop_.CancelTimer(timer_);
+    server_.loop_.CancelTimer(timer_);
     timer_ = 0;
     keepAlive_ = message.keep_alive();
     isHeadRequest_ = message.method() == http::verb::head;
@@ -432,7 +432,7 @@
     RemoveHopByHopHeaders(request.headers_);
     RemoveHeader(request.headers_, "Content-Length");
     request.body_ = std::move(message.body());
-    front_.handler_(exchange_);
+    server_.handler_(exchange_);
   }
 
   void OnWritten(const error_code& aError)
@@ -441,7 +441,7 @@
       return;
     }
     writing_ = false;
-    --front_.pendingAnswers_;
+    --server_.pendingAnswers_;
     if (aError) {
       Close();
       return;
@@ -457,12 +457,12 @@
       Read();
       return;
     }
-    RestartTimer(front_.settings_.idleTimeout_, false);
+    RestartTimer(server_.settings_.idleTimeout_, false);
     Parse();
     Read();
   }
 
-  HttpFront::State& front_;
+  HttpServer::State& server_;
   tcp::socket socket_;
   std::array<char, kReadBytes> readBuffer_;
   std::string unparsed_;
@@ -490,7 +490,7 @@
   session->Answer(aResponse);
 }
 
-void Accept(const std::shared_ptr<HttpFront::State>& aState)
+void Accept(const std::shared_ptr<HttpServer::State>& aState)
 {
   aState->acceptor_.async_accept(
     [weak = std::weak_ptr(aState)](const error_code& aError, tcp::socket aSocket) {
@@ -522,9 +522,9 @@
 
 } // namespace
 
-Result<std::unique_ptr<HttpFront>> HttpFront::Listen(EventLoop& aLoop,
-                                                     const HttpFrontSettings& aSettings,
-                                                     Handler aHandler)
+Result<std::unique_ptr<HttpServer>> HttpServer::Listen(EventLoop& aLoop,
+                                                       const HttpServerSettings& aSettings,
+                                                       Handler aHandler)
 {
   auto state = std::make_shared<State>(aLoop, aSettings, std::move(aHandler));
   const std::string text = aSettings.listen_.ip_ + ":" + std::to_string(aSettings.listen_.port_);
@@ -546,15 +546,15 @@
     return Fail(ErrorCode::kAddressInUse, text, error.message());
   }
   Accept(state);
-  return std::unique_ptr<HttpFront>(new HttpFront(std::move(state)));
+  return std::unique_ptr<HttpServer>(new HttpServer(std::move(state)));
 }
 
-HttpFront::HttpFront(std::shared_ptr<State> aState)
+HttpServer::HttpServer(std::shared_ptr<State> aState)
   : state_(std::move(aState))
 {
 }
 
-HttpFront::~HttpFront()
+HttpServer::~HttpServer()
 {
   error_code ignored;
   state_->acceptor_.close(ignored);
@@ -563,27 +563,27 @@
   }
 }
 
-std::uint16_t HttpFront::Port() const
+std::uint16_t HttpServer::Port() const
 {
   return state_->acceptor_.local_endpoint().port();
 }
 
-std::size_t HttpFront::ConnectionCount() const
+std::size_t HttpServer::ConnectionCount() const
 {
   return state_->sessions_.size();
 }
 
-std::uint64_t HttpFront::RejectedRequests() const
+std::uint64_t HttpServer::RejectedRequests() const
 {
   return state_->rejectedRequests_;
 }
 
-std::size_t HttpFront::PendingAnswerCount() const
+std::size_t HttpServer::PendingAnswerCount() const
 {
   return state_->pendingAnswers_;
 }
 
-void HttpFront::CloseAfterAnswers()
+void HttpServer::CloseAfterAnswers()
 {
   state_->closeAfterAnswers_ = true;
 }
--- a/peridotquay/connection/HttpFront.h
+++ b/peridotquay/connection/HttpServer.h
@@ -14,8 +14,8 @@
 
 namespace peridotquay {
 
-/// Settings of one HttpFront.
-struct HttpFrontSettings
+/// Settings of one HttpServer.
+struct HttpServerSettings
 {
   Address listen_{ "127.0.0.1", 0 };
   std::size_t maxBodyBytes_ = std::size_t{ 768 } * 1024;
@@ -45,19 +45,19 @@
 
 /// A listening socket and its connections. Requests of one connection are handled in order, one at
 /// a time. Invalid requests are answered with an error and never reach the handler.
-class HttpFront
+class HttpServer
 {
 public:
   /// Handles one valid request.
   using Handler = std::function<void(std::shared_ptr<HttpExchange>)>;
 
   /// Listens and starts accepting connections. Errors: kOutOfRange, kAddressInUse.
-  static Result<std::unique_ptr<HttpFront>> Listen(EventLoop& aLoop,
-                                                   const HttpFrontSettings& aSettings,
-                                                   Handler aHandler);
-  HttpFront(const HttpFront&) = delete;
-  HttpFront& operator=(const HttpFront&) = delete;
-  ~HttpFront();
+  static Result<std::unique_ptr<HttpServer>> Listen(EventLoop& aLoop,
+                                                    const HttpServerSettings& aSettings,
+                                                    Handler aHandler);
+  HttpServer(const HttpServer&) = delete;
+  HttpServer& operator=(const HttpServer&) = delete;
+  ~HttpServer();
 
   /// The bound port.
   std::uint16_t Port() const;
@@ -74,7 +74,7 @@
   struct State;
 
 private:
-  explicit HttpFront(std::shared_ptr<State> aState);
+  explicit HttpServer(std::shared_ptr<State> aState);
   std::shared_ptr<State> state_;
 };
 
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
-#include "peridotquay/connection/HttpFront.h"
+#include "peridotquay/connection/HttpServer.h"
 #include "peridotquay/connection/PeerHub.h"
 #include "peridotquay/connection/PeerMessage.h"
 #include "peridotquay/process/Guard.h"
--- a/peridotquay/process/Node.cpp
+++ b/peridotquay/process/Node.cpp
@@ -3,7 +3,7 @@
 
 #include "peridotquay/connection/DatagramSocket.h"
 #include "peridotquay/connection/EventLoop.h"
-#include "peridotquay/connection/HttpFront.h"
+#include "peridotquay/connection/HttpServer.h"
 #include "peridotquay/connection/PeerHub.h"
 #include "peridotquay/process/DeduplicationTable.h"
 #include "peridotquay/process/Dispatcher.h"
@@ -83,9 +83,9 @@
   std::unique_ptr<DatagramSocket> datagram_;
   std::unique_ptr<Guard> guard_;
   std::unique_ptr<Dispatcher> dispatcher_;
-  std::unique_ptr<HttpFront> callers_;
-  std::unique_ptr<HttpFront> outbound_;
-  std::unique_ptr<HttpFront> admin_;
+  std::unique_ptr<HttpServer> callers_;
+  std::unique_ptr<HttpServer> outbound_;
+  std::unique_ptr<HttpServer> admin_;
   std::unique_ptr<ControlPlane> control_;
   DeduplicationTable deduplication_; ///< What became of peers' calls that must run at most once.
   std::map<std::uint64_t, PeerCall> peerCalls_; ///< By a number from nextPeerCall_.
@@ -128,21 +128,21 @@
     guard_ = std::make_unique<Guard>(loop_, settings_, metrics_, dialect_);
     dispatcher_ = std::make_unique<Dispatcher>(
       loop_, settings_, incarnation_, *guard_, *hub_, metrics_, dialect_);
-    HttpFrontSettings http;
+    HttpServerSettings http;
     http.maxBodyBytes_ = settings_.maxBodyBytes_;
     http.maxHeaderBytes_ = settings_.maxHeaderBytes_;
     http.maxConnections_ = settings_.maxCallerConnections_;
     http.readTimeout_ = settings_.readTimeout_;
-    const auto open = [&](std::unique_ptr<HttpFront>& aFront,
+    const auto open = [&](std::unique_ptr<HttpServer>& aServer,
                           Address& aAddress,
-                          HttpFront::Handler aHandler) -> Result<void> {
+                          HttpServer::Handler aHandler) -> Result<void> {
       http.listen_ = aAddress;
-      auto front = HttpFront::Listen(loop_, http, std::move(aHandler));
-      if (front.has_error()) {
-        return front.as_failure();
+      auto server = HttpServer::Listen(loop_, http, std::move(aHandler));
+      if (server.has_error()) {
+        return server.as_failure();
       }
-      aFront = std::move(front.assume_value());
-      aAddress.port_ = aFront->Port();
+      aServer = std::move(server.assume_value());
+      aAddress.port_ = aServer->Port();
       return Success();
     };
     using Exchange = std::shared_ptr<HttpExchange>;
--- a/standins/lib/UserStore.cpp
+++ b/standins/lib/UserStore.cpp
@@ -1,4 +1,4 @@
-// Stand-in for the row store: its calls, served by the product's HttpFront.
+// Stand-in for the row store: its calls, served by the product's HttpServer.
 #include "standins/lib/UserStore.h"
 
 #include "platform/StoreClient.h"
@@ -36,12 +36,12 @@
 
 UserStore::UserStore()
 {
-  auto front = HttpFront::Listen(
+  auto server = HttpServer::Listen(
     loop_, {}, [this](const std::shared_ptr<HttpExchange>& aExchange) { OnCall(aExchange); });
-  if (front.has_error()) {
+  if (server.has_error()) {
     throw std::runtime_error("store stand-in: cannot listen on 127.0.0.1");
   }
-  front_ = std::move(front.assume_value());
+  server_ = std::move(server.assume_value());
   AnswerWatches();
   thread_ = std::thread([this] { loop_.Run(); });
 }
@@ -54,7 +54,7 @@
 
 std::uint16_t UserStore::Port() const
 {
-  return front_->Port();
+  return server_->Port();
 }
 
 void UserStore::Put(const std::string& aTable, const std::string& aKey, const std::string& aValue)
--- a/standins/lib/UserStore.h
+++ b/standins/lib/UserStore.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
-#include "peridotquay/connection/HttpFront.h"
+#include "peridotquay/connection/HttpServer.h"
 
 #include <atomic>
 #include <cstdint>
@@ -75,7 +75,7 @@
   void AnswerWatches();
 
   EventLoop loop_;
-  std::unique_ptr<HttpFront> front_;
+  std::unique_ptr<HttpServer> server_;
   std::mutex mutex_; ///< Guards rows_, version_ and compactedVersion_.
   std::map<std::pair<std::string, std::string>, Row> rows_; ///< By table and key.
   std::uint64_t version_ = 0;                               ///< Of the last change.
--- a/standins/lib/UserTarget.cpp
+++ b/standins/lib/UserTarget.cpp
@@ -1,4 +1,4 @@
-// Stand-in for a target, served by the product's HttpFront. Heartbeats are blocking calls on a
+// Stand-in for a target, served by the product's HttpServer. Heartbeats are blocking calls on a
 // second thread.
 #include "standins/lib/UserTarget.h"
 
@@ -23,12 +23,12 @@
   , service_(std::move(aService))
   , heartbeatPort_(aHeartbeatPort)
 {
-  auto front = HttpFront::Listen(
+  auto server = HttpServer::Listen(
     loop_, {}, [this](const std::shared_ptr<HttpExchange>& aExchange) { OnRequest(aExchange); });
-  if (front.has_error()) {
+  if (server.has_error()) {
     throw std::runtime_error("target stand-in: cannot listen on 127.0.0.1");
   }
-  front_ = std::move(front.assume_value());
+  server_ = std::move(server.assume_value());
   thread_ = std::thread([this] { loop_.Run(); });
   heartbeatThread_ = std::thread([this] { SendHeartbeats(); });
 }
@@ -43,7 +43,7 @@
 
 std::uint16_t UserTarget::Port() const
 {
-  return front_->Port();
+  return server_->Port();
 }
 
 std::vector<HttpRequest> UserTarget::StartedRequests()
--- a/standins/lib/UserTarget.h
+++ b/standins/lib/UserTarget.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "peridotquay/connection/EventLoop.h"
-#include "peridotquay/connection/HttpFront.h"
+#include "peridotquay/connection/HttpServer.h"
 
 #include <atomic>
 #include <cstdint>
@@ -47,7 +47,7 @@
   std::string service_;
   std::uint16_t heartbeatPort_;
   EventLoop loop_;
-  std::unique_ptr<HttpFront> front_;
+  std::unique_ptr<HttpServer> server_;
   std::mutex mutex_; ///< Guards startedRequests_, which tests read.
   std::vector<HttpRequest> startedRequests_;
   std::vector<std::shared_ptr<HttpExchange>> lostExchanges_; ///< Kept open without an answer.
--- a/tests/connection/HttpFrontTest.cpp
+++ b/tests/connection/HttpServerTest.cpp
@@ -1,5 +1,5 @@
-// Tests of HttpFront and TargetClient with raw bytes over loopback.
-#include "peridotquay/connection/HttpFront.h"
+// Tests of HttpServer and TargetClient with raw bytes over loopback.
+#include "peridotquay/connection/HttpServer.h"
 
 #include "peridotquay/connection/TargetClient.h"
 
@@ -17,18 +17,18 @@
 
 // An HTTP server on its own thread that answers each request with its method, path and body. It
 // never answers /hold, and delays the answer to /slow.
-struct EchoFront
+struct EchoServer
 {
   EventLoop loop_;
-  std::unique_ptr<HttpFront> front_;
+  std::unique_ptr<HttpServer> server_;
   std::thread thread_;
   std::atomic<int> closedCount_{ 0 };
   std::vector<std::shared_ptr<HttpExchange>> heldExchanges_;
 
-  explicit EchoFront(HttpFrontSettings aSettings = {})
+  explicit EchoServer(HttpServerSettings aSettings = {})
   {
-    auto front =
-      HttpFront::Listen(loop_, aSettings, [this](std::shared_ptr<HttpExchange> aExchange) {
+    auto server =
+      HttpServer::Listen(loop_, aSettings, [this](std::shared_ptr<HttpExchange> aExchange) {
         if (aExchange->request_.path_ == "/hold") {
           aExchange->onClosed_ = [this] { ++closedCount_; };
           heldExchanges_.push_back(std::move(aExchange));
@@ -47,11 +47,11 @@
           aExchange->Respond({ 200, {}, text, std::nullopt });
         });
       });
-    REQUIRE(front.has_value());
-    front_ = std::move(front.assume_value());
+    REQUIRE(server.has_value());
+    server_ = std::move(server.assume_value());
     thread_ = std::thread([this] { loop_.Run(); });
   }
-  ~EchoFront()
+  ~EchoServer()
   {
     loop_.Stop();
     thread_.join();
@@ -72,11 +72,11 @@
 TEST_CASE("invalid requests are answered with the matching status and the connection ends",
           "[http]")
 {
-  HttpFrontSettings settings;
+  HttpServerSettings settings;
   settings.maxBodyBytes_ = 1000;
   settings.maxHeaderBytes_ = 2000;
   settings.readTimeout_ = milliseconds(150);
-  EchoFront front(settings);
+  EchoServer server(settings);
   const std::string host = "Host: h\r\n";
   const std::vector<BadInput> inputs = {
     { "not HTTP", "hello\r\n\r\n", 400 },
@@ -144,7 +144,7 @@
   };
   for (const auto& input : inputs) {
     INFO(input.name_);
-    RawSocket socket(front.front_->Port());
+    RawSocket socket(server.server_->Port());
     socket.Write(input.bytes_);
     const std::string answer = socket.ReadToEnd();
     CHECK(answer.substr(0, 12) == "HTTP/1.1 " + std::to_string(input.status_));
@@ -157,8 +157,8 @@
 // requests.
 TEST_CASE("pipelined requests are answered in order", "[http]")
 {
-  EchoFront front;
-  RawSocket socket(front.front_->Port());
+  EchoServer server;
+  RawSocket socket(server.server_->Port());
   socket.Write("GET /slow HTTP/1.1\r\nHost: h\r\n\r\n"
                "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                "3\r\nabc\r\n2\r\nde\r\n0\r\nQuay-Key: x\r\n\r\n"
@@ -177,17 +177,17 @@
 // Guards against a request that keeps running after its caller has disconnected.
 TEST_CASE("the handler is told when the caller closes the connection", "[http]")
 {
-  EchoFront front;
+  EchoServer server;
   {
-    RawSocket socket(front.front_->Port());
+    RawSocket socket(server.server_->Port());
     socket.Write("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
     std::this_thread::sleep_for(milliseconds(30));
-    CHECK(front.closedCount_ == 0);
+    CHECK(server.closedCount_ == 0);
   }
-  for (int i = 0; i < 100 && front.closedCount_ == 0; ++i) {
+  for (int i = 0; i < 100 && server.closedCount_ == 0; ++i) {
     std::this_thread::sleep_for(milliseconds(5));
   }
-  CHECK(front.closedCount_ == 1);
+  CHECK(server.closedCount_ == 1);
 }
 
 // Guards against truncated answers that pass as complete, and against sent requests that are
