--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -186,7 +186,7 @@
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, AccountUse& aItem)
 {
-  aVisit(aItem.clientAccount_, aItem.used_);
+  aVisit(aItem.account_, aItem.used_);
 }
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, RateReport& aItem)
@@ -201,7 +201,7 @@
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, AccountLevel& aItem)
 {
-  aVisit(aItem.clientAccount_, aItem.tokens_);
+  aVisit(aItem.account_, aItem.tokens_);
 }
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, RateLevels& aItem)
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -295,7 +295,7 @@
 /// A host's use of one account's rate limit.
 struct AccountUse
 {
-  ClientAccountId clientAccount_;
+  ClientAccountId account_;
   std::uint64_t used_ = 0; ///< Requests since the host started.
   bool operator==(const AccountUse&) const = default;
 };
@@ -321,7 +321,7 @@
 /// Estimate by the sender of the tokens of one account that all hosts together have left.
 struct AccountLevel
 {
-  ClientAccountId clientAccount_;
+  ClientAccountId account_;
   std::uint64_t tokens_ = 0;
   bool operator==(const AccountLevel&) const = default;
 };
--- a/peridotquay/request/RateShare.cpp
+++ b/peridotquay/request/RateShare.cpp
@@ -341,14 +341,14 @@
               bool aWasSilent,
               TimePoint aNow)
 {
-  const auto account = aState.accounts_.find(aUse.clientAccount_);
+  const auto account = aState.accounts_.find(aUse.account_);
   if (account == aState.accounts_.end()) {
     return;
   }
   AccountShare& share = account->second;
   Advance(aState, share, aNow);
-  const bool unknown = !aPeer.allUsesKnown_ && !aPeer.uses_.contains(aUse.clientAccount_);
-  PeerUse& known = aPeer.uses_[aUse.clientAccount_];
+  const bool unknown = !aPeer.allUsesKnown_ && !aPeer.uses_.contains(aUse.account_);
+  PeerUse& known = aPeer.uses_[aUse.account_];
   const double assumed = known.perSecond_ * std::max(0.0, ToSeconds(aNow - known.since_));
   const double newUse = static_cast<double>(aUse.used_) - known.used_;
   known.used_ = static_cast<double>(aUse.used_);
@@ -563,7 +563,7 @@
     return;
   }
   for (const AccountLevel& level : aLevels.levels_) {
-    const auto account = aState.accounts_.find(level.clientAccount_);
+    const auto account = aState.accounts_.find(level.account_);
     if (account == aState.accounts_.end()) {
       continue;
     }
