--- a/peridotquay/connection/TargetClient.h
+++ b/peridotquay/connection/TargetClient.h
@@ -26,7 +26,7 @@
   /// Header that the target copies from the request to the answer. An answer with another value
   /// belongs to an earlier request and is dropped. Empty for none.
   std::string echoHeader_{};
-  /// True: an answer without a length is complete when the target closes the connection regularly.
+  /// True: an answer without a length is complete when the target closes the connection cleanly.
   /// False: it counts as truncated, because a complete answer can't be told from a truncated one.
   bool allowsCloseDelimited_ = false;
 };
