--- a/tests/connection/HttpFrontTest.cpp
+++ b/tests/connection/HttpServerTest.cpp
@@ -1,5 +1,5 @@
-// Tests of HttpFront and TargetClient with raw bytes over loopback.
-#include "peridotquay/connection/HttpFront.h"
+// Tests of HttpServer and TargetClient with raw bytes over loopback.
+#include "peridotquay/connection/HttpServer.h"
 
 #include "peridotquay/connection/TargetClient.h"
 
@@ -16,20 +16,20 @@
 
 namespace {
 
-// A front on its own thread that answers each request with its method, path and body. It never
-// answers /hold, and delays the answer to /slow.
-struct EchoFront
+// An HTTP server on its own thread that answers each request with its method, path and body. It
+// never answers /hold, and delays the answer to /slow.
+struct EchoServer
 {
   EventLoop loop_;
-  std::unique_ptr<HttpFront> front_;
+  std::unique_ptr<HttpServer> server_;
   std::thread thread_;
   std::atomic<int> closedCount_{ 0 };
   std::vector<std::shared_ptr<HttpExchange>> heldExchanges_;
 
-  explicit EchoFront(HttpFrontSettings aSettings = {})
+  explicit EchoServer(HttpServerSettings aSettings = {})
   {
-    auto front =
-      HttpFront::Listen(loop_, aSettings, [this](std::shared_ptr<HttpExchange> aExchange) {
+    auto server =
+      HttpServer::Listen(loop_, aSettings, [this](std::shared_ptr<HttpExchange> aExchange) {
         if (aExchange->request_.path_ == "/hold") {
           aExchange->onClosed_ = [this] { ++closedCount_; };
           heldExchanges_.push_back(std::move(aExchange));
@@ -48,18 +48,18 @@
           aExchange->Respond({ 200, {}, text, std::nullopt });
         });
       });
-    REQUIRE(front.has_value());
-    front_ = std::move(front.assume_value());
+    REQUIRE(server.has_value());
+    server_ = std::move(server.assume_value());
     thread_ = std::thread([this] { loop_.Run(); });
   }
-  ~EchoFront()
+  ~EchoServer()
   {
     loop_.Stop();
     thread_.join();
   }
 };
 
-// Bytes of an invalid request and the HTTP status that must answer it.
+// An invalid request and the HTTP status that it must be answered with.
 struct BadInput
 {
   std::string name_;
@@ -73,11 +73,11 @@
 TEST_CASE("invalid requests are answered with the matching status and the connection ends",
           "[http]")
 {
-  HttpFrontSettings settings;
+  HttpServerSettings settings;
   settings.maxBodyBytes_ = 1000;
   settings.maxHeaderBytes_ = 2000;
   settings.readTimeout_ = milliseconds(150);
-  EchoFront front(settings);
+  EchoServer server(settings);
   const std::string host = "Host: h\r\n";
   const std::vector<BadInput> inputs = {
     { "not HTTP", "hello\r\n\r\n", 400 },
@@ -145,7 +145,7 @@
   };
   for (const auto& input : inputs) {
     INFO(input.name_);
-    RawSocket socket(front.front_->Port());
+    RawSocket socket(server.server_->Port());
     socket.Write(input.bytes_);
     const std::string answer = socket.ReadToEnd();
     CHECK(answer.substr(0, 12) == "HTTP/1.1 " + std::to_string(input.status_));
@@ -158,8 +158,8 @@
 // requests.
 TEST_CASE("pipelined requests are answered in order", "[http]")
 {
-  EchoFront front;
-  RawSocket socket(front.front_->Port());
+  EchoServer server;
+  RawSocket socket(server.server_->Port());
   socket.Write("GET /slow HTTP/1.1\r\nHost: h\r\n\r\n"
                "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                "3\r\nabc\r\n2\r\nde\r\n0\r\nQuay-Key: x\r\n\r\n"
@@ -178,21 +178,21 @@
 // Guards against a request that keeps running after its caller has disconnected.
 TEST_CASE("the handler is told when the caller closes the connection", "[http]")
 {
-  EchoFront front;
+  EchoServer server;
   {
-    RawSocket socket(front.front_->Port());
+    RawSocket socket(server.server_->Port());
     socket.Write("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n");
     std::this_thread::sleep_for(milliseconds(30));
-    CHECK(front.closedCount_ == 0);
+    CHECK(server.closedCount_ == 0);
   }
-  for (int i = 0; i < 100 && front.closedCount_ == 0; ++i) {
+  for (int i = 0; i < 100 && server.closedCount_ == 0; ++i) {
     std::this_thread::sleep_for(milliseconds(5));
   }
-  CHECK(front.closedCount_ == 1);
+  CHECK(server.closedCount_ == 1);
 }
 
-// Guards against truncated answers that pass as complete, and against reporting a request that was
-// sent as not sent.
+// Guards against truncated answers that pass as complete, and against sent requests that are
+// reported as not sent.
 TEST_CASE("the target client tells complete answers from truncated ones", "[target]")
 {
   struct Script
@@ -310,7 +310,7 @@
 }
 
 // Guards against sending a request that must run at most once on an idle connection that the target
-// may have dropped: the request would be reset, and it would be unknown whether it ran.
+// may have dropped. The request would be reset without showing whether it ran.
 TEST_CASE("a request that must run at most once doesn't reuse a connection idle for long",
           "[target]")
 {
@@ -352,7 +352,7 @@
   target.join();
 }
 
-// Guards against treating a request as possibly run although the connect failed and no byte was
+// Guards against a request that counts as possibly run although the connect failed and no byte was
 // sent.
 TEST_CASE("a request without a connection is reported as not sent", "[target]")
 {
--- a/tests/connection/PeerHubTest.cpp
+++ b/tests/connection/PeerHubTest.cpp
@@ -1,7 +1,7 @@
 // Tests of peer connections over loopback: lost calls, silent connections and invalid peers.
 #include "peridotquay/connection/PeerHub.h"
 
-#include "peridotquay/connection/Datagram.h"
+#include "peridotquay/connection/DatagramSocket.h"
 #include "peridotquay/connection/PeerCodec.h"
 
 #include "tests/connection/RawSocket.h"
@@ -93,7 +93,8 @@
   CHECK(right.hub_->OpenLinkCount() == 1);
 }
 
-// Guards against reporting a call as not sent that may have been sent, and the reverse.
+// Guards against a call that is reported as not sent although it may have been sent, and against
+// the reverse.
 TEST_CASE("a lost call reports whether it was sent", "[peer]")
 {
   EventLoop loop;
@@ -162,7 +163,8 @@
   CHECK(left.hub_->EndCall(2));
 }
 
-// Guards against peers of another protocol version and against malicious first bytes.
+// Guards against accepting a peer of another protocol version, and against malicious first bytes
+// that disturb other connections.
 TEST_CASE("invalid peers are disconnected and other connections keep working", "[peer]")
 {
   EventLoop loop;
@@ -196,9 +198,9 @@
 {
   EventLoop loop;
   std::vector<PeerMessage> received;
-  Datagram right(
+  DatagramSocket right(
     loop, [&](const Address&, PeerMessage aMessage) { received.push_back(std::move(aMessage)); });
-  Datagram left(loop, [](const Address&, const PeerMessage&) {});
+  DatagramSocket left(loop, [](const Address&, const PeerMessage&) {});
   const auto port = right.Listen({ "127.0.0.1", 0 });
   REQUIRE(port.has_value());
   REQUIRE(left.Listen({ "127.0.0.1", 0 }).has_value());
