--- a/standins/lib/Fleet.cpp
+++ b/standins/lib/Fleet.cpp
@@ -27,16 +27,14 @@
 
 // Sends a fault description to a stand-in. Errors: those of FetchHttp, kOutOfRange if it is
 // rejected.
-Result<void> PostFaults(const Address& aServer,
-                        const std::string& aTarget,
-                        const std::string& aJson)
+Result<void> PostFaults(const Address& aServer, const std::string& aPath, const std::string& aJson)
 {
-  const auto response = FetchHttp(aServer, { "POST", aTarget, {}, aJson });
+  const auto response = FetchHttp(aServer, { "POST", aPath, {}, aJson });
   if (!response) {
     return BOOST_OUTCOME_V2_NAMESPACE::failure(response.assume_error());
   }
   if (response.assume_value().status_ != 200) {
-    return Fail(ErrorCode::kOutOfRange, aTarget, response.assume_value().body_);
+    return Fail(ErrorCode::kOutOfRange, aPath, response.assume_value().body_);
   }
   return Success();
 }
@@ -216,8 +214,8 @@
       hosts_.push_back(std::move(host));
     }
   }
-  // The first host of each data centre is the seed of the others there, and the first of all is the
-  // seed of those first hosts.
+  // The other hosts of a data centre join through its first host. The first hosts join through the
+  // first host of the first data centre.
   const std::size_t perSite = profile.services_.size();
   for (std::size_t i = 0; i < hosts_.size(); i += perSite) {
     BOOST_OUTCOME_TRYV(
@@ -260,8 +258,9 @@
         return Fail(
           ErrorCode::kDeadlineExceeded, host.name_ + " does not serve requests", lastFailure);
       }
-      const std::string target = "/" + profile.services_.front().name_ + "/" + requestClass->name_;
-      FetchRequest request{ "GET", target, { { "Quay-Key", profile.accounts_[0].key_ } }, "" };
+      const std::string requestPath =
+        "/" + profile.services_.front().name_ + "/" + requestClass->name_;
+      FetchRequest request{ "GET", requestPath, { { "Quay-Key", profile.accounts_[0].key_ } }, "" };
       request.timeout_ = seconds(5);
       const auto response = FetchHttp(host.callers_, request);
       const bool served = response && response.assume_value().status_ == 200;
@@ -351,7 +350,7 @@
     return result;
   }
   result.status_ = process.assume_value().Wait(aTimeout).value_or(-1);
-  result.seconds_ = ToSeconds(Clock::now() - before);
+  result.runSeconds_ = ToSeconds(Clock::now() - before);
   std::ifstream file(output);
   std::stringstream text;
   text << file.rdbuf();
--- a/standins/lib/Fleet.h
+++ b/standins/lib/Fleet.h
@@ -19,7 +19,7 @@
   bool naive_ = false; ///< Uses the naive baseline instead of the product.
   bool links_ = false; ///< Puts a link between each node and its target.
   std::uint64_t seed_ = 1;
-  Duration timeout_ = seconds(40); ///< For each condition that Start waits for.
+  Duration timeout_ = seconds(40); ///< Of each condition that Start waits for.
 };
 
 /// One host: a node, its target and, with FleetSettings::links_, the link between them.
@@ -45,7 +45,7 @@
 {
   int status_ = -1;    ///< Exit status; -1 if it couldn't be started or timed out.
   std::string output_; ///< Standard output and standard error.
-  double seconds_ = 0; ///< Run time.
+  double runSeconds_ = 0;
 };
 
 /// A running deployment. The destructor ends every process. It also removes the folder of the run
@@ -65,7 +65,7 @@
   Result<void> Start();
 
   /// Ends all processes. Nodes get SIGTERM and are killed if they still run after 10 s. Returns the
-  /// number of nodes that exited with status 0, without those of KillHost.
+  /// number of nodes that exited with status 0; nodes that KillHost ended don't count.
   std::size_t Stop();
 
   const FleetSettings& Settings() const { return settings_; }
@@ -85,13 +85,14 @@
   /// Runs quayctl with the given arguments and the platform's address, and measures its run time.
   CommandResult RunQuayctl(std::vector<std::string> aArguments, Duration aTimeout = seconds(30));
 
-  /// Applies a base configuration with all overlays. With aWait, waits until it is in force.
+  /// Applies a base configuration with an overlay for each data centre. With aWait, waits until it
+  /// is in force.
   CommandResult Apply(const std::string& aBase, bool aWait = true);
 
   /// Withdraws a caller's key by its digest and waits until the withdrawal is in force.
   CommandResult WithdrawKey(const std::string& aKey);
 
-  /// Returns the merged execution logs of all targets that answer.
+  /// Returns the merged execution logs of all targets, without those that don't answer.
   std::vector<TargetExecution> Executions() const;
 
   /// Returns the JSON of GET /status of a node, or an empty string if there is no answer with
--- a/standins/lib/FleetHttp.cpp
+++ b/standins/lib/FleetHttp.cpp
@@ -41,7 +41,7 @@
   {
   }
 
-  /// Starts one asynchronous operation, waits for its end and returns its error.
+  /// Runs one asynchronous operation to its end and returns its error.
   template<typename Start>
   error_code RunOperation(Start aStart)
   {
@@ -52,7 +52,7 @@
     return result;
   }
 
-  /// Makes one exchange. Sets aFailureCode to the error to report if it fails.
+  /// Sends a request and reads its response. On an error, aFailureCode is the code to report.
   error_code Exchange(const http::request<http::string_body>& aMessage,
                       http::response_parser<http::string_body>& aParser,
                       ErrorCode& aFailureCode)
--- a/standins/lib/FleetHttp.h
+++ b/standins/lib/FleetHttp.h
@@ -13,7 +13,7 @@
 
 namespace peridotquay::standins {
 
-/// Answer of one exchange.
+/// An HTTP response.
 struct FetchResponse
 {
   unsigned status_ = 0;
@@ -21,14 +21,14 @@
   std::string body_;
 };
 
-/// Request of one exchange.
+/// An HTTP request.
 struct FetchRequest
 {
   std::string method_ = "GET";
-  std::string target_ = "/"; ///< Path with query.
+  std::string target_ = "/"; ///< Request target: path with query.
   std::vector<std::pair<std::string, std::string>> headers_;
   std::string body_;
-  Duration timeout_ = seconds(2); ///< For the whole exchange.
+  Duration timeout_ = seconds(2); ///< From connecting to the end of the response.
 };
 
 /// A client with a persistent connection to one server.
@@ -40,9 +40,9 @@
   HttpSession& operator=(const HttpSession&) = delete;
   ~HttpSession();
 
-  /// Connects if there is no connection, sends a request and reads the complete answer. Closes the
-  /// connection after an error, if the server asks for it, or unless aKeepAlive. Errors: those of
-  /// FetchHttp.
+  /// Connects if there is no connection, sends a request and reads the complete response. Closes
+  /// the connection after an error, if the server asks for it, or if aKeepAlive is false. Errors:
+  /// those of FetchHttp.
   Result<FetchResponse> Fetch(const FetchRequest& aRequest, bool aKeepAlive = true);
 
 private:
@@ -50,8 +50,8 @@
   std::unique_ptr<State> state_;
 };
 
-/// Sends a request on a new connection and reads the complete answer. Errors: kTargetUnreachable,
-/// kTruncatedAnswer, kDeadlineExceeded.
+/// Sends a request on a new connection and reads the complete response. Errors: kTargetUnreachable
+/// if the request can't be sent, kTruncatedAnswer, kDeadlineExceeded.
 Result<FetchResponse> FetchHttp(const Address& aServer, const FetchRequest& aRequest);
 
 } // namespace peridotquay::standins
--- a/standins/lib/FleetProcess.cpp
+++ b/standins/lib/FleetProcess.cpp
@@ -48,8 +48,8 @@
     return Fail(ErrorCode::kLimitReached, aCommand.front(), "fork failed");
   }
   if (child == 0) {
-    // The kernel kills the child if the parent dies first. A parent that has died before this call
-    // is detected below.
+    // The kernel kills the child when the parent dies. The check of getppid below detects a parent
+    // that died before this call.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     const int output = ::open(aOutputFile.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
     if (::getppid() != parent || output < 0) {
--- a/standins/lib/FleetProcess.h
+++ b/standins/lib/FleetProcess.h
@@ -35,7 +35,7 @@
   /// process), or nothing after the timeout.
   std::optional<int> Wait(Duration aTimeout);
 
-  /// Whether the process hasn't ended. A stopped process is alive.
+  /// Whether the process hasn't ended. A process that SIGSTOP paused is alive.
   bool Alive();
 
   pid_t Id() const { return id_; }
--- a/standins/lib/FleetProfile.cpp
+++ b/standins/lib/FleetProfile.cpp
@@ -1,4 +1,4 @@
-// The deployments of the design page with service times scaled to one machine, and their base
+// The deployments of docs/design.md with service times scaled to one machine, and their base
 // configurations.
 #include "standins/lib/FleetProfile.h"
 
@@ -159,7 +159,8 @@
          << "\nmax_retries = " << aProfile.maxRetries_ << "\ndeadline_ms = " << aProfile.deadlineMs_
          << "\n";
   }
-  // Deeper routes have the highest importance. The call context lowers it to that of the request.
+  // Routes to deeper services have the highest importance. The call context of a request lowers it
+  // to the importance of that request.
   for (std::size_t i = 1; i < aProfile.services_.size(); ++i) {
     const std::string& name = aProfile.services_[i].name_;
     text << "[routes.to-" << name << "]\nprefix = \"/" << name << "\"\nservice = \"" << name
--- a/standins/lib/FleetProfile.h
+++ b/standins/lib/FleetProfile.h
@@ -16,14 +16,14 @@
   std::string region_;
 };
 
-/// A service with one host in each data centre. Each service calls the next one of the list. A
-/// target queues as many requests as it has connections beyond its slots, which makes it slow under
-/// overload.
+/// A service with one host in each data centre. Each service calls the next one in the list. A
+/// target's queue holds one request for each connection beyond its slots, so an overloaded target
+/// becomes slow instead of refusing requests.
 struct FleetService
 {
   std::string name_;                ///< Also its path prefix, after '/'.
   std::uint32_t slots_ = 50;        ///< Requests that one target works on at a time.
-  std::uint32_t connections_ = 400; ///< Of one target.
+  std::uint32_t connections_ = 400; ///< Maximum of one target.
   double serviceTimeMs_ = 10;       ///< Mean, without deeper calls.
 };
 
@@ -31,7 +31,7 @@
 struct FleetAccount
 {
   std::string name_;
-  double weight_ = 1; ///< Of its traffic and rate, relative to the other accounts.
+  double weight_ = 1; ///< Relative to the other accounts, for traffic and rate.
   std::string key_;   ///< Key that its callers send.
   double rate_ = 0;   ///< Configured requests per second; 0 derives them from the weight.
 };
@@ -55,7 +55,7 @@
   std::vector<FleetService> services_;
   std::vector<FleetAccount> accounts_;
   std::vector<FleetClass> classes_;
-  double rateFactor_ = 2.6; ///< Sum of the derived rates of all accounts, over the capacity.
+  double rateFactor_ = 2.6;         ///< Sum of all derived account rates divided by the capacity.
   std::uint32_t deadlineMs_ = 2000; ///< Of every route and of the callers.
   std::uint32_t maxRetries_ = 3;    ///< Of every route, and the callers' retry budget.
   std::uint32_t keyFreshnessBoundMs_ = 10000;
@@ -65,9 +65,9 @@
 /// time, to measure latency). For any other name, returns a profile with an empty name.
 FleetProfile FindProfile(const std::string& aName);
 
-/// Returns the requests per second that the whole fleet can serve. It is the minimum over the
-/// services of the slots divided by the time that a request holds one, which includes all deeper
-/// work. The last service's own work takes aSlowFactor times longer.
+/// Returns the requests per second that the whole fleet can serve: the minimum over the services of
+/// the number of slots divided by the time that a request holds one. That time includes the calls
+/// to deeper services. aSlowFactor multiplies the service time of the last service.
 double CapacityPerSecond(const FleetProfile& aProfile, double aSlowFactor = 1);
 
 /// Returns the rate of an account in requests per second.
--- a/standins/lib/LoadDemo.cpp
+++ b/standins/lib/LoadDemo.cpp
@@ -90,7 +90,7 @@
   double last = 0;
   for (const LoadRecord& record : aResult.records_) {
     if (record.served_ && record.arrival_.account_ == aAccount) {
-      last = std::max(last, record.arrival_.at_);
+      last = std::max(last, record.arrival_.scheduledAt_);
     }
   }
   return last;
@@ -105,7 +105,7 @@
     const bool affected =
       record.arrival_.account_ == kWithdrawnAccount || record.arrival_.account_ == kLoweredAccount;
     if (!affected && !record.firstErrorType_.empty()) {
-      last = std::max(last, record.arrival_.at_);
+      last = std::max(last, record.arrival_.scheduledAt_);
     }
   }
   return last;
@@ -120,7 +120,7 @@
   for (const LoadRecord& record : aResult.records_) {
     const bool affected =
       record.arrival_.account_ == kWithdrawnAccount || record.arrival_.account_ == kLoweredAccount;
-    if (!affected && record.arrival_.at_ >= aFrom && record.arrival_.at_ < aTo) {
+    if (!affected && record.arrival_.scheduledAt_ >= aFrom && record.arrival_.scheduledAt_ < aTo) {
       total += 1;
       served += record.served_ ? 1 : 0;
     }
@@ -137,7 +137,7 @@
   return static_cast<std::uint64_t>(
     std::count_if(aResult.records_.begin(), aResult.records_.end(), [&](const LoadRecord& aRecord) {
       return aRecord.arrival_.account_ == aAccount && aRecord.firstErrorType_ == aType &&
-             aRecord.arrival_.at_ >= aFrom;
+             aRecord.arrival_.scheduledAt_ >= aFrom;
     }));
 }
 
@@ -172,7 +172,7 @@
                    std::to_string(aChanges.applied_.status_),
                    "0",
                    aChanges.applied_.status_ == 0 });
-  rows.push_back(AtMost("rate change in force everywhere, s", aChanges.applied_.seconds_, 5));
+  rows.push_back(AtMost("rate change in force everywhere, s", aChanges.applied_.runSeconds_, 5));
   const auto overRate =
     static_cast<double>(CountErrors(aResult, kLoweredAccount, "over-rate", aChanges.appliedAt_));
   rows.push_back(AtLeast("refusals \"over-rate\" of " + lowered + " afterwards", overRate, 1));
@@ -194,7 +194,7 @@
   // The killed host can't confirm the withdrawal, so quayctl waits until its freshness bound has
   // passed.
   rows.push_back(AtMost("withdrawal reported in force, a host unreachable, s",
-                        aChanges.withdrawn_.seconds_,
+                        aChanges.withdrawn_.runSeconds_,
                         aProfile.keyFreshnessBoundMs_ / 1000.0 + 5));
   rows.push_back(
     AtMost("key of " + withdrawn + " last served after the command began, s",
--- a/standins/lib/LoadExperiment.cpp
+++ b/standins/lib/LoadExperiment.cpp
@@ -27,7 +27,7 @@
   return dataCentres;
 }
 
-// Applies the events of a scenario at their times. Has its own thread, so that a slow command
+// Applies the events of a scenario at their times, on its own thread, so that a slow command
 // doesn't delay the load.
 class EventThread
 {
@@ -236,7 +236,7 @@
         for (const LoadRecord& record : load.records_) {
           if (record.lastStatus_ != 200) {
             ++result.failed_;
-          } else if (record.arrival_.at_ >= kWarmUpSeconds) {
+          } else if (record.arrival_.scheduledAt_ >= kWarmUpSeconds) {
             latenciesMs.push_back(record.latencySeconds_ * 1000);
           }
         }
--- a/standins/lib/LoadPlan.cpp
+++ b/standins/lib/LoadPlan.cpp
@@ -26,7 +26,7 @@
       rate += rates.back();
     }
     std::discrete_distribution<std::uint32_t> accounts(rates.begin(), rates.end());
-    const double end = start + current.seconds_;
+    const double end = start + current.durationSeconds_;
     if (rate > 0) {
       std::exponential_distribution<double> gap(rate);
       for (double at = start + gap(random); at < end; at += gap(random)) {
--- a/standins/lib/LoadPlan.h
+++ b/standins/lib/LoadPlan.h
@@ -13,8 +13,8 @@
 struct LoadPhase
 {
   std::string name_;
-  double seconds_ = 1;
-  double loadFactor_ = 1;              ///< Multiplies the plan's base rate.
+  double durationSeconds_ = 1;
+  double loadFactor_ = 1;              ///< Multiplies LoadPlan::baseRate_.
   std::vector<double> accountFactors_; ///< Multiplies each account's rate; empty: all 1.
   bool overloaded_ = false; ///< Targets may be overloaded, so refusals aren't counted as wrongful.
 };
@@ -55,7 +55,7 @@
 /// One scheduled request.
 struct Arrival
 {
-  double at_ = 0;             ///< Seconds after the start of the run.
+  double scheduledAt_ = 0;    ///< In seconds of the run.
   std::uint32_t phase_ = 0;   ///< Index into LoadPlan::phases_.
   std::uint32_t account_ = 0; ///< Index into LoadPlan::accounts_.
   std::uint32_t class_ = 0;   ///< Index into LoadPlan::classes_.
--- a/standins/lib/LoadReport.cpp
+++ b/standins/lib/LoadReport.cpp
@@ -52,13 +52,13 @@
   const LoadPhase& phase = aScenario.phases_[aPhase];
   const bool slow = phase.name_ == "trigger";
   const double capacity =
-    CapacityPerSecond(aProfile, slow ? aScenario.slowFactor_ : 1) * phase.seconds_;
+    CapacityPerSecond(aProfile, slow ? aScenario.slowFactor_ : 1) * phase.durationSeconds_;
   std::vector<double> demands;
   std::vector<double> weights;
   for (std::size_t i = 0; i < aPlan.accounts_.size(); ++i) {
     const bool withdrawn =
       aScenario.withdrawnAccount_ == i && (phase.name_ == "trigger" || phase.name_ == "after");
-    const double allowed = withdrawn ? 0 : aPlan.accounts_[i].rate_ * phase.seconds_;
+    const double allowed = withdrawn ? 0 : aPlan.accounts_[i].rate_ * phase.durationSeconds_;
     demands.push_back(std::min(aCounts.offered_[i], allowed));
     weights.push_back(aPlan.accounts_[i].rate_);
   }
@@ -69,7 +69,7 @@
 {
   PhaseReport report;
   report.name_ = aPlan.phases_[aPhase].name_;
-  report.seconds_ = aPlan.phases_[aPhase].seconds_;
+  report.durationSeconds_ = aPlan.phases_[aPhase].durationSeconds_;
   std::vector<double> latencies;
   double critical = 0;
   double criticalServed = 0;
@@ -101,12 +101,12 @@
 {
   double start = 0;
   for (std::size_t i = 0; i < aPhase; ++i) {
-    start += aPlan.phases_[i].seconds_;
+    start += aPlan.phases_[i].durationSeconds_;
   }
-  const double end = start + aPlan.phases_[aPhase].seconds_;
+  const double end = start + aPlan.phases_[aPhase].durationSeconds_;
   return static_cast<double>(std::count_if(
     aResult.records_.begin(), aResult.records_.end(), [start, end](const LoadRecord& aRecord) {
-      const double completed = aRecord.arrival_.at_ + aRecord.latencySeconds_;
+      const double completed = aRecord.arrival_.scheduledAt_ + aRecord.latencySeconds_;
       return aRecord.served_ && completed >= start && completed < end;
     }));
 }
@@ -145,7 +145,7 @@
                       std::optional<double> aWithdrawnAt)
 {
   LoadReport report;
-  std::size_t mainPhase = 0;
+  std::size_t fairnessPhase = 0;
   for (std::size_t i = 0; i < aPlan.phases_.size(); ++i) {
     PhaseReport phase = ReportPhase(aPlan, aResult, i);
     const AccountCounts counts = CountByAccount(aPlan, aResult, i);
@@ -158,13 +158,13 @@
     report.phases_.push_back(std::move(phase));
     if (aPlan.phases_[i].name_ == "trigger") {
       report.hasTrigger_ = true;
-      mainPhase = i;
+      fairnessPhase = i;
     } else if (aPlan.phases_[i].name_ == "before") {
-      mainPhase = i;
+      fairnessPhase = i;
     }
   }
-  const AccountCounts counts = CountByAccount(aPlan, aResult, mainPhase);
-  const auto shares = FairPhaseShares(aScenario, aProfile, aPlan, counts, mainPhase);
+  const AccountCounts counts = CountByAccount(aPlan, aResult, fairnessPhase);
+  const auto shares = FairPhaseShares(aScenario, aProfile, aPlan, counts, fairnessPhase);
   for (std::size_t i = 0; i < shares.size(); ++i) {
     const double fraction = shares[i] > 0 ? counts.served_[i] / shares[i] : 1;
     if (fraction < report.worstAccountShare_ || report.worstAccount_.empty()) {
@@ -178,7 +178,7 @@
     for (const LoadRecord& record : aResult.records_) {
       // Refusals of the misbehaving account are correct and say nothing about recovery.
       if (aScenario.misbehavingAccount_ != record.arrival_.account_) {
-        requests.push_back({ record.arrival_.at_, record.served_ });
+        requests.push_back({ record.arrival_.scheduledAt_, record.served_ });
       }
     }
     const double before =
@@ -190,8 +190,8 @@
     report.withdrawnKeyServedSeconds_ = 0;
     for (const LoadRecord& record : aResult.records_) {
       if (record.arrival_.account_ == *aScenario.withdrawnAccount_ && record.served_) {
-        report.withdrawnKeyServedSeconds_ =
-          std::max(*report.withdrawnKeyServedSeconds_, record.arrival_.at_ - *aWithdrawnAt);
+        report.withdrawnKeyServedSeconds_ = std::max(*report.withdrawnKeyServedSeconds_,
+                                                     record.arrival_.scheduledAt_ - *aWithdrawnAt);
       }
     }
   }
@@ -206,7 +206,7 @@
   nlohmann::json json;
   for (const PhaseReport& phase : aReport.phases_) {
     json["phases"].push_back({ { "name", phase.name_ },
-                               { "seconds", phase.seconds_ },
+                               { "seconds", phase.durationSeconds_ },
                                { "offered", phase.offered_ },
                                { "served", phase.served_ },
                                { "ideal", phase.ideal_ },
@@ -246,9 +246,9 @@
   text << std::fixed;
   for (const PhaseReport& phase : aReport.phases_) {
     text << aPrefix << std::setw(8) << phase.name_ << std::setprecision(0) << ": offered "
-         << static_cast<double>(phase.offered_) / phase.seconds_ << "/s, served "
-         << static_cast<double>(phase.served_) / phase.seconds_ << "/s, ideal "
-         << phase.ideal_ / phase.seconds_ << "/s, goodput " << std::setprecision(3)
+         << static_cast<double>(phase.offered_) / phase.durationSeconds_ << "/s, served "
+         << static_cast<double>(phase.served_) / phase.durationSeconds_ << "/s, ideal "
+         << phase.ideal_ / phase.durationSeconds_ << "/s, goodput " << std::setprecision(3)
          << phase.goodput_ << ", critical served " << phase.criticalServedFraction_
          << std::setprecision(0) << ", p50 " << phase.p50Ms_ << " ms, p99 " << phase.p99Ms_
          << " ms";
--- a/standins/lib/LoadReport.h
+++ b/standins/lib/LoadReport.h
@@ -16,12 +16,13 @@
 struct PhaseReport
 {
   std::string name_;
-  double seconds_ = 0;
+  double durationSeconds_ = 0;
   std::uint64_t offered_ = 0; ///< Scheduled requests.
   std::uint64_t served_ = 0;  ///< Requests with a complete and correct answer within the deadline.
-  double ideal_ = 0; ///< Maximum that could be served, by offered load, rates and capacity.
-  /// Served over ideal. In an overloaded phase, served counts the answers that came during the
-  /// phase.
+  /// Requests that could be served at most, given the offered load, the rates and the capacity.
+  double ideal_ = 0;
+  /// Served requests divided by ideal_. In an overloaded phase, those are counted whose answers
+  /// came during the phase, instead of served_.
   double goodput_ = 0;
   double p50Ms_ = 0; ///< Latency of served requests, from the scheduled arrival.
   double p99Ms_ = 0;
@@ -39,7 +40,7 @@
   /// Client account with the smallest served fraction of its fair share in phase "trigger", or in
   /// "before" if there is no trigger.
   std::string worstAccount_;
-  double worstAccountShare_ = 1; ///< Served requests of worstAccount_ over its max-min fair share.
+  double worstAccountShare_ = 1; ///< Served requests of worstAccount_ divided by its fair share.
   std::uint64_t wrongfulRefusals_ = 0; ///< Admissible requests whose first attempt was refused.
   /// Requests outside of the warm-up, overloaded phases and the phases directly after those, from
   /// accounts other than the scenario's misbehaving one.
--- a/standins/lib/LoadRunner.cpp
+++ b/standins/lib/LoadRunner.cpp
@@ -39,10 +39,10 @@
 // Request ids per fetch. Small, because a batch is useless once the host that issued it has died.
 constexpr std::uint32_t kRequestIdBatchSize = 16;
 
-// Time after the request's deadline in which a late answer "unknown" is still read.
+// Time after the request's deadline in which an answer with outcome "unknown" is still read.
 constexpr Duration kAnswerGracePeriod = milliseconds(300);
 
-// Body length in bytes that a stand-in target answers with unless the path asks for another.
+// Body length of an answer of a stand-in target unless the path asks for another.
 constexpr std::size_t kDefaultAnswerBytes = 64;
 
 // Delay before the first retry; doubles with each attempt. Not used with immediate retries.
@@ -54,7 +54,7 @@
 // Result of one HTTP exchange.
 struct Exchange
 {
-  bool connected_ = false; ///< There was a connection, so bytes may have been sent.
+  bool connected_ = false; ///< Whether there was a connection, so that bytes may have been sent.
   unsigned status_ = 0;    ///< 0 without a complete answer.
   std::string outcome_;
   std::string retryAfterMs_;
@@ -94,7 +94,7 @@
 
   LoadResult Run(const std::function<void(TimePoint)>& aStarted)
   {
-    // The first arrivals start on time only if the clock of the run starts a little later.
+    // Starts the clock of the run a little later, so that the first requests aren't late.
     start_ = Clock::now() + milliseconds(20);
     aStarted(start_);
     asio::co_spawn(
@@ -115,7 +115,7 @@
     asio::steady_timer timer(context_);
     error_code ignored;
     for (std::size_t i = 0; i < arrivals_.size(); ++i) {
-      const TimePoint due = TimeAt(arrivals_[i].at_);
+      const TimePoint due = TimeAt(arrivals_[i].scheduledAt_);
       if (due > Clock::now()) {
         timer.expires_at(due);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -284,7 +284,7 @@
     std::uint64_t random = arrival.random_;
     const std::size_t dataCentre = NextRandom(random) % dataCentres_.size();
     const DataCentreHosts& hosts = dataCentres_[dataCentre];
-    const TimePoint scheduled = TimeAt(arrival.at_);
+    const TimePoint scheduled = TimeAt(arrival.scheduledAt_);
     const TimePoint end = scheduled + plan_.deadline_;
     std::string id;
     if (!requestClass.repeatable_) {
@@ -342,8 +342,8 @@
   }
 
   // Records an attempt for the history check. Attempts with one request id share a tag, so the
-  // targets' logs can't tell them apart. Only the last attempt keeps the tag, which compares it
-  // with those logs, and it has the retry budget of all attempts. It loses the tag if it was
+  // targets' logs don't distinguish them. Only the last attempt keeps the tag and is compared with
+  // the logs, with the retry budget of all attempts. The last attempt loses the tag too if it was
   // answered "not-run" and an earlier attempt wasn't, because the earlier one may have run.
   void RecordCall(HistoryCall aCall, std::uint32_t aAttempt, bool aAllNotRun)
   {
@@ -361,7 +361,8 @@
     result_.calls_.push_back(std::move(aCall));
   }
 
-  // Error type in the body of an answer, or a name for the lack of one; empty with status 200.
+  // Error type in the body of an answer. Empty with status 200; "no-answer", "no-connection" or
+  // "status-N" if there is no error type.
   static std::string ErrorType(const Exchange& aExchange)
   {
     if (aExchange.status_ == 200) {
--- a/standins/lib/LoadScenario.cpp
+++ b/standins/lib/LoadScenario.cpp
@@ -29,7 +29,7 @@
   return { aSeconds, std::move(aName), std::move(aApply) };
 }
 
-// Load factor with which the misbehaving account sends several times its rate.
+// Load factor with which the misbehaving account sends kRateMultiple times its rate.
 double GreedyLoadFactor(const FleetProfile& aProfile)
 {
   constexpr double kRateMultiple = 5;
@@ -209,7 +209,7 @@
     if (phase.name_ == aPhase) {
       break;
     }
-    start += phase.seconds_;
+    start += phase.durationSeconds_;
   }
   return start;
 }
--- a/standins/lib/LoadScenario.h
+++ b/standins/lib/LoadScenario.h
@@ -30,9 +30,9 @@
   std::uint32_t callerRetries_ = 1;   ///< Maximum retries of one request by its caller.
   bool immediateRetries_ = false;     ///< Callers retry without delay, whatever the answer was.
   bool links_ = false;                ///< Puts a link between each node and its target.
-  /// Factor by which the deepest service is slower in phase "trigger"; lowers the ideal there.
+  /// Slowdown of the deepest service in phase "trigger", which lowers the ideal of that phase.
   double slowFactor_ = 1;
-  /// Account whose refusals are never wrongful: it exceeds its rate or uses a withdrawn key.
+  /// Account that exceeds its rate or uses a withdrawn key, so that refusing it is never wrongful.
   std::optional<std::size_t> misbehavingAccount_;
   /// Account whose key is withdrawn when "trigger" starts.
   std::optional<std::size_t> withdrawnAccount_;
--- a/tests/standins/LoadReportTest.cpp
+++ b/tests/standins/LoadReportTest.cpp
@@ -71,7 +71,7 @@
   CHECK(before.ideal_ == Approx(static_cast<double>(before.offered_)));
   CHECK(before.goodput_ == Approx(1));
   const PhaseReport& trigger = Phase(report, "trigger");
-  CHECK(trigger.ideal_ == Approx(CapacityPerSecond(run.profile_) * trigger.seconds_));
+  CHECK(trigger.ideal_ == Approx(CapacityPerSecond(run.profile_) * trigger.durationSeconds_));
   // The records say that all of twice the capacity was served, so goodput is far above 1.
   CHECK(trigger.goodput_ > 1.8);
 }
@@ -84,7 +84,7 @@
   const double end = PhaseStart(run.scenario_, "after");
   for (LoadRecord& record : run.result_.records_) {
     if (run.IsIn(record, "trigger")) {
-      record.latencySeconds_ = end + 0.1 - record.arrival_.at_;
+      record.latencySeconds_ = end + 0.1 - record.arrival_.scheduledAt_;
     }
   }
   // The only answers in the phase are to requests that arrived just before it.
--- a/tests/standins/LoadRunnerTest.cpp
+++ b/tests/standins/LoadRunnerTest.cpp
@@ -93,8 +93,8 @@
   std::array<std::array<double, 2>, 2> counts{};
   double last = 0;
   for (const Arrival& arrival : arrivals) {
-    CHECK(arrival.at_ >= last);
-    last = arrival.at_;
+    CHECK(arrival.scheduledAt_ >= last);
+    last = arrival.scheduledAt_;
     counts[arrival.phase_][arrival.account_] += 1;
   }
   CHECK(counts[0][0] == Approx(7500).epsilon(0.06));
--- a/tests/standins/LoadScoreTest.cpp
+++ b/tests/standins/LoadScoreTest.cpp
@@ -53,8 +53,8 @@
   CHECK(Percentile({}, 0.5) == 0);
 }
 
-// Guards against a recovery time that ignores later failures.
-TEST_CASE("recovery time lasts until the served fraction stays at its level", "[score]")
+// Guards against a recovery time that ends before later failures.
+TEST_CASE("recovery ends when the served fraction has reached its level for good", "[score]")
 {
   std::vector<RequestSample> requests;
   for (int i = 0; i < 1000; ++i) {
