--- a/standins/lib/HistoryCheck.cpp
+++ b/standins/lib/HistoryCheck.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-// What the targets' logs contain about one tag.
+// Executions with one tag.
 struct TagSummary
 {
-  std::uint64_t started_ = 0; ///< Executions that weren't refused.
-  std::map<std::string, std::uint64_t>
-    attempts_; ///< Executions by path, which includes the calling execution.
+  std::uint64_t startedExecutions_ = 0; ///< Without refused ones.
+  /// Number of executions by path with query, which names the calling execution.
+  std::map<std::string, std::uint64_t> attempts_;
 };
 
 // Counts a violation and adds it to the examples if there are fewer than kMaxExamples.
@@ -79,7 +79,7 @@
     const std::string tag(QueryValue(execution.path_, "tag"));
     if (!tag.empty()) {
       TagSummary& summary = tags[tag];
-      summary.started_ += execution.Started() ? 1 : 0;
+      summary.startedExecutions_ += execution.Started() ? 1 : 0;
       ++summary.attempts_[execution.path_];
     }
     if (!execution.requestId_.empty() && execution.Started()) {
@@ -94,11 +94,11 @@
       RecordViolation(result, HistoryProperty::kOwnAnswer, execution.id_);
     }
   }
-  const TagSummary none;
+  const TagSummary emptySummary;
   for (const HistoryCall& call : aCalls) {
     const auto found = tags.find(call.tag_);
-    const TagSummary& summary = found == tags.end() ? none : found->second;
-    if (call.outcome_ == "not-run" && summary.started_ > 0) {
+    const TagSummary& summary = found == tags.end() ? emptySummary : found->second;
+    if (call.outcome_ == "not-run" && summary.startedExecutions_ > 0) {
       RecordViolation(result, HistoryProperty::kNotRunIsTrue, call.tag_);
     }
     if ((call.outcome_ == "unknown") != (call.status_ == 504)) {
--- a/standins/lib/HistoryCheck.h
+++ b/standins/lib/HistoryCheck.h
@@ -1,4 +1,4 @@
-// Checks the guarantees of the design page against callers' records and targets' execution logs.
+// Checks the guarantees of docs/design.md against callers' records and targets' execution logs.
 #pragma once
 
 #include "standins/lib/TargetExecution.h"
@@ -13,11 +13,11 @@
 /// One HTTP request of a caller. A retry by the caller is a request of its own with another tag.
 struct HistoryCall
 {
-  std::string tag_;               ///< Query parameter "tag", unique; empty to skip the target logs.
-  std::string requestId_;         ///< Header Quay-Request-Id; empty if none was sent.
-  std::string outcome_;           ///< Header Quay-Outcome of the answer; empty if absent.
-  unsigned status_ = 0;           ///< 0 without a complete answer.
-  bool correctBody_ = true;       ///< Whether a body with status 200 belongs to the request.
+  std::string tag_;         ///< Unique query parameter "tag"; empty: not looked up in the logs.
+  std::string requestId_;   ///< Header Quay-Request-Id; empty if none was sent.
+  std::string outcome_;     ///< Header Quay-Outcome of the answer; empty if absent.
+  unsigned status_ = 0;     ///< 0 without a complete answer.
+  bool correctBody_ = true; ///< Whether a body with status 200 belongs to the request.
   std::uint32_t retryBudget_ = 0; ///< Retries allowed in the whole call tree.
 };
 
@@ -26,7 +26,7 @@
 {
   kRunsAtMostOnce, ///< A request id has at most one started execution.
   kNotRunIsTrue,   ///< A call answered "not-run" has no started execution.
-  kUnknownIs504,   ///< Status 504 comes with outcome "unknown" and only with it.
+  kUnknownIs504,   ///< Status 504 and outcome "unknown" occur only together.
   kNoKeySeen,      ///< No target received a caller's key.
   kOwnAnswer,      ///< Every answer belongs to its request, also for deeper calls.
   kWithinBudget    ///< The retries in a call tree don't exceed its retry budget.
@@ -51,8 +51,9 @@
   bool Holds() const;
 };
 
-/// Checks a run. Retries are counted from the executions: all executions with one path, which names
-/// the tag and the calling execution if there is one, are a first attempt and its retries.
+/// Checks a run. Retries are counted from the executions: those with equal paths are a first
+/// attempt and its retries, because the query names the tag and the calling execution, if there is
+/// one.
 HistoryResult CheckHistory(const std::vector<HistoryCall>& aCalls,
                            const std::vector<TargetExecution>& aExecutions);
 
--- a/standins/lib/LinkRelay.cpp
+++ b/standins/lib/LinkRelay.cpp
@@ -26,7 +26,7 @@
 // sender TCP back-pressure.
 constexpr std::size_t kMaxQueuedBytes = std::size_t{ 4 } << 20U;
 
-// Each path holds one socket.
+// Bounds the number of sockets, of which each path holds one.
 constexpr std::size_t kMaxDatagramPaths = 256;
 
 template<typename Acceptor>
@@ -321,8 +321,8 @@
     error_code failure;
     const std::size_t received = co_await aPath->socket_.async_receive(
       asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, failure));
-    // A datagram that the remote's host refused is reported here as an error. The remote may start
-    // to listen again.
+    // An ICMP error for an earlier datagram is reported here. The remote may start to listen
+    // again.
     if (failure) {
       continue;
     }
--- a/standins/lib/LinkRelay.h
+++ b/standins/lib/LinkRelay.h
@@ -57,7 +57,7 @@
     explicit Flow(boost::asio::io_context& aContext);
     std::deque<Chunk> chunks_;
     std::size_t queuedBytes_ = 0;         ///< Invariant: sum of the sizes in chunks_.
-    boost::asio::steady_timer wakeTimer_; ///< Cancelled to wake the writer on any change.
+    boost::asio::steady_timer wakeTimer_; ///< Cancelled to wake the writer after a change.
   };
 
   struct Connection
@@ -78,7 +78,7 @@
   };
 
   boost::asio::awaitable<void> Accept();
-  /// Connects to the remote, after a cut has ended, and starts both directions.
+  /// Waits until there is no cut, connects to the remote and starts both directions.
   boost::asio::awaitable<void> Open(std::shared_ptr<Connection> aConnection);
   /// Queues what aSide sends.
   boost::asio::awaitable<void> Read(std::shared_ptr<Connection> aConnection, std::size_t aSide);
@@ -92,7 +92,7 @@
   void SendDelayed(std::size_t aDirection,
                    std::string aBytes,
                    std::function<void(std::string)> aSend);
-  /// Whether the connection was open when connections were last silenced.
+  /// Whether connections were silenced after this one was accepted.
   bool IsSilent(const Connection& aConnection) const;
   /// Whether a cut holds back what aSide sends (0: the caller, 1: the remote).
   bool IsStalled(std::size_t aSide) const;
@@ -106,7 +106,7 @@
   Tcp::acceptor acceptor_;
   Tcp::acceptor control_;
   Udp::socket datagrams_;
-  /// Per direction: when everything accepted so far has been sent. All connections share the
+  /// Per direction: end of the transmission of all bytes so far. All connections share the
   /// bandwidth.
   std::array<TimePoint, 2> freeAt_{};
   std::array<std::uint64_t, 2> relayedBytes_{}; ///< Per direction.
--- a/standins/lib/LinkSettings.cpp
+++ b/standins/lib/LinkSettings.cpp
@@ -53,14 +53,16 @@
 }
 
 TimePoint ArrivalTime(const LinkFaults& aFaults,
-                      std::size_t aBytes,
+                      std::size_t aByteCount,
                       TimePoint& aFreeAt,
                       TimePoint aNow)
 {
   aFreeAt = std::max(aFreeAt, aNow);
   if (aFaults.bandwidth_ > 0) {
-    const double sending = static_cast<double>(aBytes) / static_cast<double>(aFaults.bandwidth_);
-    aFreeAt += std::chrono::duration_cast<Duration>(std::chrono::duration<double>(sending));
+    const double transmissionSeconds =
+      static_cast<double>(aByteCount) / static_cast<double>(aFaults.bandwidth_);
+    aFreeAt +=
+      std::chrono::duration_cast<Duration>(std::chrono::duration<double>(transmissionSeconds));
   }
   return aFreeAt + aFaults.delay_;
 }
--- a/standins/lib/LinkSettings.h
+++ b/standins/lib/LinkSettings.h
@@ -17,7 +17,7 @@
   Duration delay_{};            ///< One way.
   std::uint64_t bandwidth_ = 0; ///< Bytes per second in each direction; 0: unlimited.
   bool cut_ = false;            ///< TCP data is held back until the cut ends; datagrams are lost.
-  bool cutFromRemote_ = false;  ///< A cut of only what the remote sends.
+  bool cutFromRemote_ = false;  ///< Like cut_, but only for data from the remote.
   std::uint64_t silenceGeneration_ = 0; ///< Incremented to silence the open connections.
   std::uint64_t resetGeneration_ = 0;   ///< Incremented to reset the open connections.
   bool operator==(const LinkFaults&) const = default;
@@ -37,10 +37,11 @@
 /// kUnknownSetting, kWrongType, kOutOfRange.
 Result<void> ApplyLinkFaults(LinkFaults& aFaults, std::string_view aJson);
 
-/// Time at which aBytes that are sent at aNow arrive at the other end. aFreeAt is the time at which
-/// the direction finishes sending earlier bytes; it advances by the sending time of aBytes.
+/// Returns the time at which aByteCount bytes that are sent at aNow arrive at the other end.
+/// aFreeAt is the end of the transmission of earlier bytes in this direction; it is set to the end
+/// of the transmission of the new bytes.
 TimePoint ArrivalTime(const LinkFaults& aFaults,
-                      std::size_t aBytes,
+                      std::size_t aByteCount,
                       TimePoint& aFreeAt,
                       TimePoint aNow);
 
--- a/tests/standins/HistoryTest.cpp
+++ b/tests/standins/HistoryTest.cpp
@@ -102,8 +102,9 @@
   });
 }
 
-// Guards against counting first attempts below a retried call as retries.
-TEST_CASE("a retried call makes new first attempts at the next target", "[history]")
+// Guards against counting the first attempts at the next target, one for each execution of a
+// retried call, as retries.
+TEST_CASE("first attempts below a retried call don't count as retries", "[history]")
 {
   History history = CorrectHistory();
   history.calls_[0].retryBudget_ = 1;
