--- a/standins/lib/PlatformFaults.cpp
+++ b/standins/lib/PlatformFaults.cpp
@@ -70,13 +70,13 @@
   BOOST_OUTCOME_TRY(reads, ReadNumber(table, "reads_per_second", 0, 1e9));
   BOOST_OUTCOME_TRY(delay, ReadInteger(table, "delay_ms", 0, 600000));
   BOOST_OUTCOME_TRY(outage, ReadOutage(table, faults.outage_));
-  BOOST_OUTCOME_TRY(lose, ReadNumber(table, "lose_answers", 0, 1));
+  BOOST_OUTCOME_TRY(lostAnswerFraction, ReadNumber(table, "lose_answers", 0, 1));
   BOOST_OUTCOME_TRY(loseNext, ReadInteger(table, "lose_next", 0, 1000000));
   faults.maxWritesPerSecond_ = writes.value_or(faults.maxWritesPerSecond_);
   faults.maxReadsPerSecond_ = reads.value_or(faults.maxReadsPerSecond_);
   faults.delayMs_ = static_cast<std::uint32_t>(delay.value_or(faults.delayMs_));
   faults.outage_ = outage;
-  faults.lostAnswerFraction_ = lose.value_or(faults.lostAnswerFraction_);
+  faults.lostAnswerFraction_ = lostAnswerFraction.value_or(faults.lostAnswerFraction_);
   faults.loseNextAnswers_ = static_cast<std::uint32_t>(loseNext.value_or(faults.loseNextAnswers_));
   aFaults = faults;
   return Success();
--- a/standins/lib/PlatformFaults.h
+++ b/standins/lib/PlatformFaults.h
@@ -22,9 +22,9 @@
 {
   double maxWritesPerSecond_ = 0; ///< Excess writes get 503 and have no effect. 0: no limit.
   double maxReadsPerSecond_ = 0;  ///< Excess reads get 503. 0: no limit.
-  std::uint32_t delayMs_ = 0;     ///< Half before a request takes effect, half after.
+  std::uint32_t delayMs_ = 0;     ///< Half before a request takes effect, half afterwards.
   PlatformOutage outage_ = PlatformOutage::kNone;
-  double lostAnswerFraction_ = 0;     ///< Of the writes that take effect, 0 to 1.
+  double lostAnswerFraction_ = 0;     ///< Of the answers to writes that take effect, 0 to 1.
   std::uint32_t loseNextAnswers_ = 0; ///< Number of further writes whose answers are lost.
   bool operator==(const PlatformFaults&) const = default;
 };
--- a/standins/lib/PlatformServer.cpp
+++ b/standins/lib/PlatformServer.cpp
@@ -29,7 +29,7 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-/// Fits a snapshot of 8 MiB with JSON escapes.
+/// Large enough for a snapshot of 8 MiB with JSON escapes.
 constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{ 32 } << 20U;
 
 asio::awaitable<void> Sleep(Duration aDuration)
--- a/standins/lib/TargetBody.cpp
+++ b/standins/lib/TargetBody.cpp
@@ -30,10 +30,10 @@
 
 } // namespace
 
-std::string TargetBody(std::string_view aTarget, std::string_view aBody, std::size_t aLength)
+std::string TargetBody(std::string_view aRequestTarget, std::string_view aBody, std::size_t aLength)
 {
   static constexpr std::string_view kDigits = "0123456789abcdef";
-  const std::uint64_t seed = Hash(aBody, Hash("\n", Hash(aTarget, 0xCBF29CE484222325ULL)));
+  const std::uint64_t seed = Hash(aBody, Hash("\n", Hash(aRequestTarget, 0xCBF29CE484222325ULL)));
   std::string body(std::min(aLength, kMaxTargetBodyBytes), '0');
   std::uint64_t block = 0;
   for (std::size_t i = 0; i < body.size(); ++i) {
@@ -46,24 +46,24 @@
   return body;
 }
 
-std::string_view QueryValue(std::string_view aTarget, std::string_view aName)
+std::string_view QueryValue(std::string_view aRequestTarget, std::string_view aName)
 {
-  auto at = aTarget.find('?');
+  auto at = aRequestTarget.find('?');
   while (at != std::string_view::npos) {
-    const std::string_view rest = aTarget.substr(at + 1);
+    const std::string_view rest = aRequestTarget.substr(at + 1);
     const std::string_view pair = rest.substr(0, rest.find('&'));
     const auto equals = pair.find('=');
     if (equals != std::string_view::npos && pair.substr(0, equals) == aName) {
       return pair.substr(equals + 1);
     }
-    at = aTarget.find('&', at + 1);
+    at = aRequestTarget.find('&', at + 1);
   }
   return {};
 }
 
-std::size_t RequestedBodyLength(std::string_view aTarget, std::size_t aDefault)
+std::size_t RequestedBodyLength(std::string_view aRequestTarget, std::size_t aDefault)
 {
-  const std::string_view text = QueryValue(aTarget, "length");
+  const std::string_view text = QueryValue(aRequestTarget, "length");
   std::size_t length = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), length);
   if (text.empty() || parsed.ec != std::errc()) {
@@ -72,12 +72,12 @@
   return std::min(length, kMaxTargetBodyBytes);
 }
 
-std::string WithQueryParameter(std::string_view aTarget,
+std::string WithQueryParameter(std::string_view aRequestTarget,
                                std::string_view aName,
                                std::string_view aValue)
 {
-  std::string target(aTarget);
-  target += aTarget.find('?') == std::string_view::npos ? '?' : '&';
+  std::string target(aRequestTarget);
+  target += aRequestTarget.find('?') == std::string_view::npos ? '?' : '&';
   target.append(aName).append("=").append(aValue);
   return target;
 }
--- a/standins/lib/TargetServer.cpp
+++ b/standins/lib/TargetServer.cpp
@@ -30,8 +30,8 @@
 
 namespace {
 
-// Connections over maxConnections_ that may use the control paths only, so that a saturated target
-// can be inspected.
+// Number of connections over maxConnections_ that may use the control paths only, so that a
+// saturated target can be inspected.
 constexpr std::size_t kReservedConnections = 16;
 
 std::int64_t NowUs()
@@ -111,7 +111,7 @@
   : context_(aContext)
   , settings_(std::move(aSettings))
   , acceptor_(aContext)
-  , thawTimer_(aContext, TimePoint::max())
+  , faultChangeTimer_(aContext, TimePoint::max())
   , random_(settings_.seed_)
   , startedAt_(Clock::now())
 {
@@ -168,7 +168,7 @@
 {
   error_code ignored;
   acceptor_.close(ignored);
-  thawTimer_.cancel();
+  faultChangeTimer_.cancel();
   faults_.frozen_ = false;
   for (const auto& socket : connections_) {
     socket->close(ignored);
@@ -203,11 +203,11 @@
   }
 }
 
-asio::awaitable<void> TargetServer::AwaitThaw()
+asio::awaitable<void> TargetServer::WaitWhileFrozen()
 {
   while (faults_.frozen_) {
     error_code ignored;
-    co_await thawTimer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    co_await faultChangeTimer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
@@ -230,7 +230,7 @@
     const bool isControl = IsControlPath(PathOf(request));
     ++unansweredRequests_;
     if (PathOf(request) != "/faults") {
-      co_await AwaitThaw();
+      co_await WaitWhileFrozen();
     }
     RequestResult requestResult;
     if (isControl) {
@@ -248,7 +248,7 @@
         CloseIfDrained();
         break;
       }
-      co_await AwaitThaw();
+      co_await WaitWhileFrozen();
     }
     Response& response = requestResult.response_;
     const bool keepAlive = response.keep_alive();
@@ -623,8 +623,8 @@
     idleConnections_.clear();
   }
   RecordSample();
-  thawTimer_.cancel();
-  thawTimer_.expires_at(TimePoint::max());
+  faultChangeTimer_.cancel();
+  faultChangeTimer_.expires_at(TimePoint::max());
   return MakeResponse(aRequest, 200, "{}");
 }
 
--- a/standins/lib/TargetServer.h
+++ b/standins/lib/TargetServer.h
@@ -93,8 +93,8 @@
   boost::asio::awaitable<void> Accept();
   /// Serves one connection until it closes.
   boost::asio::awaitable<void> Serve(std::shared_ptr<Socket> aSocket);
-  /// Waits until the fault frozen_ ends.
-  boost::asio::awaitable<void> AwaitThaw();
+  /// Waits until the fault TargetFaults::frozen_ ends.
+  boost::asio::awaitable<void> WaitWhileFrozen();
   boost::asio::awaitable<RequestResult> HandleRequest(std::shared_ptr<Socket> aSocket,
                                                       const Request& aRequest);
   /// Waits for a slot, unless the request is cancelled or expires first; see hasSlot_.
@@ -109,7 +109,7 @@
                                               std::string aTarget,
                                               std::string aCallToken);
   boost::asio::awaitable<bool> WriteAnswer(Socket& aSocket, Response& aResponse, bool aTruncate);
-  /// Refuses the request if it can't start: returns the answer and logs it. Empty if admitted.
+  /// Returns and logs a refusal if the request can't be admitted; otherwise empty.
   std::optional<Response> CheckAdmission(const Request& aRequest);
   Response HandleControlRequest(const Request& aRequest);
   Response PostFaults(const Request& aRequest);
@@ -117,7 +117,7 @@
   Duration DrawServiceTime();
   std::string State() const;
   void RecordSample();
-  /// The sample of reportLag_ ago.
+  /// The sample that was current reportLag_ ago.
   const LoadSample& ReportedSample();
   /// An open idle connection to outbound_; null if there is none.
   std::shared_ptr<Socket> PopIdleConnection();
@@ -127,7 +127,7 @@
   TargetSettings settings_;
   TargetFaults faults_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer thawTimer_; ///< Cancelled when the faults change.
+  boost::asio::steady_timer faultChangeTimer_; ///< Cancelled when the faults change.
   std::mt19937_64 random_;
   TimePoint startedAt_{};
   bool draining_ = false;
@@ -136,7 +136,7 @@
   std::uint32_t slotsInUse_ = 0;
   std::uint64_t nextExecutionNumber_ = 1;
   std::uint64_t droppedExecutions_ = 0;
-  std::deque<std::shared_ptr<ActiveRequest>> waiting_; ///< For a slot, in order of arrival.
+  std::deque<std::shared_ptr<ActiveRequest>> waiting_; ///< Without a slot, in order of arrival.
   std::list<TargetExecution> executions_; ///< ActiveRequest::logEntry_ points into the list.
   std::list<std::shared_ptr<Socket>> connections_;
   std::vector<std::shared_ptr<Socket>> idleConnections_; ///< To outbound_.
--- a/standins/lib/UserStore.cpp
+++ b/standins/lib/UserStore.cpp
@@ -1,4 +1,4 @@
-// Stand-in for the row store: its calls, served by the product's HttpFront.
+// HTTP calls of the row store stand-in, served by the product's HttpFront.
 #include "standins/lib/UserStore.h"
 
 #include "platform/StoreClient.h"
--- a/standins/lib/UserStore.h
+++ b/standins/lib/UserStore.h
@@ -40,7 +40,7 @@
   /// Writes a row unconditionally, as an operator does.
   void Put(const std::string& aTable, const std::string& aKey, const std::string& aValue);
   void SetFault(UserStoreFault aFault) { fault_ = aFault; }
-  /// Makes watches from any earlier version fail with 410, as if its history were dropped.
+  /// Makes watches from any earlier version fail with 410, as if the history before were dropped.
   void Compact();
   /// Number of calls received.
   std::uint64_t CallCount() const { return calls_; }
@@ -62,7 +62,7 @@
     std::shared_ptr<HttpExchange> exchange_;
     std::string table_;
     std::uint64_t afterVersion_ = 0; ///< Waits for rows that changed after this version.
-    TimePoint answerAt_{};           ///< Answered without rows at this time.
+    TimePoint answerAt_{};           ///< Time of an answer without rows if there is no change.
   };
 
   void OnCall(const std::shared_ptr<HttpExchange>& aExchange);
--- a/standins/lib/UserTarget.cpp
+++ b/standins/lib/UserTarget.cpp
@@ -1,5 +1,5 @@
 // Stand-in for a target, served by the product's HttpFront. Heartbeats are blocking calls on a
-// second thread.
+// thread of their own.
 #include "standins/lib/UserTarget.h"
 
 #include "standins/lib/FleetHttp.h"
--- a/tests/standins/TargetTest.cpp
+++ b/tests/standins/TargetTest.cpp
@@ -227,7 +227,7 @@
 }
 
 // Guards against faults without effect, which would make load experiments test nothing.
-TEST_CASE("faults start and end when they are set", "[target]")
+TEST_CASE("each fault takes effect when set and ends when reset", "[target]")
 {
   RunningTarget target(FastTargetSettings());
   target.SetFaults(R"({"drop_answers":1})");
@@ -277,7 +277,8 @@
   CHECK(first.get().assume_value().status_ == 200);
 }
 
-// Guards against a report lag without effect: experiments with stale load would get fresh load.
+// Guards against a report lag without effect, which would give experiments with stale load the
+// current load.
 TEST_CASE("the reported load is as old as the report lag", "[target]")
 {
   TargetSettings settings = FastTargetSettings();
