--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-// Counts the allocated bytes, including the rounding of the allocator.
+// These operators count the allocated bytes, including the rounding of the allocator.
 void* operator new(std::size_t aSize)
 {
   void* memory = std::malloc(aSize);
@@ -59,10 +59,10 @@
 
 namespace {
 
-// Bytes that a message adds on the wire: IP and UDP headers for a datagram; IP and TCP headers with
-// time stamps and the frame length for a stream.
-constexpr std::size_t kDatagramOverhead = 28;
-constexpr std::size_t kFrameOverhead = 56;
+// Bytes on the wire in addition to a message: IP and UDP headers for a datagram; IP and TCP headers
+// with time stamps, and the frame length, for a stream.
+constexpr std::size_t kDatagramOverheadBytes = 28;
+constexpr std::size_t kFrameOverheadBytes = 56;
 
 double CpuSeconds()
 {
@@ -117,12 +117,12 @@
   return kNames[aMessage.index()];
 }
 
-void Count(TrafficByKind& aTraffic, const PeerMessage& aMessage, bool aDatagram)
+void CountMessage(TrafficByKind& aTraffic, const PeerMessage& aMessage, bool aDatagram)
 {
   auto& traffic = aTraffic[KindName(aMessage)];
   ++traffic.messages_;
   traffic.bytes_ += static_cast<double>(EncodePeerMessage(aMessage).size() +
-                                        (aDatagram ? kDatagramOverhead : kFrameOverhead));
+                                        (aDatagram ? kDatagramOverheadBytes : kFrameOverheadBytes));
 }
 
 // One real node in the first data centre, with synthetic peers that respond immediately.
@@ -153,7 +153,8 @@
         }
       }
     }
-    memberTableBytes_ = EncodePeerMessage(MemberTable{ true, entries }).size() + kFrameOverhead;
+    memberTableBytes_ =
+      EncodePeerMessage(MemberTable{ true, entries }).size() + kFrameOverheadBytes;
     antiEntropySeconds_ = std::max(ToSeconds(membership_.settings_.antiEntropyInterval_),
                                    ToSeconds(membership_.settings_.antiEntropyIntervalPerMember_) *
                                      static_cast<double>(entries.size()));
@@ -172,8 +173,8 @@
     const auto beforeView = liveBytes.load();
     auto view = std::make_shared<const TargetView>(MakeTargetView(membership_));
     viewBytes_ = liveBytes - beforeView;
-    versions_ = MakeDissemination({}, { "dc0" }, 1, now_);
-    SetRanking(versions_, ranking_, now_);
+    dissemination_ = MakeDissemination({}, { "dc0" }, 1, now_);
+    SetRanking(dissemination_, ranking_, now_);
     position_ = aPosition;
   }
 
@@ -204,11 +205,11 @@
       const auto started = CpuSeconds();
       MembershipEffects effects;
       StepMembership(membership_, now_, effects);
-      DisseminationEffects versions;
-      StepDissemination(versions_, now_, 0, versions);
+      DisseminationEffects disseminationEffects;
+      StepDissemination(dissemination_, now_, 0, disseminationEffects);
       cpuSeconds_ += CpuSeconds() - started;
       HandleEffects(effects);
-      HandleEffects(versions);
+      HandleEffects(disseminationEffects);
       if (step % 10 == 5) {
         ReceivePeriodicMessages();
       }
@@ -226,7 +227,7 @@
   Fleet fleet_;
   TimePoint now_{ seconds(100000) };
   Membership membership_;
-  Dissemination versions_;
+  Dissemination dissemination_;
   std::shared_ptr<const MemberRanking> ranking_;
   TrafficByKind sent_;
   TrafficByKind received_;
@@ -235,36 +236,37 @@
   std::size_t memberBytes_ = 0;
   std::size_t rankingBytes_ = 0;
   std::size_t viewBytes_ = 0;
-  std::size_t position_ = 0;
+  std::size_t position_ = 0; ///< In the push tree, from 0 for the root.
   double simulatedSeconds_ = 0;
   double cpuSeconds_ = 0;
   double platformReads_ = 0;
   double platformWrites_ = 0;
 
 private:
-  // Counts a message that the node sends, and the processor time of its encoding.
+  // Counts a message that the node sends and the processor time to encode it.
   void RecordSent(const ControlMessage& aMessage)
   {
     const auto started = CpuSeconds();
     const auto body = EncodePeerMessage(aMessage.message_);
     cpuSeconds_ += CpuSeconds() - started;
-    Count(sent_, aMessage.message_, aMessage.datagram_);
+    CountMessage(sent_, aMessage.message_, aMessage.datagram_);
   }
 
   void HandleReceived(const MemberEntry& aFrom, const PeerMessage& aMessage, bool aDatagram)
   {
-    Count(received_, aMessage, aDatagram);
+    CountMessage(received_, aMessage, aDatagram);
     const auto body = EncodePeerMessage(aMessage);
     const Hello hello{ 1, aFrom.host_, aFrom.incarnation_, aFrom.dataCentre_ };
     const auto started = CpuSeconds();
     const auto decoded = DecodePeerMessage(body);
     MembershipEffects effects;
     HandleMembershipMessage(membership_, aFrom.peer_, decoded.assume_value(), now_, effects);
-    DisseminationEffects versions;
-    HandleVersionMessage(versions_, hello, aFrom.peer_, decoded.assume_value(), now_, versions);
+    DisseminationEffects disseminationEffects;
+    HandleVersionMessage(
+      dissemination_, hello, aFrom.peer_, decoded.assume_value(), now_, disseminationEffects);
     cpuSeconds_ += CpuSeconds() - started;
     HandleEffects(effects);
-    HandleEffects(versions);
+    HandleEffects(disseminationEffects);
   }
 
   void HandleEffects(MembershipEffects& aEffects)
@@ -282,7 +284,7 @@
       }
     }
     for (auto& message : aEffects.summaries_) {
-      FillSummary(versions_, std::get<DataCentreSummary>(message.message_), now_);
+      FillSummary(dissemination_, std::get<DataCentreSummary>(message.message_), now_);
       RecordSent(message);
     }
   }
@@ -294,7 +296,7 @@
       if (const auto* sync = std::get_if<SyncRequest>(&message.message_)) {
         SyncReply reply;
         reply.nonce_ = sync->nonce_;
-        reply.version_ = versions_.version_;
+        reply.version_ = dissemination_.version_;
         reply.ageMs_ = 300;
         HandleReceived(membership_.self_, reply, false);
       }
@@ -306,7 +308,7 @@
       std::holds_alternative<TransactCall>(*aEffects.call_) ? ++platformWrites_ : ++platformReads_;
       const auto started = CpuSeconds();
       DisseminationEffects effects;
-      HandlePlatformAnswer(versions_, answer, now_, effects);
+      HandlePlatformAnswer(dissemination_, answer, now_, effects);
       cpuSeconds_ += CpuSeconds() - started;
       HandleEffects(effects);
     }
@@ -324,7 +326,8 @@
     for (const auto child : TreeChildren(position_, members.size(), 8)) {
       auto entry = membership_.self_;
       entry.host_ = members[child].host_;
-      HandleReceived(entry, SyncRequest{ 1, versions_.version_, versions_.version_, 8, {} }, false);
+      HandleReceived(
+        entry, SyncRequest{ 1, dissemination_.version_, dissemination_.version_, 8, {} }, false);
     }
     if (position_ < 2) {
       for (std::size_t centre = 1; centre < fleet_.centres_; ++centre) {
@@ -467,7 +470,7 @@
   push.changes_[0].edits_ = { { "account/account-0", R"({"burst":20,"rate":10})" } };
   push.changes_[0].operationId_ = std::string(32, 'a');
   push.changes_[0].operatorName_ = "operator";
-  const auto bytes = EncodePeerMessage(push).size() + kFrameOverhead;
+  const auto bytes = EncodePeerMessage(push).size() + kFrameOverheadBytes;
   for (const auto& fleet : kFleets) {
     std::size_t depth = 0;
     for (std::size_t position = fleet.members_ - 1; position > 0; position = (position - 1) / 8) {
@@ -559,8 +562,8 @@
   }
   std::printf(
     "  request %zu B and grant %zu B on the wire, %.2f us to encode and decode both (%zu)\n",
-    EncodePeerMessage(request).size() + kFrameOverhead,
-    EncodePeerMessage(grant).size() + kFrameOverhead,
+    EncodePeerMessage(request).size() + kFrameOverheadBytes,
+    EncodePeerMessage(grant).size() + kFrameOverheadBytes,
     (CpuSeconds() - started) / kCodecRounds * 1e6,
     bytes);
 }
--- a/bench/path_latency.cpp
+++ b/bench/path_latency.cpp
@@ -148,7 +148,7 @@
 
 struct Samples
 {
-  std::vector<double> milliseconds_;
+  std::vector<double> latenciesMs_;
   int failed_ = 0;
 };
 
@@ -169,7 +169,7 @@
     const TimePoint sent = Clock::now();
     const bool succeeded = Exchange(socket, aRequest, aBodyBytes);
     if (succeeded) {
-      aSamples.milliseconds_.push_back(ToSeconds(Clock::now() - sent) * 1000);
+      aSamples.latenciesMs_.push_back(ToSeconds(Clock::now() - sent) * 1000);
     } else {
       ++aSamples.failed_;
     }
@@ -204,9 +204,9 @@
     thread.join();
   }
   for (const auto& connectionSamples : samplesByConnection) {
-    aSamples.milliseconds_.insert(aSamples.milliseconds_.end(),
-                                  connectionSamples.milliseconds_.begin(),
-                                  connectionSamples.milliseconds_.end());
+    aSamples.latenciesMs_.insert(aSamples.latenciesMs_.end(),
+                                 connectionSamples.latenciesMs_.begin(),
+                                 connectionSamples.latenciesMs_.end());
     aSamples.failed_ += connectionSamples.failed_;
   }
 }
@@ -224,11 +224,11 @@
 {
   std::printf("%-8s requests %zu failed %d p50 %.3f ms p90 %.3f ms p99 %.3f ms\n",
               aName,
-              aSamples.milliseconds_.size(),
+              aSamples.latenciesMs_.size(),
               aSamples.failed_,
-              Percentile(aSamples.milliseconds_, 0.5),
-              Percentile(aSamples.milliseconds_, 0.9),
-              Percentile(aSamples.milliseconds_, 0.99));
+              Percentile(aSamples.latenciesMs_, 0.5),
+              Percentile(aSamples.latenciesMs_, 0.9),
+              Percentile(aSamples.latenciesMs_, 0.99));
 }
 
 std::shared_ptr<Config> BenchConfig()
@@ -305,8 +305,8 @@
   Print("direct", direct);
   Print("through", viaHosts);
   std::printf("added    p50 %.3f ms p90 %.3f ms p99 %.3f ms\n",
-              Percentile(viaHosts.milliseconds_, 0.5) - Percentile(direct.milliseconds_, 0.5),
-              Percentile(viaHosts.milliseconds_, 0.9) - Percentile(direct.milliseconds_, 0.9),
-              Percentile(viaHosts.milliseconds_, 0.99) - Percentile(direct.milliseconds_, 0.99));
+              Percentile(viaHosts.latenciesMs_, 0.5) - Percentile(direct.latenciesMs_, 0.5),
+              Percentile(viaHosts.latenciesMs_, 0.9) - Percentile(direct.latenciesMs_, 0.9),
+              Percentile(viaHosts.latenciesMs_, 0.99) - Percentile(direct.latenciesMs_, 0.99));
   return viaHosts.failed_ == 0 ? 0 : 1;
 }
--- a/bench/policy_trials.cpp
+++ b/bench/policy_trials.cpp
@@ -102,11 +102,11 @@
 struct Variant
 {
   std::string name_;
-  LimitPolicy limit_ = LimitPolicy::kAdaptive;
-  QueueOrder order_ = QueueOrder::kFair;
+  LimitPolicy limitPolicy_ = LimitPolicy::kAdaptive;
+  QueueOrder queueOrder_ = QueueOrder::kFair;
   bool dropsLateCalls_ = true;
-  bool upstream_ = true;
-  double retryRatio_ = 0.1; ///< Negative: no retries.
+  bool shedsUpstream_ = true; ///< Hosts of callers shed calls by the admission level of the guard.
+  double retryRatio_ = 0.1;   ///< Negative: no retries.
   bool naive_ = false;
   double queueFraction_ = 0.5; ///< AdmissionSettings::queueDeadlineFraction_.
 };
@@ -197,32 +197,32 @@
                    double& aCapacity,
                    std::array<double, kAccountCount>& aShares)
 {
-  std::set<int> open;
+  std::set<int> unsatisfied;
   for (int i = 0; i < kAccountCount; ++i) {
-    open.insert(i);
+    unsatisfied.insert(i);
   }
-  while (!open.empty() && aCapacity > 0) {
+  while (!unsatisfied.empty() && aCapacity > 0) {
     double weights = 0;
-    for (const int i : open) {
+    for (const int i : unsatisfied) {
       weights += kRates[i];
     }
-    const double level = aCapacity / weights;
+    const double capacityPerWeight = aCapacity / weights;
     std::vector<int> satisfied;
-    for (const int i : open) {
-      if (aDemands[i] <= level * kRates[i]) {
+    for (const int i : unsatisfied) {
+      if (aDemands[i] <= capacityPerWeight * kRates[i]) {
         satisfied.push_back(i);
       }
     }
     if (satisfied.empty()) {
-      for (const int i : open) {
-        aShares[i] += level * kRates[i];
+      for (const int i : unsatisfied) {
+        aShares[i] += capacityPerWeight * kRates[i];
       }
       aCapacity = 0;
     }
     for (const int i : satisfied) {
       aShares[i] += aDemands[i];
       aCapacity -= aDemands[i];
-      open.erase(i);
+      unsatisfied.erase(i);
     }
   }
 }
@@ -237,22 +237,22 @@
     , random_(aSeed)
   {
     guard_.settings_.queueDeadlineFraction_ = variant_.queueFraction_;
-    for (ReceivedAdmissionLevel& upstream : upstream_) {
-      upstream.random_ = RandomBits(random_);
+    for (ReceivedAdmissionLevel& received : receivedLevels_) {
+      received.random_ = RandomBits(random_);
     }
     if (scene_.overloadBehaviour_ != OverloadBehaviour::kQueues) {
       ApplyAnnouncedSlots(guard_,
                           profile_.slots_ *
                             (scene_.overloadBehaviour_ == OverloadBehaviour::kOverstates ? 2 : 1));
     }
-    if (variant_.limit_ == LimitPolicy::kFixedSlots ||
-        variant_.limit_ == LimitPolicy::kFixedFourTimes) {
+    if (variant_.limitPolicy_ == LimitPolicy::kFixedSlots ||
+        variant_.limitPolicy_ == LimitPolicy::kFixedFourTimes) {
       guard_.announcedSlots_ = 0;
-      FixLimit(profile_.slots_ * (variant_.limit_ == LimitPolicy::kFixedFourTimes ? 4 : 1));
-    } else if (variant_.limit_ == LimitPolicy::kAimd) {
+      FixLimit(profile_.slots_ * (variant_.limitPolicy_ == LimitPolicy::kFixedFourTimes ? 4 : 1));
+    } else if (variant_.limitPolicy_ == LimitPolicy::kAimd) {
       FixLimit(16);
     }
-    if (variant_.order_ == QueueOrder::kLifo) {
+    if (variant_.queueOrder_ == QueueOrder::kLifo) {
       guard_.settings_.queueCapacity_ = 0;
     }
   }
@@ -283,17 +283,17 @@
   struct Event
   {
     TimePoint time_{};
-    std::uint64_t order_ = 0;
+    std::uint64_t sequence_ = 0; ///< Orders events with equal times.
     std::function<void()> action_;
     bool operator<(const Event& aOther) const
     {
-      return std::tie(aOther.time_, aOther.order_) < std::tie(time_, order_);
+      return std::tie(aOther.time_, aOther.sequence_) < std::tie(time_, sequence_);
     }
   };
 
   void Schedule(TimePoint aTime, std::function<void()> aAction)
   {
-    events_.push({ aTime, ++order_, std::move(aAction) });
+    events_.push({ aTime, ++lastSequence_, std::move(aAction) });
   }
 
   double Exponential(double aMean) { return -aMean * std::log(1 - RandomFraction(random_)); }
@@ -340,7 +340,8 @@
   void SendAttempt(std::size_t aCall)
   {
     ClientCall& call = calls_[aCall];
-    if (variant_.upstream_ && !ShouldSendCall(upstream_[call.host_], call.importance_, now_)) {
+    if (variant_.shedsUpstream_ &&
+        !ShouldSendCall(receivedLevels_[call.host_], call.importance_, now_)) {
       call.ended_ = true;
       return;
     }
@@ -372,7 +373,7 @@
     WaitingCall waiting;
     waiting.id_ = aId;
     waiting.importance_ = call.importance_;
-    if (variant_.order_ == QueueOrder::kFair) {
+    if (variant_.queueOrder_ == QueueOrder::kFair) {
       waiting.clientAccount_ = { std::to_string(call.account_) };
       waiting.weight_ = kRates[call.account_];
     }
@@ -386,7 +387,7 @@
     ++sentAttempts_;
     if (variant_.naive_) {
       StartAtTarget(aId);
-    } else if (variant_.order_ == QueueOrder::kLifo) {
+    } else if (variant_.queueOrder_ == QueueOrder::kLifo) {
       OfferLifo(aId);
     } else {
       Apply(OfferCall(guard_, MakeWaiting(aId), now_));
@@ -476,7 +477,7 @@
       return;
     }
     const Duration service = now_ - attempts_[aId - 1].startedAt_;
-    if (variant_.limit_ == LimitPolicy::kAimd) {
+    if (variant_.limitPolicy_ == LimitPolicy::kAimd) {
       // AIMD uses the announced slots as its maximum, as the adaptive limit does.
       const double maxLimit = guard_.announcedSlots_ > 0 ? guard_.announcedSlots_ : 1000;
       if (aExecutionResult == ExecutionResult::kAnswered) {
@@ -490,7 +491,7 @@
     const AdmissionActions actions = FinishCall(guard_, aExecutionResult, service, now_);
     SendReply(aId, aExecutionResult == ExecutionResult::kAnswered);
     Apply(actions);
-    if (variant_.order_ == QueueOrder::kLifo) {
+    if (variant_.queueOrder_ == QueueOrder::kLifo) {
       StartLifo();
     }
   }
@@ -506,7 +507,7 @@
   {
     const std::size_t index = attempts_[aId - 1].call_;
     ClientCall& call = calls_[index];
-    RecordAdmissionLevel(upstream_[call.host_], aLevel, now_);
+    RecordAdmissionLevel(receivedLevels_[call.host_], aLevel, now_);
     if (aAnswered) {
       lateAttempts_ += now_ > call.deadline_ ? 1 : 0;
       if (!call.ended_ && now_ <= call.deadline_) {
@@ -534,7 +535,7 @@
   {
     if (!variant_.naive_) {
       Apply(DropLateCalls(guard_, now_));
-      if (variant_.order_ == QueueOrder::kLifo) {
+      if (variant_.queueOrder_ == QueueOrder::kLifo) {
         StartLifo();
       }
     }
@@ -647,11 +648,12 @@
   std::uint64_t random_;
   TimePoint now_ = kStart;
   std::priority_queue<Event> events_;
-  std::uint64_t order_ = 0;
+  std::uint64_t lastSequence_ = 0;
   AdmissionState guard_;
   Aimd aimd_;
+  /// Waiting attempts by importance, newest last; only for QueueOrder::kLifo.
   std::array<std::deque<std::uint64_t>, kImportanceClassCount> stacks_;
-  std::array<ReceivedAdmissionLevel, kHostCount> upstream_;
+  std::array<ReceivedAdmissionLevel, kHostCount> receivedLevels_; ///< By host of the caller.
   std::array<RetryRatio, kHostCount> retryRatios_;
   std::vector<ClientCall> calls_;
   std::vector<Attempt> attempts_;
