--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures the objectives of docs/design.md, section 1.2, and prints them as a table. Takes about 7 minutes. Stores the
-# results of each run as JSON in bench-results below the build folder. Exits with 0 if every run could be completed.
+# Measures the objectives of docs/design.md, section 1.2, and prints a table of results. Takes about 7 minutes. Stores the
+# results of each run as JSON in bench-results below the build folder. Exits with 0 if every run was completed.
 set -uo pipefail
 build=${1:-build}
 seed=${SEED:-1}
@@ -57,7 +57,7 @@
     return "none within the run" if seconds is None else f"{seconds:.1f} s"
 
 
-def of(entry):
+def count_of(entry):
     return f"{entry['count']} of {entry['of']}"
 
 
@@ -67,10 +67,10 @@
 
 
 def history():
-    made = [run for entry in runs.values() if isinstance(entry.get("product"), list)
-            for run in entry["product"] if "history" in run]
-    broken = sum(sum(run["history"]["violations"].values()) for run in made)
-    return f"{broken} broken in {sum(run['history']['executions'] for run in made)} executions"
+    checked = [run for entry in runs.values() if isinstance(entry.get("product"), list)
+               for run in entry["product"] if "history" in run]
+    violations = sum(sum(run["history"]["violations"].values()) for run in checked)
+    return f"{violations} broken in {sum(run['history']['executions'] for run in checked)} executions"
 
 
 def changes():
@@ -91,9 +91,9 @@
     ("recovery after a slow deep service", "<= 2 s", lambda: recovery("deep-slow")),
     ("recovery after a retry storm", "<= 2 s", lambda: recovery("retry-storm")),
     ("worst-served account, landesamt surge", ">= 0.95 of its share", lambda: f"{product('surge-landesamt')['worst_account']['share']:.3f}"),
-    ("wrongful refusals, landesamt steady", "<= 1 in 1,000", lambda: of(product("steady-landesamt")["wrongful_refusals"])),
-    ("wrongful refusals, a host killed", "<= 1 in 100", lambda: of(product("kill-host")["wrongful_refusals"])),
-    ("critical requests shed, surge", "0", lambda: of(product("surge")["critical_shed"])),
+    ("wrongful refusals, landesamt steady", "<= 1 in 1,000", lambda: count_of(product("steady-landesamt")["wrongful_refusals"])),
+    ("wrongful refusals, a host killed", "<= 1 in 100", lambda: count_of(product("kill-host")["wrongful_refusals"])),
+    ("critical requests shed, surge", "0", lambda: count_of(product("surge")["critical_shed"])),
     ("promises of the history checks", "0 broken", history),
     ("changes in force on every host within 1 s", "99 in 100; all in 5 s", changes),
     ("withdrawn key last served", "<= 3 s", lambda: f"{product('key-withdrawn')['withdrawn_served_s']:.2f} s"),
@@ -105,10 +105,10 @@
 print(f"{'measure':44}{'target':27}result")
 for measure, target, result in rows:
     try:
-        found = result()
+        text = result()
     except (KeyError, IndexError, StopIteration):
-        found = "run failed"
-    print(f"{measure:44}{target:27}{found}")
+        text = "run failed"
+    print(f"{measure:44}{target:27}{text}")
 if "surge" in runs:
     print("scale:", runs["surge"]["scale"])
 PYTHON
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -10,9 +10,9 @@
 timeout --signal=TERM 120 "$build/quayload" demo --seed="${SEED:-1}"
 status=$?
 # The command line of every process of the fleet names a file below TMPDIR.
-if left=$(pgrep -af "$TMPDIR"); then
+if remaining=$(pgrep -af "$TMPDIR"); then
   echo "demo: processes left behind:"
-  echo "$left"
+  echo "$remaining"
   status=1
 fi
 exit $status
