--- a/tests/failure/ChainTest.cpp
+++ b/tests/failure/ChainTest.cpp
@@ -83,8 +83,8 @@
 
 } // namespace
 
-// Guards against retries that multiply along a chain. The naive baseline shows that they do
-// multiply in this chain without a retry budget.
+// Guards against retries that multiply along a chain. The naive baseline, which has no retry
+// budget, shows that they would multiply in this chain.
 TEST_CASE("attempts for one request stay within its budget over the whole chain", "[chain]")
 {
   Chain bounded(false);
--- a/tests/failure/PathFleet.h
+++ b/tests/failure/PathFleet.h
@@ -45,9 +45,9 @@
          aBody;
 }
 
-/// A target that answers each request with the bytes that its handler returns. An empty string
-/// closes the connection. Health and load queries are answered without the handler and aren't
-/// recorded.
+/// A target that answers each request with the bytes that its handler returns, or closes the
+/// connection if they are empty. Health and load queries are answered without the handler and
+/// aren't recorded.
 class ScriptedTarget
 {
 public:
--- a/tests/failure/PathTest.cpp
+++ b/tests/failure/PathTest.cpp
@@ -18,6 +18,7 @@
   return MakeHttpResponse(200, aRequest.line_ + "|" + aRequest.body_, "X-Target: yes\r\n");
 }
 
+// Waits up to 3 s for a condition. Returns false on timeout.
 bool WaitFor(const std::function<bool()>& aCondition)
 {
   for (int i = 0; i < 600; ++i) {
@@ -119,7 +120,8 @@
   CHECK_FALSE(HeaderValue(rateLimited.head_, "Quay-Retry-After-Ms").empty());
 }
 
-// Guards against a withdrawn key that is still accepted on a connection opened before.
+// Guards against a withdrawn key that is still accepted on a connection opened before the
+// withdrawal.
 TEST_CASE("a withdrawn key is refused on an open connection", "[path]")
 {
   ScriptedTarget target(EchoRequest);
@@ -198,8 +200,8 @@
   CHECK(busy.ReceivedRequests().size() == before + 1);
 }
 
-// Guards against nested calls that lose the client account or the deadline, and against keyed
-// routes that accept nested calls without a valid call context.
+// Guards against nested calls that lose the client account or the deadline, and against routes with
+// keys that accept nested calls without a valid call context.
 TEST_CASE("nested calls carry the context of the call that they serve", "[path]")
 {
   ScriptedTarget archive(EchoRequest);
@@ -356,8 +358,8 @@
   CHECK(Clock::now() - closed < milliseconds(500));
 }
 
-// Guards against admin endpoints that operators rely on but that fail to respond.
-TEST_CASE("the admin endpoints respond", "[path]")
+// Guards against admin endpoints that don't respond or lack the values that operators rely on.
+TEST_CASE("the admin endpoints report the state and start a drain", "[path]")
 {
   ScriptedTarget target(EchoRequest);
   RunningNode node(TestSettings("only", "bell", target.Port()));
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -1,5 +1,5 @@
-// Tests of configuration storage and operator commands against the platform stand-in: concurrent
-// operators, lost responses, outages, write limits.
+// Tests of configuration storage and operator commands against the platform stand-in, with
+// concurrent operators, lost responses, outages and write limits.
 #include "peridotquay/process/Platform.h"
 
 #include "peridotquay/process/BlockingHttp.h"
@@ -125,14 +125,14 @@
   CHECK(Value(fixture.client_->GetObject("a/b c")) == "body");
 }
 
-// Guards against lost updates: of operators who write concurrently, one succeeds and the others get
-// a version conflict.
+// Guards against lost updates: of several operators who write the same version concurrently, one
+// must succeed and the others must get a version conflict.
 TEST_CASE("each version is written by exactly one of several concurrent operators", "[platform]")
 {
   PlatformFixture fixture;
   constexpr int kOperators = 8;
   constexpr int kRounds = 20;
-  std::atomic<int> wins{ 0 };
+  std::atomic<int> committedCount{ 0 };
   std::atomic<int> otherErrors{ 0 };
   std::vector<std::thread> threads;
   for (int i = 0; i < kOperators; ++i) {
@@ -147,7 +147,7 @@
             : CommitChange(
                 *client, base.assume_value(), PutAccount(id, "op-" + id), fixture.commit_);
         if (written.has_value()) {
-          ++wins;
+          ++committedCount;
         } else if (written.assume_error().code_ != ErrorCode::kVersionConflict) {
           ++otherErrors;
         }
@@ -159,9 +159,9 @@
   }
   const auto stored = Value(LoadConfig(*fixture.client_));
   CHECK(otherErrors == 0);
-  CHECK(wins > 0);
-  CHECK(stored.version_ == static_cast<Version>(wins));
-  CHECK(stored.entities_.size() == static_cast<std::size_t>(wins));
+  CHECK(committedCount > 0);
+  CHECK(stored.version_ == static_cast<Version>(committedCount));
+  CHECK(stored.entities_.size() == static_cast<std::size_t>(committedCount));
 }
 
 // Guards against a change that is written twice, or reported as failed, when its response is lost.
@@ -205,12 +205,12 @@
   checkLost();
   // Without any response, the operation id in the change row reveals the conflict.
   fixture.SetFaults(R"({"outage":"silent"})");
-  std::jthread repair([&fixture] {
+  std::jthread outageEnd([&fixture] {
     std::this_thread::sleep_for(milliseconds(700));
     fixture.SetFaults("{}");
   });
   checkLost();
-  repair.join();
+  outageEnd.join();
 }
 
 // Guards against a delayed transaction that takes effect after its operator was told that it
@@ -223,13 +223,13 @@
   const auto base = Value(LoadConfig(*fixture.client_));
   // Requests get no response for longer than the client waits; then the platform works again.
   fixture.SetFaults(R"({"outage":"silent"})");
-  std::jthread repair([&fixture] {
+  std::jthread outageEnd([&fixture] {
     std::this_thread::sleep_for(milliseconds(700));
     fixture.SetFaults("{}");
   });
   const auto error =
     Failure(CommitChange(*fixture.client_, base, PutAccount("b", "late"), fixture.commit_));
-  repair.join();
+  outageEnd.join();
   CHECK(error.code_ == ErrorCode::kPlatformUnavailable);
   // The delayed transaction arrives unchanged, and its condition on the head row fails.
   const auto late = Failure(fixture.client_->Transact(
@@ -351,7 +351,7 @@
   CHECK(outdated.json_["winner"] == 2);
   REQUIRE(outdated.json_["changes"].size() == 1);
   CHECK(outdated.json_["changes"][0]["edits"][0]["json"]["account"] == "museum");
-  // Applying the same files keeps the granted key; it fails once a key in the files was withdrawn.
+  // Applying the same files keeps the granted key. It fails once a key in the files was withdrawn.
   CHECK(
     ApplyCommand(*fixture.client_, foundry, MakeWriteOptions(fixture, 2)).json_["edits"].empty());
   const auto keys = ListKeysCommand(*fixture.client_, "guild-office").json_["keys"];
@@ -392,20 +392,23 @@
 TEST_CASE("the wait ends when every data centre reports the version", "[platform]")
 {
   PlatformFixture fixture;
-  const std::vector<DataCentreId> sites{ { "north" }, { "south" } };
-  const auto report =
-    [&fixture](const char* aSite, Version aVersion, std::vector<std::string> aOut) {
-      const Watermark mark{ { aSite }, aVersion, 4, {}, std::move(aOut), 0 };
-      Value(fixture.client_->Transact(
-        { NewOperationId(), {}, { { WatermarkRowKey({ aSite }), EncodeWatermark(mark) } } }));
-    };
-  const auto wait = [&](std::optional<Duration> aBound) {
+  const std::vector<DataCentreId> dataCentres{ { "north" }, { "south" } };
+  const auto report = [&fixture](const char* aDataCentre,
+                                 Version aVersion,
+                                 std::vector<std::string> aUnreachableHosts) {
+    const Watermark watermark{ { aDataCentre }, aVersion, 4, {}, std::move(aUnreachableHosts), 0 };
+    Value(fixture.client_->Transact(
+      { NewOperationId(),
+        {},
+        { { WatermarkRowKey({ aDataCentre }), EncodeWatermark(watermark) } } }));
+  };
+  const auto wait = [&](std::optional<Duration> aFreshnessBound) {
     return Value(WaitUntilInForce(*fixture.client_,
                                   { .version_ = 5,
-                                    .dataCentres_ = sites,
+                                    .dataCentres_ = dataCentres,
                                     .timeout_ = milliseconds(300),
                                     .interval_ = milliseconds(20),
-                                    .freshnessBound_ = aBound }));
+                                    .freshnessBound_ = aFreshnessBound }));
   };
   report("north", 5, {});
   auto result = wait(std::nullopt);
@@ -470,7 +473,7 @@
   CHECK(post("[") == 400);
 }
 
-// Guards against quayctl exit codes that don't distinguish failures.
+// Guards against failures of quayctl that share an exit code, and against commands without help.
 TEST_CASE("quayctl exits with the code of each failure", "[platform]")
 {
   PlatformFixture fixture;
--- a/tests/failure/SilentPathTest.cpp
+++ b/tests/failure/SilentPathTest.cpp
@@ -106,7 +106,7 @@
   std::atomic<bool> silentBackward_{ false };
   std::atomic<bool> closeFirst_{ false };
   std::atomic<int> connectionCount_{ 0 };
-  std::atomic<int> lastSilentNumber_{ 0 }; ///< Connections are numbered from 1.
+  std::atomic<int> lastSilentNumber_{ 0 }; ///< Connections 1 to this number are silent.
   std::vector<std::thread> threads_;
   std::thread acceptThread_;
 };
@@ -224,8 +224,8 @@
   CHECK(answer.Outcome() == "unknown");
 }
 
-// Guards against calls that wait until their deadlines on idle connections to a running target that
-// went silent, and against further calls that are sent on these connections.
+// Guards against calls that wait until their deadlines on idle connections that went silent while
+// the target is running, and against further calls that are sent on these connections.
 TEST_CASE("silent connections to the target are abandoned", "[silent]")
 {
   ScriptedTarget target(AnswerWithDelay);
--- a/tests/failure/UserFleetTest.cpp
+++ b/tests/failure/UserFleetTest.cpp
@@ -29,8 +29,8 @@
 
 } // namespace
 
-// Guards against hosts that don't discover each other, headers that name the wrong account or
-// service, a key that reaches a target, and requests that run twice.
+// Guards against hosts that don't discover each other, headers that name the wrong client account
+// or service, a key that reaches a target, and requests that run twice.
 TEST_CASE("16 hosts find each other through the store and serve", "[users]")
 {
   UserFleet fleet(16);
@@ -74,7 +74,7 @@
 
 // Guards against unknown routes and keys that are accepted, known ones that are refused, and an
 // older or malformed document that replaces the newest one.
-TEST_CASE("routes and keys follow the newest document", "[users]")
+TEST_CASE("routes and keys are those of the newest document", "[users]")
 {
   UserFleet fleet(4);
   REQUIRE(fleet.WaitReady());
@@ -101,7 +101,7 @@
 }
 
 // Guards against a withdrawn key that is still accepted at a host that can't reach the store, and
-// against open routes that stop together with the keyed ones.
+// against open routes that are refused together with the routes that need a key.
 TEST_CASE("keyed routes stop when the store is silent, open ones go on", "[users]")
 {
   UserFleet fleet(4);
@@ -186,7 +186,7 @@
 
 // Guards against a write that runs twice, or a refusal of a write that ran, when responses of
 // targets are lost.
-TEST_CASE("lost answers of targets lead to no second run of a write", "[users]")
+TEST_CASE("a write runs at most once if the response of its target is lost", "[users]")
 {
   UserFleet fleet(4);
   REQUIRE(fleet.WaitReady());
@@ -371,7 +371,7 @@
 
 // Guards against hosts that don't recover when all of them lose their state at once, and against
 // duplicate rows of a host when the store's responses are lost.
-TEST_CASE("all hosts restart at once while answers of the store are lost", "[users]")
+TEST_CASE("hosts recover if all restart at once while the store's responses are lost", "[users]")
 {
   UserFleet fleet(8);
   REQUIRE(fleet.WaitReady());
--- a/tests/soak/SoakTest.cpp
+++ b/tests/soak/SoakTest.cpp
@@ -137,7 +137,6 @@
       aFleet.TargetOf(host).SetServiceTime(milliseconds(5 + aRandom() % 400));
       break;
     default:
-      // Lasts until a later setting of the same link reverts it or until EndFaults.
       aFleet.LinksOf(host).SetFaults(aRandom() % 2 == 0, RandomLinkFault(aRandom));
       break;
   }
@@ -195,7 +194,7 @@
     InjectFault(fleet, random, isDown);
   }
   EndFaults(fleet, isDown);
-  // Every host must serve again within the users' recovery time.
+  // Every host must serve again within the recovery time that the users require.
   for (std::size_t host = 0; host < kHostCount; ++host) {
     bool served = false;
     for (int i = 0; i < 300 && !served; ++i) {
@@ -212,9 +211,9 @@
 
 } // namespace
 
-// Guards against violations of the users' rules under overlapping and consecutive faults: a write
+// Guards against violations of the guarantees under overlapping and consecutive faults: a write
 // that runs twice, a false refusal, a wrong response, or a host that doesn't recover.
-TEST_CASE("the users' rules hold under random faults", "[soak]")
+TEST_CASE("responses stay correct and hosts recover under random faults", "[soak]")
 {
   std::uint64_t first = 1;
   std::uint64_t last = 2;
