--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -75,22 +75,22 @@
 struct Fleet
 {
   const char* name_;
-  std::size_t centres_;
+  std::size_t dataCentres_;
   std::size_t members_; ///< In each data centre.
 };
 
 constexpr Fleet kFleets[] = { { "16", 4, 4 }, { "200", 4, 50 }, { "19,000", 13, 1460 } };
 
-MemberEntry MakeEntry(std::size_t aCentre, std::size_t aMember)
+MemberEntry MakeEntry(std::size_t aDataCentre, std::size_t aMember)
 {
   MemberEntry entry;
-  entry.host_.value_ = "dc" + std::to_string(aCentre) + "-host-" + std::to_string(aMember);
+  entry.host_.value_ = "dc" + std::to_string(aDataCentre) + "-host-" + std::to_string(aMember);
   entry.incarnation_ = 1764829000000 + aMember;
-  entry.peer_ = { "10." + std::to_string(aCentre) + "." + std::to_string(aMember / 250) + "." +
+  entry.peer_ = { "10." + std::to_string(aDataCentre) + "." + std::to_string(aMember / 250) + "." +
                     std::to_string(aMember % 250),
                   7000 };
-  entry.dataCentre_.value_ = "dc" + std::to_string(aCentre);
-  entry.region_.value_ = "region" + std::to_string(aCentre % 5);
+  entry.dataCentre_.value_ = "dc" + std::to_string(aDataCentre);
+  entry.region_.value_ = "region" + std::to_string(aDataCentre % 5);
   entry.service_.value_ = "service-" + std::to_string(aMember % 1500);
   entry.targetState_ = TargetState::kReady;
   entry.slots_ = 50;
@@ -147,7 +147,7 @@
     }
     // Fills the table up to its maximum with members of other data centres.
     for (std::size_t i = 0; i < aFleet.members_; ++i) {
-      for (std::size_t centre = 1; centre < aFleet.centres_; ++centre) {
+      for (std::size_t centre = 1; centre < aFleet.dataCentres_; ++centre) {
         if (entries.size() < membership_.settings_.maxMembers_) {
           entries.push_back(MakeEntry(centre, i));
         }
@@ -330,7 +330,7 @@
         entry, SyncRequest{ 1, dissemination_.version_, dissemination_.version_, 8, {} }, false);
     }
     if (position_ < 2) {
-      for (std::size_t centre = 1; centre < fleet_.centres_; ++centre) {
+      for (std::size_t centre = 1; centre < fleet_.dataCentres_; ++centre) {
         DataCentreSummary summary;
         summary.dataCentre_.value_ = "dc" + std::to_string(centre);
         summary.platformReachable_ = true;
--- a/bench/policy_trials.cpp
+++ b/bench/policy_trials.cpp
@@ -63,6 +63,7 @@
   kOverstates, ///< Announces twice its slots and refuses calls beyond its slots.
 };
 
+/// Load and behaviour of the target in a run.
 struct Scene
 {
   std::string name_;
@@ -99,6 +100,7 @@
   kLifo
 };
 
+/// Policies of the guard and of the callers in a run.
 struct Variant
 {
   std::string name_;
@@ -227,6 +229,7 @@
   }
 }
 
+/// Simulation of one profile, scene and variant.
 class Trial
 {
 public:
@@ -394,7 +397,8 @@
     }
   }
 
-  /// Replaces the guard's queue, whose capacity is 0, by one stack for each importance class.
+  /// Replaces the guard's queue, whose capacity is 0, by one stack for each importance class, with
+  /// at most 1024 calls in total.
   void OfferLifo(std::uint64_t aId)
   {
     AdmissionActions actions = OfferCall(guard_, MakeWaiting(aId), now_);
