--- a/tests/failure/PathFleet.h
+++ b/tests/failure/PathFleet.h
@@ -22,7 +22,7 @@
 struct ReceivedRequest
 {
   std::string line_; ///< Method and path.
-  std::string head_;
+  std::string head_; ///< Request line and header fields.
   std::string body_;
 };
 
@@ -279,8 +279,8 @@
 /// Response of a node as the caller received it.
 struct ReceivedResponse
 {
-  int status_ = 0;
-  std::string head_;
+  int status_ = 0;   ///< 0 if there was no response.
+  std::string head_; ///< Status line and header fields.
   std::string body_;
   std::string Outcome() const { return HeaderValue(head_, "Quay-Outcome"); }
 };
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -285,6 +285,7 @@
     }
     std::this_thread::sleep_for(milliseconds(1));
   }
+  // The limit holds 5 writes in reserve and adds 50 within the second.
   CHECK(written <= 57);
   CHECK(written >= 20);
   CHECK(refused > 0);
