--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -221,7 +221,7 @@
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, FeedAnswer& aItem)
 {
-  aVisit(aItem.nonce_, aItem.proofAgeMs_, aItem.answerAgeMs_, aItem.newest_);
+  aVisit(aItem.nonce_, aItem.freshnessAgeMs_, aItem.answerAgeMs_, aItem.newest_);
 }
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, FeedRow& aItem)
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -343,8 +343,8 @@
   bool operator==(const RowVersions&) const = default;
 };
 
-/// Maximum age of a proof in a FeedAnswer. A larger age means that there is no proof.
-inline constexpr std::uint64_t kMaxProofAgeMs = 60'000;
+/// Maximum of FeedAnswer::freshnessAgeMs_. A larger age counts as unknown.
+inline constexpr std::uint64_t kMaxFreshnessAgeMs = 60'000;
 
 /// Asks a host of the same data centre whether held_ is the newest content of the platform's store
 /// (datagram).
@@ -359,7 +359,8 @@
 struct FeedAnswer
 {
   std::uint64_t nonce_ = 0;
-  std::uint64_t proofAgeMs_ = 0; ///< Time since newest_.config_ was last proved to be the newest.
+  /// Time since newest_.config_ was last known to be the newest.
+  std::uint64_t freshnessAgeMs_ = 0;
   /// Time since the store last answered the sender, which watches the store meanwhile.
   std::uint64_t answerAgeMs_ = 0;
   RowVersions newest_; ///< Versions that the sender holds.
--- a/peridotquay/version/StoreFeed.cpp
+++ b/peridotquay/version/StoreFeed.cpp
@@ -60,11 +60,11 @@
   aState.questionPending_ = false;
   aState.unanswered_ = 0;
   // Ages count from when the question was sent, and include suspension because the monotonic clock
-  // stops meanwhile. So a proof may look older than it is, but never younger.
+  // stops meanwhile. So the configuration may seem less fresh than it is, but never fresher.
   const Duration elapsed =
     (aNow - aState.questionSentAt_) + (aSuspended - aState.suspendedWhenSent_);
   const auto age = [&](std::uint64_t aMs) {
-    return elapsed + milliseconds(static_cast<std::int64_t>(std::min(aMs, kMaxProofAgeMs + 1)));
+    return elapsed + milliseconds(static_cast<std::int64_t>(std::min(aMs, kMaxFreshnessAgeMs + 1)));
   };
   const bool storeAnsweredSource = age(aAnswer.answerAgeMs_) <= aState.settings_.maxStoreAnswerAge_;
   const bool lacksConfig = aAnswer.newest_.config_ > aHeld.config_;
@@ -77,8 +77,8 @@
     result.readHosts_ = lacksHosts;
   }
   aState.followingSource_ = storeAnsweredSource && (aState.followingSource_ || !lacksConfig);
-  if (!lacksConfig && aAnswer.proofAgeMs_ <= kMaxProofAgeMs) {
-    result.provedAt_ = aNow - age(aAnswer.proofAgeMs_);
+  if (!lacksConfig && aAnswer.freshnessAgeMs_ <= kMaxFreshnessAgeMs) {
+    result.freshAt_ = aNow - age(aAnswer.freshnessAgeMs_);
   }
   return result;
 }
--- a/peridotquay/version/StoreFeed.h
+++ b/peridotquay/version/StoreFeed.h
@@ -1,6 +1,6 @@
 // Lets the hosts of a data centre share one reader of the platform's store, the source. Followers
-// ask the source for proof that what they hold is the newest and receive changed rows from it. A
-// host without a working source reads the store itself.
+// ask the source whether what they hold is the newest and receive changed rows from it. A host
+// without a working source reads the store itself.
 #pragma once
 
 #include "peridotquay/connection/PeerMessage.h"
@@ -25,10 +25,10 @@
   /// Consecutive unanswered questions after which the host reads the store itself.
   std::uint32_t maxUnanswered_ = 2;
   /// The source is not followed if the store's last answer to it is older than this. The source
-  /// asks the store every proofInterval_.
+  /// asks the store every freshnessInterval_.
   Duration maxStoreAnswerAge_ = milliseconds(1500);
-  /// Time between two reads by which a source proves that its configuration is the newest.
-  Duration proofInterval_ = milliseconds(700);
+  /// Time between two freshness checks of a source.
+  Duration freshnessInterval_ = milliseconds(700);
   /// A host counts as a source for this long after it received a question.
   Duration sourceLifetime_ = milliseconds(2000);
   /// Consecutive answers that name newer rows than the host holds after which it reads these rows
@@ -65,7 +65,7 @@
 /// What a host learns from an answer and must do about it.
 struct FeedAnswerResult
 {
-  std::optional<TimePoint> provedAt_; ///< When the held configuration was known to be the newest.
+  std::optional<TimePoint> freshAt_; ///< When the held configuration was known to be the newest.
   bool readConfig_ = false; ///< Read the configuration: a newer one exists but didn't arrive.
   bool readHosts_ = false;  ///< Read the rows of hosts: newer ones exist but didn't arrive.
   bool operator==(const FeedAnswerResult&) const = default;
--- a/tests/failure/UserFleetTest.cpp
+++ b/tests/failure/UserFleetTest.cpp
@@ -68,7 +68,7 @@
       CHECK(FindHeader(request.headers_, "X-Tenant-Id").value_or("none") == (open ? "none" : "t1"));
     }
   }
-  // An idle host proves its freshness to the store every 2.8 s and opens two watches every 20 s.
+  // An idle host checks its freshness with the store every 2.8 s and opens two watches every 20 s.
   CHECK(fleet.Store().CallCount() - calls < 16 * 8);
 }
 
@@ -299,7 +299,7 @@
     INFO("host " << host);
     CHECK(refused(host));
   }
-  // Only the four readers fetch the change and prove their freshness.
+  // Only the four readers fetch the change and check their freshness.
   CHECK(fleet.Store().CallCount() - calls < 4 * 8);
   for (const std::size_t reader : { 0, 1, 10, 11 }) {
     CHECK_FALSE(followed(reader));
@@ -320,7 +320,7 @@
 }
 
 // Guards against hosts that start to read the store themselves without opening a watch: they would
-// learn of a change only with their next freshness proof, up to 2.8 s later.
+// learn of a change only with their next freshness check, up to 2.8 s later.
 TEST_CASE("hosts that lost their reader learn of changes at once", "[users]")
 {
   UserFleet fleet(16);
@@ -349,9 +349,10 @@
   }
 }
 
-// Guards against a transfer of the document with every freshness proof while other rows of the
+// Guards against a transfer of the document with every freshness check while other rows of the
 // store change. Documents with many routes would fill the link between regions and delay changes.
-TEST_CASE("rows of other tables cause no transfer of the document with each proof", "[users]")
+TEST_CASE("rows of other tables cause no transfer of the document with each freshness check",
+          "[users]")
 {
   UserFleet fleet(8);
   REQUIRE(fleet.WaitReady());
@@ -361,7 +362,7 @@
     fleet.Store().Put("other", "row", std::to_string(i));
     std::this_thread::sleep_for(milliseconds(50));
   }
-  // Four readers prove their freshness every 0.7 s, and each transfers the document about once in
+  // Four readers check their freshness every 0.7 s, and each transfers the document about once in
   // 2.1 s.
   CHECK(fleet.Store().DocumentReads() - reads <= 4 * 3);
   for (std::size_t host = 0; host < fleet.Size(); ++host) {
--- a/tests/version/StoreFeedTest.cpp
+++ b/tests/version/StoreFeedTest.cpp
@@ -10,7 +10,7 @@
 const HostId kSource{ "h1" };
 const RowVersions kHeld{ 40, 70 };
 
-/// A host that asks h1 for proofs, with a simulated clock that advances by 100 ms.
+/// A host that asks h1 how fresh its rows are, with a simulated clock that advances by 100 ms.
 struct Follower
 {
   StoreFeedState state_;
@@ -36,41 +36,44 @@
   }
 
   FeedAnswerResult ReceiveAnswer(const FeedQuestion& aQuestion,
-                                 std::uint64_t aProofAgeMs,
+                                 std::uint64_t aFreshnessAgeMs,
                                  const RowVersions& aNewest = kHeld,
                                  std::uint64_t aAnswerAgeMs = 10)
   {
-    return ApplyFeedAnswer(
-      state_, { aQuestion.nonce_, aProofAgeMs, aAnswerAgeMs, aNewest }, held_, now_, suspended_);
+    return ApplyFeedAnswer(state_,
+                           { aQuestion.nonce_, aFreshnessAgeMs, aAnswerAgeMs, aNewest },
+                           held_,
+                           now_,
+                           suspended_);
   }
 };
 
 } // namespace
 
-// Guards against a proof whose age counts from when the answer arrived. A withdrawn key would then
-// be accepted longer, by the time that the answer took.
-TEST_CASE("the age of a proof includes the time since the question was sent", "[feed]")
+// Guards against a freshness age that counts from when the answer arrived. A withdrawn key would
+// then be accepted longer, by the time that the answer took.
+TEST_CASE("the freshness age includes the time since the question was sent", "[feed]")
 {
   Follower follower;
   const FeedQuestion question = follower.NextQuestion();
   const TimePoint sentAt = follower.now_;
   follower.now_ += milliseconds(80);
   const FeedAnswerResult result = follower.ReceiveAnswer(question, 300);
-  REQUIRE(result.provedAt_);
-  CHECK(*result.provedAt_ == sentAt - milliseconds(300));
+  REQUIRE(result.freshAt_);
+  CHECK(*result.freshAt_ == sentAt - milliseconds(300));
   CHECK(follower.state_.followingSource_);
 }
 
-// Guards against a host that is suspended between question and answer and then accepts the old
-// proof as a new one, because the monotonic clock stops during suspension.
-TEST_CASE("the age of a proof includes the time that the host was suspended", "[feed]")
+// Guards against a host that is suspended between question and answer and then takes the old answer
+// for a new one, because the monotonic clock stops during suspension.
+TEST_CASE("the freshness age includes the time that the host was suspended", "[feed]")
 {
   Follower follower;
   const FeedQuestion question = follower.NextQuestion();
   follower.suspended_ += seconds(4);
   const FeedAnswerResult result = follower.ReceiveAnswer(question, 10);
-  REQUIRE(result.provedAt_);
-  CHECK(*result.provedAt_ == follower.now_ - milliseconds(4010));
+  REQUIRE(result.freshAt_);
+  CHECK(*result.freshAt_ == follower.now_ - milliseconds(4010));
   CHECK_FALSE(follower.state_.followingSource_);
 }
 
@@ -110,18 +113,18 @@
   CHECK_FALSE(follower.state_.followingSource_);
 }
 
-// Guards against a proof that is dated by the store's last answer to the source. The source's own
-// proof can be older than that answer while other rows change. An age above the maximum means that
-// the source has no proof.
-TEST_CASE("a proof isn't newer than the proof of its source", "[feed]")
+// Guards against freshness that is dated by the store's last answer to the source. The source's
+// last freshness check can be older than that answer while other rows change. An age above the
+// maximum counts as unknown.
+TEST_CASE("a follower isn't fresher than its source", "[feed]")
 {
   Follower follower;
   const FeedAnswerResult old = follower.ReceiveAnswer(follower.NextQuestion(), 2600);
-  REQUIRE(old.provedAt_);
-  CHECK(*old.provedAt_ == follower.now_ - milliseconds(2600));
+  REQUIRE(old.freshAt_);
+  CHECK(*old.freshAt_ == follower.now_ - milliseconds(2600));
   CHECK(follower.state_.followingSource_);
-  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), kMaxProofAgeMs + 1).provedAt_);
-  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), ~std::uint64_t{ 0 }).provedAt_);
+  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), kMaxFreshnessAgeMs + 1).freshAt_);
+  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), ~std::uint64_t{ 0 }).freshAt_);
 }
 
 // Guards against an old configuration that is considered fresh, and against rows that never arrive
@@ -130,17 +133,17 @@
 {
   Follower follower;
   const FeedAnswerResult first = follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 70 });
-  CHECK_FALSE(first.provedAt_);
+  CHECK_FALSE(first.freshAt_);
   CHECK_FALSE(first.readConfig_);
   const FeedAnswerResult second = follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 });
-  CHECK_FALSE(second.provedAt_);
+  CHECK_FALSE(second.freshAt_);
   CHECK(second.readConfig_);
   CHECK(second.readHosts_);
   follower.held_ = { 41, 71 };
-  CHECK(follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 }).provedAt_);
-  // A host that holds a newer configuration than its source accepts the source's proof too.
+  CHECK(follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 }).freshAt_);
+  // A host with a newer configuration than its source accepts the source's freshness too.
   follower.held_ = { 45, 75 };
-  CHECK(follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 }).provedAt_);
+  CHECK(follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 }).freshAt_);
 }
 
 // Guards against a late or duplicate answer that is applied to a different question.
@@ -150,7 +153,7 @@
   const FeedQuestion first = follower.NextQuestion();
   const FeedQuestion second = follower.NextQuestion();
   CHECK(follower.ReceiveAnswer(first, 10) == FeedAnswerResult{});
-  CHECK(follower.ReceiveAnswer(second, 10).provedAt_);
+  CHECK(follower.ReceiveAnswer(second, 10).freshAt_);
   CHECK(follower.ReceiveAnswer(second, 10) == FeedAnswerResult{});
 }
 
@@ -167,8 +170,8 @@
   CHECK(follower.state_.followingSource_);
 }
 
-// Guards against a host that proves every 0.7 s although no other host asks it. The platform
-// charges for each of these reads.
+// Guards against a host that checks freshness every 0.7 s although no other host asks it. The
+// platform charges for each of these reads.
 TEST_CASE("a host is a source only while other hosts ask it", "[feed]")
 {
   StoreFeedState state;
