--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -250,12 +250,12 @@
 {
   std::uint64_t nonce_ = 0;
   Version version_ = 0;
-  /// Age, when sent, of the proof that version_ was the latest. Max value: no proof.
+  /// Time, when sent, since version_ was last known to be the latest. Max value: unknown.
   std::uint64_t ageMs_ = 0;
   std::vector<Change> changes_;
   bool snapshot_ = false; ///< changes_ holds one Change that replaces all entities.
-  /// Age of the proof that the sender can't reach the platform: time since the start of its last,
-  /// failed poll. Max value: no proof.
+  /// Age of the evidence that the sender can't reach the platform: time since the start of its
+  /// last, failed poll. Max value: no evidence.
   std::uint64_t outageAgeMs_ = ~std::uint64_t{ 0 };
   bool operator==(const SyncReply&) const = default;
 };
@@ -399,7 +399,7 @@
 {
   DataCentreId dataCentre_;
   Version version_ = 0;
-  std::uint64_t ageMs_ = 0; ///< Age of the proof that version_ was the latest.
+  std::uint64_t ageMs_ = 0; ///< Time since version_ was last confirmed to be the latest.
   bool platformReachable_ = false;
   /// Members changed since the last summary; every 10 s all members.
   std::vector<MemberEntry> members_;
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -1,4 +1,4 @@
-// Push tree, sync, freshness by proofs and outage evidence, watermark and contact rows.
+// Push tree, sync, freshness by confirmations and outage evidence, watermark and contact rows.
 #include "peridotquay/version/Dissemination.h"
 
 #include "peridotquay/version/ConfigCompiler.h"
@@ -64,29 +64,31 @@
   }
 }
 
-// Applies a proof. If its version isn't in force here yet, it is kept until that version is.
-void ApplyProof(Dissemination& aState, FreshnessProof aProof, DisseminationEffects& aEffects)
+// Applies a confirmation. If its version isn't in force here yet, it is kept until that version is.
+void ApplyConfirmation(Dissemination& aState,
+                       FreshnessConfirmation aConfirmation,
+                       DisseminationEffects& aEffects)
 {
-  aState.latestVersion_ = std::max(aState.latestVersion_, aProof.version_);
-  if (aState.inForce_ < aProof.version_) {
-    if (!aState.pendingProof_ || aState.pendingProof_->time_ < aProof.time_) {
-      aState.pendingProof_ = aProof;
+  aState.latestVersion_ = std::max(aState.latestVersion_, aConfirmation.version_);
+  if (aState.inForce_ < aConfirmation.version_) {
+    if (!aState.pendingConfirmation_ || aState.pendingConfirmation_->time_ < aConfirmation.time_) {
+      aState.pendingConfirmation_ = aConfirmation;
     }
     return;
   }
   const auto before = FreshAsOf(aState);
-  if (!aState.provenUntil_ || *aState.provenUntil_ < aProof.time_) {
-    aState.provenUntil_ = aProof.time_;
+  if (!aState.confirmedFreshAsOf_ || *aState.confirmedFreshAsOf_ < aConfirmation.time_) {
+    aState.confirmedFreshAsOf_ = aConfirmation.time_;
   }
   PublishFreshness(aState, before, aEffects);
 }
 
-void ApplyPendingProof(Dissemination& aState, DisseminationEffects& aEffects)
+void ApplyPendingConfirmation(Dissemination& aState, DisseminationEffects& aEffects)
 {
-  if (aState.pendingProof_ && aState.pendingProof_->version_ <= aState.inForce_) {
-    const auto proof = *aState.pendingProof_;
-    aState.pendingProof_.reset();
-    ApplyProof(aState, proof, aEffects);
+  if (aState.pendingConfirmation_ && aState.pendingConfirmation_->version_ <= aState.inForce_) {
+    const auto confirmation = *aState.pendingConfirmation_;
+    aState.pendingConfirmation_.reset();
+    ApplyConfirmation(aState, confirmation, aEffects);
   }
 }
 
@@ -121,7 +123,7 @@
   }
   aEffects.config_ = config;
   aEffects.events_.push_back({ EventKind::kVersionInForce, std::to_string(version) });
-  ApplyPendingProof(aState, aEffects);
+  ApplyPendingConfirmation(aState, aEffects);
 }
 
 // Applies the changes that follow version_ without a gap. Returns false at the first gap.
@@ -254,7 +256,7 @@
   }
 }
 
-// Rounds up, so that a proof never seems more recent than it is.
+// Rounds up, so that the time never seems more recent than it is.
 std::uint64_t AgeMs(const std::optional<TimePoint>& aTime, TimePoint aNow)
 {
   if (!aTime) {
@@ -293,7 +295,7 @@
 // failed. A delegate that sent nothing may still reach the platform, so its own report is required.
 std::optional<OutageEvidence> OwnOutage(const Dissemination& aState, TimePoint aNow)
 {
-  if (!IsDelegate(aState) || !aState.failedPollStartedAt_ || aState.pendingProof_ ||
+  if (!IsDelegate(aState) || !aState.failedPollStartedAt_ || aState.pendingConfirmation_ ||
       aState.inForce_ == 0) {
     return std::nullopt;
   }
@@ -327,12 +329,12 @@
   reply.version_ = aState.inForce_;
   // Extensions aren't reported to other data centres, because they would hide that this one doesn't
   // reach the platform.
-  reply.ageMs_ = AgeMs(fromOwnCentre ? FreshAsOf(aState) : aState.provenUntil_, aNow);
+  reply.ageMs_ = AgeMs(fromOwnCentre ? FreshAsOf(aState) : aState.confirmedFreshAsOf_, aNow);
   if (!fromOwnCentre) {
     if (const auto outage = OwnOutage(aState, aNow)) {
       reply.outageAgeMs_ = AgeMs(outage->time_, aNow);
     }
-  } else if (aState.failedPollStartedAt_ && !aState.pendingProof_) {
+  } else if (aState.failedPollStartedAt_ && !aState.pendingConfirmation_) {
     reply.outageAgeMs_ = AgeMs(aState.failedPollStartedAt_, aNow);
   }
   if (aRequest.version_ < aState.version_) {
@@ -390,7 +392,7 @@
 
 // Converts an age in a reply to a time of the local clock. The age is counted back from when the
 // request was sent, so that transit and pauses can only make the time earlier.
-std::optional<TimePoint> ProvenTime(TimePoint aSent, std::uint64_t aAgeMs)
+std::optional<TimePoint> TimeFromAge(TimePoint aSent, std::uint64_t aAgeMs)
 {
   const auto since = std::chrono::duration_cast<milliseconds>(aSent.time_since_epoch());
   if (aAgeMs == kUnknownAgeMs || aAgeMs > static_cast<std::uint64_t>(since.count())) {
@@ -426,10 +428,10 @@
       aState.nextSyncAt_ = aNow;
     }
   }
-  if (const auto time = ProvenTime(sent.sentAt_, aReply.ageMs_)) {
-    ApplyProof(aState, { aReply.version_, *time }, aEffects);
+  if (const auto time = TimeFromAge(sent.sentAt_, aReply.ageMs_)) {
+    ApplyConfirmation(aState, { aReply.version_, *time }, aEffects);
   }
-  const auto outage = ProvenTime(sent.sentAt_, aReply.outageAgeMs_);
+  const auto outage = TimeFromAge(sent.sentAt_, aReply.outageAgeMs_);
   const auto* other = OtherDelegate(aState);
   if (other != nullptr && other->host_ == sent.host_) {
     aState.otherDelegateOutage_.reset();
@@ -494,13 +496,14 @@
   return &members[parent];
 }
 
-// Syncs with other data centres if this node is a delegate without a recent proof.
+// Syncs with other data centres if this node is a delegate without a recent confirmation.
 void SyncWithOtherCentres(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
-  const bool proven = aState.provenUntil_ &&
-                      aNow - *aState.provenUntil_ < aState.settings_.maxProofAge_ &&
-                      !aState.pendingProof_;
-  if (proven || !IsDelegate(aState)) {
+  const bool confirmed =
+    aState.confirmedFreshAsOf_ &&
+    aNow - *aState.confirmedFreshAsOf_ < aState.settings_.maxConfirmationAge_ &&
+    !aState.pendingConfirmation_;
+  if (confirmed || !IsDelegate(aState)) {
     return;
   }
   for (const auto& [id, delegates] : aState.ranking_->delegates_) {
@@ -776,7 +779,7 @@
     }
     head = decoded.assume_value();
   }
-  ApplyProof(aState, { head, aAnswer.startedAt_ }, aEffects);
+  ApplyConfirmation(aState, { head, aAnswer.startedAt_ }, aEffects);
   if (aState.version_ < head) {
     StartFetch(aState, aEffects);
   } else {
@@ -966,16 +969,16 @@
 void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow)
 {
   aSummary.version_ = aState.inForce_;
-  aSummary.ageMs_ = AgeMs(aState.provenUntil_, aNow);
+  aSummary.ageMs_ = AgeMs(aState.confirmedFreshAsOf_, aNow);
   aSummary.platformReachable_ = aState.platformReachable_;
 }
 
 std::optional<TimePoint> FreshAsOf(const Dissemination& aState)
 {
-  if (!aState.provenUntil_ || !aState.extendedUntil_) {
-    return aState.provenUntil_ ? aState.provenUntil_ : aState.extendedUntil_;
+  if (!aState.confirmedFreshAsOf_ || !aState.extendedUntil_) {
+    return aState.confirmedFreshAsOf_ ? aState.confirmedFreshAsOf_ : aState.extendedUntil_;
   }
-  return std::max(*aState.provenUntil_, *aState.extendedUntil_);
+  return std::max(*aState.confirmedFreshAsOf_, *aState.extendedUntil_);
 }
 
 bool IsDelegate(const Dissemination& aState)
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -27,7 +27,7 @@
 
 namespace peridotquay {
 
-/// Value of SyncReply::ageMs_ and outageAgeMs_ if there is no proof.
+/// Value of SyncReply::ageMs_ without a confirmation, and of outageAgeMs_ without evidence.
 inline constexpr std::uint64_t kUnknownAgeMs = ~std::uint64_t{ 0 };
 
 /// Settings of dissemination.
@@ -39,8 +39,8 @@
                                          ///< not counted.
   /// A parent that didn't reply for this long is bypassed.
   Duration replyTimeout_ = milliseconds(2500);
-  Duration maxProofAge_ = seconds(2);      ///< With an older proof a delegate syncs with the
-                                           ///< delegates of other data centres.
+  Duration maxConfirmationAge_ = seconds(2); ///< With an older confirmation a delegate syncs with
+                                             ///< the delegates of other data centres.
   Duration contactInterval_ = seconds(10); ///< Between reads of contact rows, and at least between
                                            ///< writes of the own row.
   /// Between reads of contact rows while no other member is known.
@@ -57,12 +57,13 @@
   bool operator==(const DisseminationSettings&) const = default;
 };
 
-/// Proof that no version later than version_ had been accepted at time_.
-struct FreshnessProof
+/// Confirmation by a poll or sync reply that no version later than version_ had been accepted at
+/// time_.
+struct FreshnessConfirmation
 {
   Version version_ = 0;
   TimePoint time_{};
-  bool operator==(const FreshnessProof&) const = default;
+  bool operator==(const FreshnessConfirmation&) const = default;
 };
 
 /// Report of a child on its subtree.
@@ -83,7 +84,7 @@
   TimePoint sentAt_{};
 };
 
-/// Proof that a delegate or a whole data centre didn't reach the platform.
+/// Evidence that a delegate or a whole data centre didn't reach the platform.
 struct OutageEvidence
 {
   Version version_ = 0; ///< Version in force there.
@@ -122,12 +123,13 @@
   Duration freshnessBound_ = seconds(10); ///< Bound set by the configuration in force.
   std::set<DataCentreId> sites_;          ///< Data centres in the configuration in force.
 
-  /// Latest time at which a poll or a sync reply proves that inForce_ was the latest version.
-  std::optional<TimePoint> provenUntil_;
+  /// Latest time at which a poll or a sync reply confirmed that inForce_ was the latest version.
+  std::optional<TimePoint> confirmedFreshAsOf_;
   /// Latest time at which inForce_ counts as the latest version because no data centre reached the
   /// platform.
   std::optional<TimePoint> extendedUntil_;
-  std::optional<FreshnessProof> pendingProof_;   ///< Proof of a version not yet in force here.
+  /// Confirmation of a version not yet in force here.
+  std::optional<FreshnessConfirmation> pendingConfirmation_;
   std::optional<TimePoint> failedPollStartedAt_; ///< Start of the last poll, if it failed.
   /// Failed poll that the other delegate of this data centre reported.
   std::optional<OutageEvidence> otherDelegateOutage_;
@@ -225,8 +227,8 @@
 /// Sets version, freshness and platform state of a summary.
 void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow);
 
-/// The last time at which the configuration in force is known to have been the latest; empty
-/// without a proof.
+/// The last time at which the configuration in force is known to have been the latest; empty if
+/// there is none.
 std::optional<TimePoint> FreshAsOf(const Dissemination& aState);
 
 /// True if this node is a delegate.
