--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -214,7 +214,7 @@
   aVisit(aItem.config_, aItem.hosts_);
 }
 template<typename Visitor>
-void VisitFields(Visitor& aVisit, FeedQuestion& aItem)
+void VisitFields(Visitor& aVisit, FeedQuery& aItem)
 {
   aVisit(aItem.nonce_, aItem.held_);
 }
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -348,14 +348,14 @@
 
 /// Asks a host of the same data centre whether held_ is the newest content of the platform's store
 /// (datagram).
-struct FeedQuestion
+struct FeedQuery
 {
   std::uint64_t nonce_ = 0;
   RowVersions held_;
-  bool operator==(const FeedQuestion&) const = default;
+  bool operator==(const FeedQuery&) const = default;
 };
 
-/// Answer to a FeedQuestion (datagram).
+/// Answer to a FeedQuery (datagram).
 struct FeedAnswer
 {
   std::uint64_t nonce_ = 0;
@@ -452,7 +452,7 @@
                                  RequestHandover,
                                  RateReports,
                                  RateLevels,
-                                 FeedQuestion,
+                                 FeedQuery,
                                  FeedAnswer,
                                  FeedRows>;
 
--- a/peridotquay/version/StoreFeed.cpp
+++ b/peridotquay/version/StoreFeed.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-void RecordUnansweredQuestion(StoreFeedState& aState)
+void RecordUnansweredQuery(StoreFeedState& aState)
 {
-  aState.questionPending_ = false;
+  aState.queryPending_ = false;
   if (++aState.unanswered_ >= aState.settings_.maxUnanswered_) {
     aState.followingSource_ = false;
   }
@@ -17,16 +17,16 @@
 
 } // namespace
 
-std::optional<FeedQuestion> CollectDueQuestion(StoreFeedState& aState,
-                                               const std::optional<HostId>& aSource,
-                                               const RowVersions& aHeld,
-                                               TimePoint aNow,
-                                               Duration aSuspended)
+std::optional<FeedQuery> CollectDueQuery(StoreFeedState& aState,
+                                         const std::optional<HostId>& aSource,
+                                         const RowVersions& aHeld,
+                                         TimePoint aNow,
+                                         Duration aSuspended)
 {
   const StoreFeedSettings& settings = aState.settings_;
   if (aSource != aState.source_) {
     aState.source_ = aSource;
-    aState.questionPending_ = false;
+    aState.queryPending_ = false;
     aState.unanswered_ = 0;
     aState.answersWithMissingRows_ = 0;
     aState.followingSource_ = aState.followingSource_ && aSource.has_value();
@@ -34,17 +34,16 @@
   if (!aSource) {
     return std::nullopt;
   }
-  if (aState.questionPending_ && aNow - aState.questionSentAt_ >= settings.answerTimeout_) {
-    RecordUnansweredQuestion(aState);
-  } else if (aState.questionPending_ ||
-             aNow - aState.questionSentAt_ < settings.questionInterval_) {
+  if (aState.queryPending_ && aNow - aState.querySentAt_ >= settings.answerTimeout_) {
+    RecordUnansweredQuery(aState);
+  } else if (aState.queryPending_ || aNow - aState.querySentAt_ < settings.queryInterval_) {
     return std::nullopt;
   }
   ++aState.nonce_;
-  aState.questionPending_ = true;
-  aState.questionSentAt_ = aNow;
+  aState.queryPending_ = true;
+  aState.querySentAt_ = aNow;
   aState.suspendedWhenSent_ = aSuspended;
-  return FeedQuestion{ aState.nonce_, aHeld };
+  return FeedQuery{ aState.nonce_, aHeld };
 }
 
 FeedAnswerResult ApplyFeedAnswer(StoreFeedState& aState,
@@ -54,15 +53,14 @@
                                  Duration aSuspended)
 {
   FeedAnswerResult result;
-  if (!aState.questionPending_ || aAnswer.nonce_ != aState.nonce_) {
+  if (!aState.queryPending_ || aAnswer.nonce_ != aState.nonce_) {
     return result;
   }
-  aState.questionPending_ = false;
+  aState.queryPending_ = false;
   aState.unanswered_ = 0;
-  // Ages count from when the question was sent, and include suspension because the monotonic clock
+  // Ages count from when the query was sent, and include suspension because the monotonic clock
   // stops meanwhile. So the configuration may seem less fresh than it is, but never fresher.
-  const Duration elapsed =
-    (aNow - aState.questionSentAt_) + (aSuspended - aState.suspendedWhenSent_);
+  const Duration elapsed = (aNow - aState.querySentAt_) + (aSuspended - aState.suspendedWhenSent_);
   const auto age = [&](std::uint64_t aMs) {
     return elapsed + milliseconds(static_cast<std::int64_t>(std::min(aMs, kMaxFreshnessAgeMs + 1)));
   };
@@ -83,15 +81,15 @@
   return result;
 }
 
-void RecordFeedQuestion(StoreFeedState& aState, TimePoint aNow)
+void RecordFeedQuery(StoreFeedState& aState, TimePoint aNow)
 {
-  aState.lastQuestionReceivedAt_ = aNow;
+  aState.lastQueryReceivedAt_ = aNow;
 }
 
 bool IsFeedSource(const StoreFeedState& aState, TimePoint aNow)
 {
-  return aState.lastQuestionReceivedAt_ != TimePoint{} &&
-         aNow - aState.lastQuestionReceivedAt_ < aState.settings_.sourceLifetime_;
+  return aState.lastQueryReceivedAt_ != TimePoint{} &&
+         aNow - aState.lastQueryReceivedAt_ < aState.settings_.sourceLifetime_;
 }
 
 } // namespace peridotquay
--- a/peridotquay/version/StoreFeed.h
+++ b/peridotquay/version/StoreFeed.h
@@ -15,21 +15,21 @@
 /// Settings of the feed.
 struct StoreFeedSettings
 {
-  /// Time between two questions. A change must be in force 2.5 s after the store accepted it, even
-  /// if the source fails just before; the unanswered questions, one read of the store and the
+  /// Time between two queries. A change must be in force 2.5 s after the store accepted it, even
+  /// if the source fails just before; the unanswered queries, one read of the store and the
   /// intervals between them fit into that time.
-  Duration questionInterval_ = milliseconds(500);
-  /// A question without an answer after this time counts as unanswered. An answer within the data
+  Duration queryInterval_ = milliseconds(500);
+  /// A query without an answer after this time counts as unanswered. An answer within the data
   /// centre takes a few milliseconds.
   Duration answerTimeout_ = milliseconds(250);
-  /// Consecutive unanswered questions after which the host reads the store itself.
+  /// Consecutive unanswered queries after which the host reads the store itself.
   std::uint32_t maxUnanswered_ = 2;
   /// The source is not followed if the store's last answer to it is older than this. The source
   /// asks the store every freshnessInterval_.
   Duration maxStoreAnswerAge_ = milliseconds(1500);
   /// Time between two freshness checks of a source.
   Duration freshnessInterval_ = milliseconds(700);
-  /// A host counts as a source for this long after it received a question.
+  /// A host counts as a source for this long after it received a query.
   Duration sourceLifetime_ = milliseconds(2000);
   /// Consecutive answers that name newer rows than the host holds after which it reads these rows
   /// from the store.
@@ -44,23 +44,23 @@
   std::optional<HostId> source_; ///< Host to ask; empty if none is known.
   bool followingSource_ = false; ///< The source answers and the store recently answered it, so this
                                  ///< host needn't read the store.
-  std::uint64_t nonce_ = 0;      ///< Nonce of the last question.
-  bool questionPending_ = false; ///< The last question has neither an answer nor timed out.
-  TimePoint questionSentAt_{};   ///< When the last question was sent.
-  Duration suspendedWhenSent_{}; ///< Total suspension of this host when the last question was sent.
-  std::uint32_t unanswered_ = 0; ///< Consecutive unanswered questions.
+  std::uint64_t nonce_ = 0;      ///< Nonce of the last query.
+  bool queryPending_ = false;    ///< The last query has neither an answer nor timed out.
+  TimePoint querySentAt_{};      ///< When the last query was sent.
+  Duration suspendedWhenSent_{}; ///< Total suspension of this host when the last query was sent.
+  std::uint32_t unanswered_ = 0; ///< Consecutive unanswered queries.
   /// Consecutive answers that name rows this host lacks.
   std::uint32_t answersWithMissingRows_ = 0;
-  TimePoint lastQuestionReceivedAt_{}; ///< When another host last asked this one.
+  TimePoint lastQueryReceivedAt_{}; ///< When another host last asked this one.
 };
 
-/// Sets the host to ask and returns a question if one is due. Called every 100 ms.
+/// Sets the host to ask and returns a query if one is due. Called every 100 ms.
 /// aSuspended: total time that this host was suspended since it started.
-std::optional<FeedQuestion> CollectDueQuestion(StoreFeedState& aState,
-                                               const std::optional<HostId>& aSource,
-                                               const RowVersions& aHeld,
-                                               TimePoint aNow,
-                                               Duration aSuspended);
+std::optional<FeedQuery> CollectDueQuery(StoreFeedState& aState,
+                                         const std::optional<HostId>& aSource,
+                                         const RowVersions& aHeld,
+                                         TimePoint aNow,
+                                         Duration aSuspended);
 
 /// What a host learns from an answer and must do about it.
 struct FeedAnswerResult
@@ -71,7 +71,7 @@
   bool operator==(const FeedAnswerResult&) const = default;
 };
 
-/// Applies an answer to the last question. An answer to an earlier question has no effect.
+/// Applies an answer to the last query. An answer to an earlier query has no effect.
 FeedAnswerResult ApplyFeedAnswer(StoreFeedState& aState,
                                  const FeedAnswer& aAnswer,
                                  const RowVersions& aHeld,
@@ -79,7 +79,7 @@
                                  Duration aSuspended);
 
 /// Records that another host asked this one.
-void RecordFeedQuestion(StoreFeedState& aState, TimePoint aNow);
+void RecordFeedQuery(StoreFeedState& aState, TimePoint aNow);
 
 /// Whether other hosts rely on this host's reads of the store.
 bool IsFeedSource(const StoreFeedState& aState, TimePoint aNow);
--- a/tests/connection/PeerCodecTest.cpp
+++ b/tests/connection/PeerCodecTest.cpp
@@ -86,7 +86,7 @@
            DataCentreSummary{ { "dc1" }, 2, 100, true, { SampleMember() } },
            RateReports{ { "h2" }, { { { "h1" }, 7, 3, { { { "parish" }, 12 } } } } },
            RateLevels{ 7, 3, { { { "parish" }, 12 } } },
-           FeedQuestion{ 4, { 5, 6 } },
+           FeedQuery{ 4, { 5, 6 } },
            FeedAnswer{ 4, 700, 300, { 8, 9 } },
            FeedRows{ FeedTable::kHosts, 5, 8, { { "h1", std::string("\x80\0", 2), 8 } } },
            RequestHandover{
--- a/tests/version/StoreFeedTest.cpp
+++ b/tests/version/StoreFeedTest.cpp
@@ -18,33 +18,30 @@
   Duration suspended_{};
   RowVersions held_ = kHeld;
 
-  std::optional<FeedQuestion> Tick(const std::optional<HostId>& aSource = kSource)
+  std::optional<FeedQuery> Tick(const std::optional<HostId>& aSource = kSource)
   {
     now_ += milliseconds(100);
-    return CollectDueQuestion(state_, aSource, held_, now_, suspended_);
+    return CollectDueQuery(state_, aSource, held_, now_, suspended_);
   }
 
-  FeedQuestion NextQuestion()
+  FeedQuery NextQuery()
   {
     for (int i = 0; i < 20; ++i) {
-      if (const auto question = Tick()) {
-        return *question;
+      if (const auto query = Tick()) {
+        return *query;
       }
     }
-    FAIL("no question is due within 2 s");
+    FAIL("no query is due within 2 s");
     return {};
   }
 
-  FeedAnswerResult ReceiveAnswer(const FeedQuestion& aQuestion,
+  FeedAnswerResult ReceiveAnswer(const FeedQuery& aQuery,
                                  std::uint64_t aFreshnessAgeMs,
                                  const RowVersions& aNewest = kHeld,
                                  std::uint64_t aAnswerAgeMs = 10)
   {
-    return ApplyFeedAnswer(state_,
-                           { aQuestion.nonce_, aFreshnessAgeMs, aAnswerAgeMs, aNewest },
-                           held_,
-                           now_,
-                           suspended_);
+    return ApplyFeedAnswer(
+      state_, { aQuery.nonce_, aFreshnessAgeMs, aAnswerAgeMs, aNewest }, held_, now_, suspended_);
   }
 };
 
@@ -52,26 +49,26 @@
 
 // Guards against a freshness age that counts from when the answer arrived. A withdrawn key would
 // then be accepted longer, by the time that the answer took.
-TEST_CASE("the freshness age includes the time since the question was sent", "[feed]")
+TEST_CASE("the freshness age includes the time since the query was sent", "[feed]")
 {
   Follower follower;
-  const FeedQuestion question = follower.NextQuestion();
+  const FeedQuery query = follower.NextQuery();
   const TimePoint sentAt = follower.now_;
   follower.now_ += milliseconds(80);
-  const FeedAnswerResult result = follower.ReceiveAnswer(question, 300);
+  const FeedAnswerResult result = follower.ReceiveAnswer(query, 300);
   REQUIRE(result.freshAt_);
   CHECK(*result.freshAt_ == sentAt - milliseconds(300));
   CHECK(follower.state_.followingSource_);
 }
 
-// Guards against a host that is suspended between question and answer and then takes the old answer
+// Guards against a host that is suspended between query and answer and then takes the old answer
 // for a new one, because the monotonic clock stops during suspension.
 TEST_CASE("the freshness age includes the time that the host was suspended", "[feed]")
 {
   Follower follower;
-  const FeedQuestion question = follower.NextQuestion();
+  const FeedQuery query = follower.NextQuery();
   follower.suspended_ += seconds(4);
-  const FeedAnswerResult result = follower.ReceiveAnswer(question, 10);
+  const FeedAnswerResult result = follower.ReceiveAnswer(query, 10);
   REQUIRE(result.freshAt_);
   CHECK(*result.freshAt_ == follower.now_ - milliseconds(4010));
   CHECK_FALSE(follower.state_.followingSource_);
@@ -82,7 +79,7 @@
 TEST_CASE("a follower abandons a source that stops answering", "[feed]")
 {
   Follower follower;
-  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  follower.ReceiveAnswer(follower.NextQuery(), 10);
   REQUIRE(follower.state_.followingSource_);
   const TimePoint answered = follower.now_;
   while (follower.state_.followingSource_) {
@@ -90,11 +87,11 @@
     REQUIRE(follower.now_ - answered <= milliseconds(1200));
   }
   // One lost datagram isn't enough to abandon the source.
-  const FeedQuestion question = follower.NextQuestion();
-  follower.ReceiveAnswer(question, 10);
+  const FeedQuery query = follower.NextQuery();
+  follower.ReceiveAnswer(query, 10);
   REQUIRE(follower.state_.followingSource_);
-  follower.NextQuestion();
-  follower.NextQuestion();
+  follower.NextQuery();
+  follower.NextQuery();
   CHECK(follower.state_.followingSource_);
 }
 
@@ -103,13 +100,13 @@
 TEST_CASE("a follower abandons a source that the store doesn't answer", "[feed]")
 {
   Follower follower;
-  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  follower.ReceiveAnswer(follower.NextQuery(), 10);
   REQUIRE(follower.state_.followingSource_);
-  follower.ReceiveAnswer(follower.NextQuestion(), 10, kHeld, 1600);
+  follower.ReceiveAnswer(follower.NextQuery(), 10, kHeld, 1600);
   CHECK_FALSE(follower.state_.followingSource_);
   // The largest age comes from a source that the store hasn't answered yet, or from a corrupt
   // counter. It must not overflow.
-  follower.ReceiveAnswer(follower.NextQuestion(), 10, kHeld, ~std::uint64_t{ 0 });
+  follower.ReceiveAnswer(follower.NextQuery(), 10, kHeld, ~std::uint64_t{ 0 });
   CHECK_FALSE(follower.state_.followingSource_);
 }
 
@@ -119,12 +116,12 @@
 TEST_CASE("a follower isn't fresher than its source", "[feed]")
 {
   Follower follower;
-  const FeedAnswerResult old = follower.ReceiveAnswer(follower.NextQuestion(), 2600);
+  const FeedAnswerResult old = follower.ReceiveAnswer(follower.NextQuery(), 2600);
   REQUIRE(old.freshAt_);
   CHECK(*old.freshAt_ == follower.now_ - milliseconds(2600));
   CHECK(follower.state_.followingSource_);
-  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), kMaxFreshnessAgeMs + 1).freshAt_);
-  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), ~std::uint64_t{ 0 }).freshAt_);
+  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuery(), kMaxFreshnessAgeMs + 1).freshAt_);
+  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuery(), ~std::uint64_t{ 0 }).freshAt_);
 }
 
 // Guards against an old configuration that is considered fresh, and against rows that never arrive
@@ -132,26 +129,26 @@
 TEST_CASE("a follower reads rows that its source names but that don't arrive", "[feed]")
 {
   Follower follower;
-  const FeedAnswerResult first = follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 70 });
+  const FeedAnswerResult first = follower.ReceiveAnswer(follower.NextQuery(), 10, { 41, 70 });
   CHECK_FALSE(first.freshAt_);
   CHECK_FALSE(first.readConfig_);
-  const FeedAnswerResult second = follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 });
+  const FeedAnswerResult second = follower.ReceiveAnswer(follower.NextQuery(), 10, { 41, 71 });
   CHECK_FALSE(second.freshAt_);
   CHECK(second.readConfig_);
   CHECK(second.readHosts_);
   follower.held_ = { 41, 71 };
-  CHECK(follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 }).freshAt_);
+  CHECK(follower.ReceiveAnswer(follower.NextQuery(), 10, { 41, 71 }).freshAt_);
   // A host with a newer configuration than its source accepts the source's freshness too.
   follower.held_ = { 45, 75 };
-  CHECK(follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 }).freshAt_);
+  CHECK(follower.ReceiveAnswer(follower.NextQuery(), 10, { 41, 71 }).freshAt_);
 }
 
-// Guards against a late or duplicate answer that is applied to a different question.
-TEST_CASE("only the first answer to the last question is applied", "[feed]")
+// Guards against a late or duplicate answer that is applied to a different query.
+TEST_CASE("only the first answer to the last query is applied", "[feed]")
 {
   Follower follower;
-  const FeedQuestion first = follower.NextQuestion();
-  const FeedQuestion second = follower.NextQuestion();
+  const FeedQuery first = follower.NextQuery();
+  const FeedQuery second = follower.NextQuery();
   CHECK(follower.ReceiveAnswer(first, 10) == FeedAnswerResult{});
   CHECK(follower.ReceiveAnswer(second, 10).freshAt_);
   CHECK(follower.ReceiveAnswer(second, 10) == FeedAnswerResult{});
@@ -161,11 +158,11 @@
 TEST_CASE("a host without a source reads the store itself", "[feed]")
 {
   Follower follower;
-  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  follower.ReceiveAnswer(follower.NextQuery(), 10);
   CHECK_FALSE(follower.Tick(std::nullopt));
   CHECK_FALSE(follower.state_.followingSource_);
   // A change of the source doesn't interrupt following; the new source may still be abandoned.
-  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  follower.ReceiveAnswer(follower.NextQuery(), 10);
   follower.Tick(HostId{ "h2" });
   CHECK(follower.state_.followingSource_);
 }
@@ -177,7 +174,7 @@
   StoreFeedState state;
   const TimePoint now{ seconds(50) };
   CHECK_FALSE(IsFeedSource(state, now));
-  RecordFeedQuestion(state, now);
+  RecordFeedQuery(state, now);
   CHECK(IsFeedSource(state, now + milliseconds(1900)));
   CHECK_FALSE(IsFeedSource(state, now + milliseconds(2100)));
 }
