--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -380,7 +380,7 @@
   }
   const TimePoint now = loop_.Now();
   if (settings_.naive_) {
-    if (TakeNaiveToken(naive_, aCall->config_->clientAccounts_.at(account), now)) {
+    if (TryConsumeNaiveRateToken(naive_, aCall->config_->clientAccounts_.at(account), now)) {
       StartCall(aCall);
     } else {
       metrics_.Add(Counter::kRefusedRate);
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -208,7 +208,7 @@
     return false;
   }
   if (settings_.naive_) {
-    return NaiveRetries(aCall->retries_);
+    return AllowNaiveRetry(aCall->retries_);
   }
   if (!dialect_.hasContexts_ && !aReachedTarget) {
     // No target has seen the call, so sending it elsewhere adds no load to any.
--- a/peridotquay/request/NaivePolicy.cpp
+++ b/peridotquay/request/NaivePolicy.cpp
@@ -17,7 +17,7 @@
   return found->second[position % found->second.size()];
 }
 
-bool TakeNaiveToken(NaiveState& aState, const ClientAccount& aAccount, TimePoint aNow)
+bool TryConsumeNaiveRateToken(NaiveState& aState, const ClientAccount& aAccount, TimePoint aNow)
 {
   const auto [entry, isNew] = aState.buckets_.try_emplace(aAccount.id_);
   NaiveBucket& bucket = entry->second;
@@ -36,7 +36,7 @@
   return true;
 }
 
-bool NaiveRetries(std::uint32_t aRetries)
+bool AllowNaiveRetry(std::uint32_t aRetries)
 {
   return aRetries < kNaiveRetries;
 }
--- a/peridotquay/request/NaivePolicy.h
+++ b/peridotquay/request/NaivePolicy.h
@@ -36,9 +36,10 @@
                                         const ServiceId& aService);
 
 /// Consumes one token of this process's bucket, which has the account's full rate and burst.
-bool TakeNaiveToken(NaiveState& aState, const ClientAccount& aAccount, TimePoint aNow);
+/// Returns false if the bucket has none.
+bool TryConsumeNaiveRateToken(NaiveState& aState, const ClientAccount& aAccount, TimePoint aNow);
 
 /// Whether a failed call is retried after aRetries retries at this hop.
-bool NaiveRetries(std::uint32_t aRetries);
+bool AllowNaiveRetry(std::uint32_t aRetries);
 
 } // namespace peridotquay
--- a/tests/request/NaivePolicyTest.cpp
+++ b/tests/request/NaivePolicyTest.cpp
@@ -34,10 +34,10 @@
   const TimePoint start{ seconds(50) };
   int consumed = 0;
   for (int ms = 0; ms <= 2000; ++ms) {
-    consumed += TakeNaiveToken(state, account, start + milliseconds(ms)) ? 1 : 0;
+    consumed += TryConsumeNaiveRateToken(state, account, start + milliseconds(ms)) ? 1 : 0;
   }
   CHECK(consumed >= 219);
   CHECK(consumed <= 220);
-  CHECK(NaiveRetries(2));
-  CHECK_FALSE(NaiveRetries(3));
+  CHECK(AllowNaiveRetry(2));
+  CHECK_FALSE(AllowNaiveRetry(3));
 }
