--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -277,7 +277,7 @@
       RefuseExchange(aExchange, { ErrorCode::kRouteNotAllowed });
       return;
     }
-    if (context->depth_ >= kMaxDepth) {
+    if (context->depth_ >= kMaxCallDepth) {
       RefuseExchange(aExchange, { ErrorCode::kDepthExceeded });
       return;
     }
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -112,7 +112,7 @@
     Refuse(number, ErrorCode::kNoTarget, 0);
     return;
   }
-  if (aCall.depth_ > kMaxDepth) {
+  if (aCall.depth_ > kMaxCallDepth) {
     Refuse(number, ErrorCode::kDepthExceeded, 0);
     return;
   }
--- a/peridotquay/request/CallContext.cpp
+++ b/peridotquay/request/CallContext.cpp
@@ -14,8 +14,8 @@
   if (aTable.contexts_.size() >= kMaxContexts) {
     return Fail(ErrorCode::kLimitReached, "call contexts", std::to_string(kMaxContexts));
   }
-  if (aContext.depth_ > kMaxDepth) {
-    return Fail(ErrorCode::kDepthExceeded, "call depth", std::to_string(int{ kMaxDepth }));
+  if (aContext.depth_ > kMaxCallDepth) {
+    return Fail(ErrorCode::kDepthExceeded, "call depth", std::to_string(int{ kMaxCallDepth }));
   }
   if (!aTable.contexts_.emplace(std::move(aToken), aContext).second) {
     return Fail(ErrorCode::kLimitReached, "call context token in use");
--- a/peridotquay/request/CallContext.h
+++ b/peridotquay/request/CallContext.h
@@ -16,7 +16,7 @@
 namespace peridotquay {
 
 /// Maximum depth of a chain of calls.
-inline constexpr std::uint8_t kMaxDepth = 8;
+inline constexpr std::uint8_t kMaxCallDepth = 8;
 
 /// Maximum number of contexts; calls beyond it are refused.
 inline constexpr std::size_t kMaxContexts = 8192;
--- a/tests/request/CallContextTest.cpp
+++ b/tests/request/CallContextTest.cpp
@@ -52,7 +52,7 @@
   CloseContext(table, "7");
   CHECK_FALSE(OpenContext(table, "8", {}));
   CallContext deep;
-  deep.depth_ = kMaxDepth + 1;
+  deep.depth_ = kMaxCallDepth + 1;
   const auto tooDeep = OpenContext(table, "7", deep);
   REQUIRE_FALSE(tooDeep);
   CHECK(tooDeep.assume_error().code_ == ErrorCode::kDepthExceeded);
