--- a/peridotquay/connection/TargetClient.cpp
+++ b/peridotquay/connection/TargetClient.cpp
@@ -83,11 +83,13 @@
   {
   }
 
-  void StartRequest(std::uint64_t aNumber, const HttpRequest& aRequest, TargetClient::Done aDone)
+  void StartRequest(std::uint64_t aNumber,
+                    const HttpRequest& aRequest,
+                    TargetClient::CompletionHandler aHandler)
   {
     const auto client = client_.lock();
     requestNumber_ = aNumber;
-    completionHandler_ = std::move(aDone);
+    completionHandler_ = std::move(aHandler);
     result_ = {};
     writeStarted_ = false;
     fullyWritten_ = false;
@@ -345,7 +347,7 @@
   void End(TargetRequestStatus aStatus)
   {
     const auto client = client_.lock();
-    auto done = std::move(completionHandler_);
+    auto handler = std::move(completionHandler_);
     completionHandler_ = nullptr;
     const auto self = shared_from_this();
     if (client) {
@@ -359,8 +361,8 @@
     } else {
       Close();
     }
-    if (done) {
-      done(std::move(result));
+    if (handler) {
+      handler(std::move(result));
     }
   }
 
@@ -379,7 +381,7 @@
   std::string unparsed_;
   std::string writeBuffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
-  TargetClient::Done completionHandler_; ///< Set while a request is running.
+  TargetClient::CompletionHandler completionHandler_; ///< Set while a request is running.
   TargetResult result_;
   TimePoint connectStartedAt_{};
   TimePoint idleSince_{};
@@ -417,7 +419,9 @@
   state_->busyConnections_.clear();
 }
 
-std::uint64_t TargetClient::Send(const HttpRequest& aRequest, Done aDone, ConnectionReuse aReuse)
+std::uint64_t TargetClient::Send(const HttpRequest& aRequest,
+                                 CompletionHandler aHandler,
+                                 ConnectionReuse aReuse)
 {
   const std::uint64_t number = state_->nextRequest_++;
   const TargetClientSettings& settings = state_->settings_;
@@ -436,11 +440,11 @@
     }
     connection = std::make_shared<TargetConnection>(state_);
   } else {
-    state_->loop_.Post([done = std::move(aDone)] { done(TargetResult{}); });
+    state_->loop_.Post([handler = std::move(aHandler)] { handler(TargetResult{}); });
     return number;
   }
   state_->busyConnections_.emplace(number, connection);
-  connection->StartRequest(number, aRequest, std::move(aDone));
+  connection->StartRequest(number, aRequest, std::move(aHandler));
   return number;
 }
 
--- a/peridotquay/connection/TargetClient.h
+++ b/peridotquay/connection/TargetClient.h
@@ -62,18 +62,18 @@
 class TargetClient
 {
 public:
-  /// Completion handler of a request.
-  using Done = std::function<void(TargetResult)>;
+  /// Receives the result of a request.
+  using CompletionHandler = std::function<void(TargetResult)>;
 
   TargetClient(EventLoop& aLoop, const TargetClientSettings& aSettings);
   TargetClient(const TargetClient&) = delete;
   TargetClient& operator=(const TargetClient&) = delete;
   ~TargetClient();
 
-  /// Sends a request and returns its number for Cancel. aDone is called once, but not from within
-  /// Send and not after Cancel.
+  /// Sends a request and returns its number for Cancel. aHandler is called once, but not from
+  /// within Send and not after Cancel.
   std::uint64_t Send(const HttpRequest& aRequest,
-                     Done aDone,
+                     CompletionHandler aHandler,
                      ConnectionReuse aReuse = ConnectionReuse::kAny);
   /// Cancels a request by closing its connection. Returns true if a byte of it may have been sent.
   bool Cancel(std::uint64_t aRequest);
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -322,7 +322,7 @@
     aCall->call_.headers_.emplace_back("Quay-Request-Id", aCall->requestId_);
   }
   aCall->call_.body_ = std::move(request.body_);
-  aCall->done_ = [this, aExchange, call = aCall.get()](const Answer& aAnswer) {
+  aCall->completionHandler_ = [this, aExchange, call = aCall.get()](const Answer& aAnswer) {
     Respond(aExchange, *call, aAnswer);
   };
   calls_.emplace(aCall.get(), aCall);
--- a/peridotquay/process/Dispatcher.h
+++ b/peridotquay/process/Dispatcher.h
@@ -38,8 +38,8 @@
 class Dispatcher
 {
 public:
-  /// Completion handler; receives the final answer of a call.
-  using Done = std::function<void(const Answer&)>;
+  /// Receives the final answer of a call.
+  using CompletionHandler = std::function<void(const Answer&)>;
 
   Dispatcher(EventLoop& aLoop,
              const NodeSettings& aSettings,
@@ -57,7 +57,7 @@
   /// Handles a deeper call of the local target.
   void OnOutboundRequest(const std::shared_ptr<HttpExchange>& aExchange);
   /// Handles a caller's request that another host forwarded because this host issued its id.
-  void OnOwnerCall(OwnerCall aCall, Done aDone);
+  void OnOwnerCall(OwnerCall aCall, CompletionHandler aHandler);
   /// Handles an answer from a peer link, or from the local guard as link 0. An answer that no call
   /// expects on that link is dropped and counted.
   void OnAnswer(Answer aAnswer, std::uint64_t aLink);
@@ -107,7 +107,7 @@
     std::shared_ptr<const Config> config_; ///< Keeps route_ alive.
     const Route* route_ = nullptr;
     Call call_; ///< As sent to guards; the call id is set for each attempt.
-    Done done_;
+    CompletionHandler completionHandler_;
     TimePoint arrivedAt_{};
     TimePoint deadline_{};
     std::uint64_t deadlineTimer_ = 0;
--- a/peridotquay/process/DispatcherEnd.cpp
+++ b/peridotquay/process/DispatcherEnd.cpp
@@ -175,10 +175,10 @@
     metrics_.RecordRouteTime(call.call_.route_.value_, time);
   }
   LogEnd(call, aAnswer);
-  const Done done = std::move(call.done_);
-  call.done_ = nullptr;
-  if (done) {
-    done(aAnswer);
+  const CompletionHandler handler = std::move(call.completionHandler_);
+  call.completionHandler_ = nullptr;
+  if (handler) {
+    handler(aAnswer);
   }
 }
 
--- a/peridotquay/process/DispatcherRequestIds.cpp
+++ b/peridotquay/process/DispatcherRequestIds.cpp
@@ -109,14 +109,14 @@
   hub_.SendCall(aOwner, aCall->attemptCallId_, OwnerCall{ aCall->requestId_, aCall->call_ });
 }
 
-void Dispatcher::OnOwnerCall(OwnerCall aCall, Done aDone)
+void Dispatcher::OnOwnerCall(OwnerCall aCall, CompletionHandler aHandler)
 {
   metrics_.Add(Counter::kOwnerCalls);
   auto call = std::make_shared<ActiveCall>();
   const auto refuse = [&](ErrorCode aCode) {
     Answer answer = MakeAnswer(Outcome::kNotRun, aCode);
     answer.retriesUnused_ = aCall.call_.retries_;
-    aDone(answer);
+    aHandler(answer);
   };
   if (!config_) {
     refuse(ErrorCode::kConfigurationNotFresh);
@@ -136,7 +136,7 @@
   call->call_.repeatable_ = false;
   // Prevents a second forwarding: hosts with different views could forward in a loop.
   call->isOwnerCall_ = true;
-  call->done_ = std::move(aDone);
+  call->completionHandler_ = std::move(aHandler);
   calls_.emplace(call.get(), call);
   call->deadlineTimer_ =
     loop_.After(call->deadline_ - call->arrivedAt_, [this, weak = std::weak_ptr(call)] {
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -93,14 +93,16 @@
 
 Guard::~Guard() = default;
 
-void Guard::Run(const Call& aCall, const std::function<void(std::uint64_t)>& aStarted, Done aDone)
+void Guard::Run(const Call& aCall,
+                const std::function<void(std::uint64_t)>& aStarted,
+                CompletionHandler aHandler)
 {
   const std::uint64_t number = nextCallNumber_++;
   const TimePoint now = loop_.Now();
   metrics_.Add(Counter::kGuardCalls);
   GuardedCall& guardedCall = calls_[number];
   guardedCall.call_ = aCall;
-  guardedCall.done_ = std::move(aDone);
+  guardedCall.completionHandler_ = std::move(aHandler);
   guardedCall.arrivedAt_ = now;
   guardedCall.deadline_ = now + milliseconds(aCall.deadlineMs_);
   aStarted(number);
@@ -273,9 +275,9 @@
   Answer answer = RefusedAnswer(entry->second.call_, aCode, aRetryAfterMs);
   FillLoad(answer);
   LogEnd(entry->second, answer);
-  const Done done = std::move(entry->second.done_);
+  const CompletionHandler handler = std::move(entry->second.completionHandler_);
   calls_.erase(entry);
-  done(std::move(answer));
+  handler(std::move(answer));
 }
 
 void Guard::Finish(std::uint64_t aCallNumber, ExecutionResult aExecutionResult, Answer aAnswer)
@@ -304,8 +306,8 @@
   }
   FillLoad(aAnswer);
   LogEnd(guardedCall, aAnswer);
-  if (guardedCall.done_) {
-    guardedCall.done_(std::move(aAnswer));
+  if (guardedCall.completionHandler_) {
+    guardedCall.completionHandler_(std::move(aAnswer));
   }
   Apply(actions);
 }
@@ -475,7 +477,7 @@
     return;
   }
   GuardedCall& guardedCall = entry->second;
-  guardedCall.done_ = nullptr;
+  guardedCall.completionHandler_ = nullptr;
   if (guardedCall.targetRequest_ == 0) {
     CancelWaiting(admission_, aCallNumber);
     loop_.CancelTimer(guardedCall.deadlineTimer_);
@@ -550,12 +552,12 @@
   }
 }
 
-void Guard::Poll(std::function<void(const TargetHealth&)> aDone)
+void Guard::Poll(std::function<void(const TargetHealth&)> aHandler)
 {
-  auto done = std::make_shared<std::function<void(const TargetHealth&)>>(std::move(aDone));
+  auto handler = std::make_shared<std::function<void(const TargetHealth&)>>(std::move(aHandler));
   auto timer = std::make_shared<std::uint64_t>(0);
   const auto request = pollClient_.Send(
-    { "GET", "/health", {}, "" }, [this, done, timer](const TargetResult& aHealth) {
+    { "GET", "/health", {}, "" }, [this, handler, timer](const TargetResult& aHealth) {
       if (aHealth.requestStatus_ == TargetRequestStatus::kNotSent) {
         ++health_.failedPolls_;
         if (health_.failedPolls_ >= kMaxFailedPolls) {
@@ -580,19 +582,19 @@
       }
       loop_.CancelTimer(*timer);
       const auto load = pollClient_.Send({ "GET", "/load", {}, "" },
-                                         [this, done, timer](const TargetResult& aLoad) {
+                                         [this, handler, timer](const TargetResult& aLoad) {
                                            loop_.CancelTimer(*timer);
                                            ReadLoad(aLoad);
-                                           (*done)(health_);
+                                           (*handler)(health_);
                                          });
-      *timer = loop_.After(kPollTimeout, [this, done, load] {
+      *timer = loop_.After(kPollTimeout, [this, handler, load] {
         pollClient_.Cancel(load);
-        (*done)(health_);
+        (*handler)(health_);
       });
     });
-  *timer = loop_.After(kPollTimeout, [this, done, request] {
+  *timer = loop_.After(kPollTimeout, [this, handler, request] {
     pollClient_.Cancel(request);
-    (*done)(health_);
+    (*handler)(health_);
   });
 }
 
--- a/peridotquay/process/Guard.h
+++ b/peridotquay/process/Guard.h
@@ -48,8 +48,8 @@
 class Guard
 {
 public:
-  /// Completion handler; receives the answer of a call. May be called from within Run.
-  using Done = std::function<void(Answer)>;
+  /// Receives the answer of a call. May be called from within Run.
+  using CompletionHandler = std::function<void(Answer)>;
 
   Guard(EventLoop& aLoop,
         const NodeSettings& aSettings,
@@ -60,8 +60,10 @@
   ~Guard();
 
   /// Runs, queues or refuses a call. aStarted receives the number for Cancel before anything else
-  /// happens. aDone is called once, unless the call is cancelled first.
-  void Run(const Call& aCall, const std::function<void(std::uint64_t)>& aStarted, Done aDone);
+  /// happens. aHandler is called once, unless the call is cancelled first.
+  void Run(const Call& aCall,
+           const std::function<void(std::uint64_t)>& aStarted,
+           CompletionHandler aHandler);
   /// Cancels a call: removes it from the queue, or closes its connection to the target.
   void Cancel(std::uint64_t aCallNumber);
   /// Ends all calls: refuses those that wait, ends those that run with outcome unknown.
@@ -73,8 +75,8 @@
   /// Applies the announced state of the target. While the target drains or is gone, all calls are
   /// refused with kDraining, including those that wait.
   void SetTarget(const LocalTarget& aTarget);
-  /// Queries the target's health and load endpoints, then calls aDone with the resulting health.
-  void Poll(std::function<void(const TargetHealth&)> aDone);
+  /// Queries the target's health and load endpoints, then calls aHandler with the resulting health.
+  void Poll(std::function<void(const TargetHealth&)> aHandler);
 
   /// The context of a running call; null if the token is unknown.
   CallContext* Context(std::string_view aToken);
@@ -92,7 +94,7 @@
   struct GuardedCall
   {
     Call call_;
-    Done done_;
+    CompletionHandler completionHandler_;
     TimePoint arrivedAt_{};
     TimePoint startedAt_{};
     TimePoint deadline_{};
