--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -60,7 +60,7 @@
          aItem.limit_,
          aItem.queued_,
          aItem.level_,
-         aItem.failedPercent_);
+         aItem.failurePercent_);
 }
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, Cancel& aItem)
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -88,7 +88,7 @@
   std::uint32_t queued_ = 0;        ///< Calls queued at the guard.
   AdmissionLevel level_;
   /// Percentage of the target's recent answers that were failures.
-  std::uint32_t failedPercent_ = 0;
+  std::uint32_t failurePercent_ = 0;
   bool operator==(const Answer&) const = default;
 };
 
--- a/peridotquay/process/DispatcherAttempts.cpp
+++ b/peridotquay/process/DispatcherAttempts.cpp
@@ -155,7 +155,7 @@
                   aAnswer == nullptr ? -1 : ReportedLoadFraction(*aAnswer),
                   now);
   if (aAnswer != nullptr && aAnswer->limit_ != 0) {
-    RecordFailureFraction(routing_, call.target_, aAnswer->failedPercent_ / 100.0, now);
+    RecordFailureFraction(routing_, call.target_, aAnswer->failurePercent_ / 100.0, now);
     const auto [level, isNew] = admissionLevels_.try_emplace(call.target_.host_);
     if (isNew) {
       // Each guard has its own random sequence, so that probes of several guards don't coincide.
--- a/peridotquay/process/Guard.cpp
+++ b/peridotquay/process/Guard.cpp
@@ -368,7 +368,7 @@
   aAnswer.limit_ = static_cast<std::uint32_t>(admission_.limit_);
   aAnswer.queued_ = static_cast<std::uint32_t>(admission_.queued_);
   aAnswer.level_ = CurrentAdmissionLevel(admission_, loop_.Now());
-  aAnswer.failedPercent_ = FailedPercent(failures_, loop_.Now());
+  aAnswer.failurePercent_ = FailurePercent(failures_, loop_.Now());
 }
 
 void Guard::ScheduleQueueCheck()
--- a/peridotquay/request/FailureMeter.cpp
+++ b/peridotquay/request/FailureMeter.cpp
@@ -28,7 +28,7 @@
   aMeter.updated_ = aNow;
 }
 
-std::uint32_t FailedPercent(const FailureMeter& aMeter, TimePoint aNow)
+std::uint32_t FailurePercent(const FailureMeter& aMeter, TimePoint aNow)
 {
   if (aMeter.total_ * Decay(aMeter, aNow) < kMinAnswers) {
     return 0;
--- a/peridotquay/request/FailureMeter.h
+++ b/peridotquay/request/FailureMeter.h
@@ -19,6 +19,6 @@
 void RecordAnswer(FailureMeter& aMeter, bool aFailed, TimePoint aNow);
 
 /// Percentage of recent answers that failed; 0 if there are too few answers.
-std::uint32_t FailedPercent(const FailureMeter& aMeter, TimePoint aNow);
+std::uint32_t FailurePercent(const FailureMeter& aMeter, TimePoint aNow);
 
 } // namespace peridotquay
--- a/tests/request/FailureMeterTest.cpp
+++ b/tests/request/FailureMeterTest.cpp
@@ -17,11 +17,11 @@
 {
   FailureMeter meter;
   RecordAnswer(meter, true, kStart);
-  CHECK(FailedPercent(meter, kStart) == 0);
+  CHECK(FailurePercent(meter, kStart) == 0);
   for (int i = 0; i < 9; ++i) {
     RecordAnswer(meter, i % 2 == 0, kStart);
   }
-  CHECK(FailedPercent(meter, kStart) == 60);
+  CHECK(FailurePercent(meter, kStart) == 60);
 }
 
 // Guards against old failures that still count after the target recovered.
@@ -36,6 +36,6 @@
     now += milliseconds(100);
     RecordAnswer(meter, false, now);
   }
-  CHECK(FailedPercent(meter, now) < 20);
-  CHECK(FailedPercent(meter, now + seconds(10)) == 0);
+  CHECK(FailurePercent(meter, now) < 20);
+  CHECK(FailurePercent(meter, now + seconds(10)) == 0);
 }
