--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -143,7 +143,7 @@
   aVisit(aItem.version_,
          aItem.operatorName_,
          aItem.operationId_,
-         aItem.wallMs_,
+         aItem.wallTimeMs_,
          aItem.summary_,
          aItem.edits_);
 }
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -227,7 +227,7 @@
   std::string operatorName_;
   std::string operationId_;
   /// Operator's wall clock in milliseconds since 1970; informative only.
-  std::uint64_t wallMs_ = 0;
+  std::uint64_t wallTimeMs_ = 0;
   std::string summary_;
   std::vector<EntityEdit> edits_;
   bool operator==(const Change&) const = default;
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -63,16 +63,16 @@
 
 Json ChangeJson(const Change& aChange)
 {
-  return { { "version", aChange.version_ },      { "operator", aChange.operatorName_ },
-           { "time", UtcTime(aChange.wallMs_) }, { "operation_id", aChange.operationId_ },
-           { "summary", aChange.summary_ },      { "edits", EditsJson(aChange.edits_) } };
+  return { { "version", aChange.version_ },          { "operator", aChange.operatorName_ },
+           { "time", UtcTime(aChange.wallTimeMs_) }, { "operation_id", aChange.operationId_ },
+           { "summary", aChange.summary_ },          { "edits", EditsJson(aChange.edits_) } };
 }
 
 std::string ChangeText(const Change& aChange)
 {
-  return "version " + std::to_string(aChange.version_) + " " + UtcTime(aChange.wallMs_) + " by " +
-         aChange.operatorName_ + ": " + aChange.summary_ + " (operation " + aChange.operationId_ +
-         ")\n" + EditsText(aChange.edits_);
+  return "version " + std::to_string(aChange.version_) + " " + UtcTime(aChange.wallTimeMs_) +
+         " by " + aChange.operatorName_ + ": " + aChange.summary_ + " (operation " +
+         aChange.operationId_ + ")\n" + EditsText(aChange.edits_);
 }
 
 /// Reports that a change was written for a version that is no longer the latest: the latest version
@@ -203,7 +203,7 @@
   change.operatorName_ = aOptions.operator_;
   change.summary_ = aOptions.summary_;
   change.operationId_ = NewOperationId();
-  change.wallMs_ = WallClockMs();
+  change.wallTimeMs_ = WallClockMs();
   change.edits_ = aPrepared.edits_;
   std::optional<Duration> freshnessBound;
   if (aPrepared.revokesKey_) {
--- a/peridotquay/version/ConfigDelta.cpp
+++ b/peridotquay/version/ConfigDelta.cpp
@@ -196,7 +196,7 @@
   Json json = { { "version", aChange.version_ },
                 { "operator", aChange.operatorName_ },
                 { "operation_id", aChange.operationId_ },
-                { "wall_ms", aChange.wallMs_ },
+                { "wall_ms", aChange.wallTimeMs_ },
                 { "summary", aChange.summary_ } };
   auto edits = Json::array();
   for (const auto& edit : aChange.edits_) {
@@ -216,7 +216,7 @@
   const bool valid = json.is_object() && ReadUnsigned(json, "version", change.version_) &&
                      ReadString(json, "operator", change.operatorName_) &&
                      ReadString(json, "operation_id", change.operationId_) &&
-                     ReadUnsigned(json, "wall_ms", change.wallMs_) &&
+                     ReadUnsigned(json, "wall_ms", change.wallTimeMs_) &&
                      ReadString(json, "summary", change.summary_);
   const auto* edits = valid ? FindMember(json, "edits") : nullptr;
   if (edits == nullptr || !edits->is_array()) {
