--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -292,7 +292,7 @@
 constexpr std::uint64_t kMaxEnumValue<Importance> = static_cast<std::uint64_t>(Importance::kLow);
 template<>
 constexpr std::uint64_t kMaxEnumValue<CallStatus> =
-  static_cast<std::uint64_t>(CallStatus::kForgotten);
+  static_cast<std::uint64_t>(CallStatus::kUnknown);
 template<>
 constexpr std::uint64_t kMaxEnumValue<MemberState> = static_cast<std::uint64_t>(MemberState::kLeft);
 template<>
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -112,16 +112,16 @@
 {
   kNeverArrived, ///< Not received. The guard refuses it if it arrives later.
   kRunning,
-  kDone,     ///< Finished. The guard sends its Answer after the reply.
-  kRefused,  ///< Refused before it started.
-  kForgotten ///< The guard can't tell: it keeps no record of the call or of its answer.
+  kDone,    ///< Finished. The guard sends its Answer after the reply.
+  kRefused, ///< Refused before it started.
+  kUnknown  ///< The guard can't tell: it keeps no record of the call or of its answer.
 };
 
 /// Reply to a CallStatusQuery.
 struct CallStatusReply
 {
   std::uint64_t callId_ = 0;
-  CallStatus callStatus_ = CallStatus::kForgotten;
+  CallStatus callStatus_ = CallStatus::kUnknown;
   bool operator==(const CallStatusReply&) const = default;
 };
 
--- a/peridotquay/process/DeduplicationTable.cpp
+++ b/peridotquay/process/DeduplicationTable.cpp
@@ -121,13 +121,13 @@
       return { CallStatus::kRunning, std::nullopt };
     }
     if (!known.answer_) {
-      return { CallStatus::kForgotten, std::nullopt };
+      return { CallStatus::kUnknown, std::nullopt };
     }
     const bool refused = known.answer_->outcome_ == Outcome::kNotRun;
     return { refused ? CallStatus::kRefused : CallStatus::kDone, known.answer_ };
   }
   if (IsAtOrBelowWatermark(aTable, aKey) || !HasRoom(aTable, aKey, aNow)) {
-    return { CallStatus::kForgotten, std::nullopt };
+    return { CallStatus::kUnknown, std::nullopt };
   }
   DeduplicationEntry& tombstone = aTable.entries_[aKey];
   tombstone.tombstone_ = true;
--- a/peridotquay/process/DeduplicationTable.h
+++ b/peridotquay/process/DeduplicationTable.h
@@ -78,12 +78,12 @@
 /// Status of a call, with its answer for kDone and kRefused.
 struct CallStatusResult
 {
-  CallStatus callStatus_ = CallStatus::kForgotten;
+  CallStatus callStatus_ = CallStatus::kUnknown;
   std::optional<Answer> answer_;
 };
 
 /// Returns the status of a call. A call that never arrived gets a tombstone; if the table has no
-/// room for it, the status is kForgotten.
+/// room for it, the status is kUnknown.
 CallStatusResult QueryCallStatus(DeduplicationTable& aTable, const CallKey& aKey, TimePoint aNow);
 
 /// Evicts answered calls and tombstones that are past their retention.
--- a/tests/process/DeduplicationTableTest.cpp
+++ b/tests/process/DeduplicationTableTest.cpp
@@ -59,7 +59,7 @@
   CHECK(QueryCallStatus(table, Key(3), now).callStatus_ == CallStatus::kRunning);
   // After its eviction the status is unknown; "never arrived" would be false.
   ExpireCalls(table, now + seconds(31));
-  CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kForgotten);
+  CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kUnknown);
   CHECK(RecordArrival(table, Key(2), now) == ArrivalDecision::kDrop);
   CHECK(QueryCallStatus(table, Key(3), now).callStatus_ == CallStatus::kRunning);
   CHECK(table.answerBytes_ == 0);
@@ -81,7 +81,7 @@
   CHECK(QueryCallStatus(table, Key(1), now).callStatus_ == CallStatus::kRunning);
   // There was no room for the body of the last answer, so it can't be returned complete.
   CHECK(QueryCallStatus(table, Key(3 * kMaxDeduplicationEntries - 1), now).callStatus_ ==
-        CallStatus::kForgotten);
+        CallStatus::kUnknown);
 }
 
 // Guards against reporting "never arrived" without room for the tombstone, so that the call could
@@ -95,5 +95,5 @@
   }
   CHECK(RecordArrival(table, Key(kMaxDeduplicationEntries + 1), now) == ArrivalDecision::kRefuse);
   CHECK(QueryCallStatus(table, Key(kMaxDeduplicationEntries + 1), now).callStatus_ ==
-        CallStatus::kForgotten);
+        CallStatus::kUnknown);
 }
