--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -436,7 +436,7 @@
     constexpr int kChangeCount = 20;
     const auto started = CpuSeconds();
     for (int i = 0; i < kChangeCount; ++i) {
-      Change change;
+      ConfigChange change;
       change.version_ = static_cast<Version>(i) + 2;
       change.edits_ = { { "account/account-0",
                           R"({"burst":20,"rate":)" + std::to_string(10 + i) + "}" } };
--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -138,7 +138,7 @@
   aVisit(aItem.name_, aItem.json_);
 }
 template<typename Visitor>
-void VisitFields(Visitor& aVisit, Change& aItem)
+void VisitFields(Visitor& aVisit, ConfigChange& aItem)
 {
   aVisit(aItem.version_,
          aItem.operatorName_,
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -221,7 +221,7 @@
 };
 
 /// One version of the configuration as edits to the version before it. Also serves as audit record.
-struct Change
+struct ConfigChange
 {
   Version version_ = 0;
   std::string operatorName_;
@@ -230,7 +230,7 @@
   std::uint64_t wallTimeMs_ = 0;
   std::string summary_;
   std::vector<EntityEdit> edits_;
-  bool operator==(const Change&) const = default;
+  bool operator==(const ConfigChange&) const = default;
 };
 
 /// Asks the parent in the dissemination tree for newer versions; sent once a second.
@@ -252,8 +252,8 @@
   Version version_ = 0;
   /// Time, when sent, since version_ was last known to be the latest. Max value: unknown.
   std::uint64_t ageMs_ = 0;
-  std::vector<Change> changes_;
-  bool snapshot_ = false; ///< changes_ holds one Change that replaces all entities.
+  std::vector<ConfigChange> changes_;
+  bool snapshot_ = false; ///< changes_ holds one ConfigChange that replaces all entities.
   /// Age of the evidence that the sender can't reach the platform: time since the start of its
   /// last, failed poll. Max value: no evidence.
   std::uint64_t outageAgeMs_ = ~std::uint64_t{ 0 };
@@ -264,7 +264,7 @@
 struct VersionPush
 {
   HostId root_; ///< Root of the tree.
-  std::vector<Change> changes_;
+  std::vector<ConfigChange> changes_;
   bool operator==(const VersionPush&) const = default;
 };
 
--- a/peridotquay/process/ConfigStore.cpp
+++ b/peridotquay/process/ConfigStore.cpp
@@ -17,11 +17,11 @@
 constexpr std::uint32_t kMaxChangesPerRead = 64;
 
 /// Reads the change of a version; empty if its row doesn't exist.
-Result<std::optional<Change>> ReadChange(Platform& aPlatform, Version aVersion)
+Result<std::optional<ConfigChange>> ReadChange(Platform& aPlatform, Version aVersion)
 {
   BOOST_OUTCOME_TRY(row, aPlatform.ReadRow(ChangeRowKey(aVersion)));
   if (!row) {
-    return std::optional<Change>{};
+    return std::optional<ConfigChange>{};
   }
   BOOST_OUTCOME_TRY(change, DecodeChange(row->value_));
   return std::make_optional(std::move(change));
@@ -91,7 +91,7 @@
 struct LostCommit
 {
   const StoredConfig& base_;
-  const Change& change_;
+  const ConfigChange& change_;
 };
 
 /// Writes the head row unchanged if it still has the revision that the lost transaction relies on.
@@ -145,7 +145,7 @@
 /// Writes a checked change if the head row still has the revision in aBase.
 Result<Version> WriteChange(Platform& aPlatform,
                             const StoredConfig& aBase,
-                            const Change& aChange,
+                            const ConfigChange& aChange,
                             const CommitSettings& aSettings)
 {
   PlatformTransaction transaction;
@@ -179,9 +179,11 @@
   return stored;
 }
 
-Result<std::vector<Change>> LoadHistory(Platform& aPlatform, Version aAfter, std::uint32_t aLimit)
+Result<std::vector<ConfigChange>> LoadHistory(Platform& aPlatform,
+                                              Version aAfter,
+                                              std::uint32_t aLimit)
 {
-  std::vector<Change> changes;
+  std::vector<ConfigChange> changes;
   while (changes.size() < aLimit) {
     const auto last = aAfter + changes.size();
     const auto wanted = std::min<std::size_t>(kMaxChangesPerRead, aLimit - changes.size());
@@ -201,7 +203,7 @@
 
 Result<Version> CommitChange(Platform& aPlatform,
                              const StoredConfig& aBase,
-                             Change aChange,
+                             ConfigChange aChange,
                              const CommitSettings& aSettings)
 {
   aChange.version_ = aBase.version_ + 1;
--- a/peridotquay/process/ConfigStore.h
+++ b/peridotquay/process/ConfigStore.h
@@ -37,7 +37,9 @@
 Result<StoredConfig> LoadConfig(Platform& aPlatform);
 
 /// Reads up to aLimit changes after a version, oldest first.
-Result<std::vector<Change>> LoadHistory(Platform& aPlatform, Version aAfter, std::uint32_t aLimit);
+Result<std::vector<ConfigChange>> LoadHistory(Platform& aPlatform,
+                                              Version aAfter,
+                                              std::uint32_t aLimit);
 
 /// Checks a change against the configuration that it is based on, and writes it as the next version
 /// in one transaction. If the answer is lost, the change row is read back. If the row stays absent,
@@ -50,7 +52,7 @@
 ///   written; subject_ is the operation id.
 Result<Version> CommitChange(Platform& aPlatform,
                              const StoredConfig& aBase,
-                             Change aChange,
+                             ConfigChange aChange,
                              const CommitSettings& aSettings = {});
 
 /// True if a snapshot should be written after version aWritten was committed on top of aBase.
--- a/peridotquay/process/OperatorCommands.cpp
+++ b/peridotquay/process/OperatorCommands.cpp
@@ -61,14 +61,14 @@
   return text;
 }
 
-Json ChangeJson(const Change& aChange)
+Json ChangeJson(const ConfigChange& aChange)
 {
   return { { "version", aChange.version_ },          { "operator", aChange.operatorName_ },
            { "time", UtcTime(aChange.wallTimeMs_) }, { "operation_id", aChange.operationId_ },
            { "summary", aChange.summary_ },          { "edits", EditsJson(aChange.edits_) } };
 }
 
-std::string ChangeText(const Change& aChange)
+std::string ChangeText(const ConfigChange& aChange)
 {
   return "version " + std::to_string(aChange.version_) + " " + UtcTime(aChange.wallTimeMs_) +
          " by " + aChange.operatorName_ + ": " + aChange.summary_ + " (operation " +
@@ -199,7 +199,7 @@
   if (const auto audit = CheckAuditFields(aOptions); audit.has_error()) {
     return ReportError(audit.assume_error());
   }
-  Change change;
+  ConfigChange change;
   change.operatorName_ = aOptions.operator_;
   change.summary_ = aOptions.summary_;
   change.operationId_ = NewOperationId();
@@ -337,7 +337,7 @@
                          "at most " + std::to_string(kMaxConfigBytes) + " bytes",
                          {} });
   }
-  Change change;
+  ConfigChange change;
   change.edits_ = DiffEntities({}, found);
   const bool fitsOneChange = EncodeChange(change).size() <= kMaxChangeBytes;
   OperatorReport report;
--- a/peridotquay/version/ConfigDelta.cpp
+++ b/peridotquay/version/ConfigDelta.cpp
@@ -102,7 +102,7 @@
 }
 
 /// Size of the entities after a change. No two edits of the change may have the same name.
-std::size_t EntitiesBytesAfter(const Entities& aEntities, const Change& aChange)
+std::size_t EntitiesBytesAfter(const Entities& aEntities, const ConfigChange& aChange)
 {
   auto bytes = EntitiesBytes(aEntities);
   for (const auto& edit : aChange.edits_) {
@@ -162,7 +162,7 @@
   return edits;
 }
 
-Result<void> ApplyChange(Entities& aEntities, const Change& aChange)
+Result<void> ApplyChange(Entities& aEntities, const ConfigChange& aChange)
 {
   if (EncodeChange(aChange).size() > kMaxChangeBytes) {
     return Fail(ErrorCode::kChangeTooLarge,
@@ -191,7 +191,7 @@
   return Success();
 }
 
-std::string EncodeChange(const Change& aChange)
+std::string EncodeChange(const ConfigChange& aChange)
 {
   Json json = { { "version", aChange.version_ },
                 { "operator", aChange.operatorName_ },
@@ -206,13 +206,13 @@
   return DumpJson(json);
 }
 
-Result<Change> DecodeChange(std::string_view aText)
+Result<ConfigChange> DecodeChange(std::string_view aText)
 {
   if (aText.size() > kMaxChangeBytes) {
     return Fail(ErrorCode::kChangeTooLarge, "change", std::to_string(kMaxChangeBytes) + " bytes");
   }
   const auto json = ParseJson(aText);
-  Change change;
+  ConfigChange change;
   const bool valid = json.is_object() && ReadUnsigned(json, "version", change.version_) &&
                      ReadString(json, "operator", change.operatorName_) &&
                      ReadString(json, "operation_id", change.operationId_) &&
--- a/peridotquay/version/ConfigDelta.h
+++ b/peridotquay/version/ConfigDelta.h
@@ -42,13 +42,13 @@
 /// Applies all edits of a change. On failure none is applied. Errors:
 /// kChangeTooLarge, kSyntax (an entity isn't a JSON object), kContradiction (an entity is edited
 /// twice), kNotFound (an absent entity is removed).
-Result<void> ApplyChange(Entities& aEntities, const Change& aChange);
+Result<void> ApplyChange(Entities& aEntities, const ConfigChange& aChange);
 
 /// JSON text of a change, as stored in its row.
-std::string EncodeChange(const Change& aChange);
+std::string EncodeChange(const ConfigChange& aChange);
 
 /// Parses the text of a change row. Errors: kPlatformMalformed, kChangeTooLarge.
-Result<Change> DecodeChange(std::string_view aText);
+Result<ConfigChange> DecodeChange(std::string_view aText);
 
 /// JSON text of the head row.
 std::string EncodeHead(Version aVersion);
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -28,7 +28,7 @@
 using Json = nlohmann::json;
 using EventKind = DisseminationEvent::Kind;
 
-std::size_t ChangeBytes(const Change& aChange)
+std::size_t ChangeBytes(const ConfigChange& aChange)
 {
   constexpr std::size_t kFixedBytes = 32;
   std::size_t bytes = kFixedBytes + aChange.operatorName_.size() + aChange.operationId_.size() +
@@ -92,7 +92,7 @@
   }
 }
 
-void RecordRecentChange(Dissemination& aState, const Change& aChange)
+void RecordRecentChange(Dissemination& aState, const ConfigChange& aChange)
 {
   aState.recent_.push_back(aChange);
   aState.recentBytes_ += ChangeBytes(aChange);
@@ -128,7 +128,7 @@
 
 // Applies the changes that follow version_ without a gap. Returns false at the first gap.
 bool ApplyChanges(Dissemination& aState,
-                  const std::vector<Change>& aChanges,
+                  const std::vector<ConfigChange>& aChanges,
                   DisseminationEffects& aEffects)
 {
   const auto before = aState.version_;
@@ -181,7 +181,7 @@
 }
 
 void ApplySnapshotChange(Dissemination& aState,
-                         const Change& aChange,
+                         const ConfigChange& aChange,
                          DisseminationEffects& aEffects)
 {
   Entities entities;
@@ -195,7 +195,7 @@
 
 // Sends changes to the children of this node in the push tree of the last version among them.
 void PushToChildren(Dissemination& aState,
-                    const std::vector<Change>& aChanges,
+                    const std::vector<ConfigChange>& aChanges,
                     DisseminationEffects& aEffects)
 {
   if (aChanges.empty() || aState.ranking_ == nullptr ||
@@ -218,9 +218,9 @@
 }
 
 // Recent changes after a version that fit into one message, at least one if there is any.
-std::vector<Change> RecentChangesAfter(const Dissemination& aState, Version aVersion)
+std::vector<ConfigChange> RecentChangesAfter(const Dissemination& aState, Version aVersion)
 {
-  std::vector<Change> changes;
+  std::vector<ConfigChange> changes;
   std::size_t bytes = 0;
   for (const auto& change : aState.recent_) {
     if (change.version_ <= aVersion) {
@@ -266,9 +266,9 @@
 }
 
 // The whole configuration as one change; empty if that doesn't fit into a frame.
-std::vector<Change> SnapshotChange(const Dissemination& aState)
+std::vector<ConfigChange> SnapshotChange(const Dissemination& aState)
 {
-  Change change;
+  ConfigChange change;
   change.version_ = aState.version_;
   change.edits_.reserve(aState.entities_.size());
   for (const auto& [name, json] : aState.entities_) {
@@ -795,7 +795,7 @@
   if (aAnswer.error_) {
     return;
   }
-  std::vector<Change> changes;
+  std::vector<ConfigChange> changes;
   for (const auto& row : aAnswer.rows_) {
     auto change = DecodeChange(row.value_);
     if (change.has_error()) {
--- a/peridotquay/version/Dissemination.h
+++ b/peridotquay/version/Dissemination.h
@@ -117,8 +117,8 @@
   Version version_ = 0;  ///< Last version whose change is applied to entities_.
   Version inForce_ = 0;  ///< Last version compiled and published; less than version_ if later ones
                          ///< were rejected.
-  Version latestVersion_ = 0; ///< Highest version known to exist.
-  std::deque<Change> recent_; ///< Consecutive changes; the last one is of version_.
+  Version latestVersion_ = 0;       ///< Highest version known to exist.
+  std::deque<ConfigChange> recent_; ///< Consecutive changes; the last one is of version_.
   std::size_t recentBytes_ = 0;
   Duration freshnessBound_ = seconds(10); ///< Bound set by the configuration in force.
   std::set<DataCentreId> sites_;          ///< Data centres in the configuration in force.
--- a/tests/connection/PeerCodecTest.cpp
+++ b/tests/connection/PeerCodecTest.cpp
@@ -63,7 +63,9 @@
 // One message of each type.
 std::vector<PeerMessage> Samples()
 {
-  const Change change{ 4, "op", "id", 123, "sum", { { "account/a", "{}" }, { "key/b", {} } } };
+  const ConfigChange change{
+    4, "op", "id", 123, "sum", { { "account/a", "{}" }, { "key/b", {} } }
+  };
   HandoverRecord record{ 3, 1000, true, "digest", SampleAnswer() };
   return { Hello{ 1, { "h1" }, 8, { "dc1" } },
            SampleCall(),
--- a/tests/failure/PlatformTest.cpp
+++ b/tests/failure/PlatformTest.cpp
@@ -52,9 +52,9 @@
 };
 
 /// Returns a change that creates or replaces one client account.
-Change PutAccount(const std::string& aId, const std::string& aOperation, int aRate = 1)
+ConfigChange PutAccount(const std::string& aId, const std::string& aOperation, int aRate = 1)
 {
-  Change change;
+  ConfigChange change;
   change.operatorName_ = "test";
   change.operationId_ = aOperation;
   change.edits_ = { { "account/" + aId, "{\"burst\":1,\"rate\":" + std::to_string(aRate) + "}" } };
@@ -323,7 +323,7 @@
 TEST_CASE("a stored change that can't be applied is treated as empty", "[platform]")
 {
   PlatformFixture fixture;
-  Change broken;
+  ConfigChange broken;
   broken.version_ = 1;
   broken.edits_ = { { "account/absent", std::nullopt }, { "account/a", "{}" } };
   Value(fixture.client_->Transact(
--- a/tests/process/ControlActorTest.cpp
+++ b/tests/process/ControlActorTest.cpp
@@ -102,7 +102,7 @@
 
   void CommitVersion(Version aVersion, const std::string& aAccount)
   {
-    Change change;
+    ConfigChange change;
     change.version_ = aVersion;
     change.edits_ = { { "account/mill", aAccount } };
     PlatformTransaction transaction;
--- a/tests/process/ControlPlaneTest.cpp
+++ b/tests/process/ControlPlaneTest.cpp
@@ -130,7 +130,7 @@
 
 void Commit(Platform& aPlatform, Version aVersion, std::vector<EntityEdit> aEdits)
 {
-  Change change;
+  ConfigChange change;
   change.version_ = aVersion;
   change.operatorName_ = "test";
   change.operationId_ = NewOperationId();
--- a/tests/version/ConfigDeltaTest.cpp
+++ b/tests/version/ConfigDeltaTest.cpp
@@ -32,9 +32,9 @@
   return entities;
 }
 
-Change ChangeWith(std::vector<EntityEdit> aEdits)
+ConfigChange ChangeWith(std::vector<EntityEdit> aEdits)
 {
-  Change change;
+  ConfigChange change;
   change.version_ = 3;
   change.operatorName_ = "ayşe";
   change.operationId_ = "op";
@@ -165,7 +165,7 @@
           next.erase(name);
         }
       }
-      Change change;
+      ConfigChange change;
       change.edits_ = DiffEntities(entities, next);
       RC_ASSERT(ApplyChange(entities, change).has_value());
       MarkEntitiesChanged(cache, change.edits_);
--- a/tests/version/ControlNetwork.h
+++ b/tests/version/ControlNetwork.h
@@ -89,7 +89,7 @@
   void Accept(std::vector<EntityEdit> aEdits)
   {
     const Version version = acceptedAt_.size() + 1;
-    Change change;
+    ConfigChange change;
     change.version_ = version;
     change.edits_ = std::move(aEdits);
     PlatformTransaction transaction;
