--- a/peridotquay/connection/PeerCodec.cpp
+++ b/peridotquay/connection/PeerCodec.cpp
@@ -60,7 +60,7 @@
          aItem.limit_,
          aItem.queued_,
          aItem.level_,
-         aItem.failedPercent_);
+         aItem.failurePercent_);
 }
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, Cancel& aItem)
@@ -138,12 +138,12 @@
   aVisit(aItem.name_, aItem.json_);
 }
 template<typename Visitor>
-void VisitFields(Visitor& aVisit, Change& aItem)
+void VisitFields(Visitor& aVisit, ConfigChange& aItem)
 {
   aVisit(aItem.version_,
          aItem.operatorName_,
          aItem.operationId_,
-         aItem.wallMs_,
+         aItem.wallTimeMs_,
          aItem.summary_,
          aItem.edits_);
 }
@@ -214,14 +214,14 @@
   aVisit(aItem.config_, aItem.hosts_);
 }
 template<typename Visitor>
-void VisitFields(Visitor& aVisit, FeedQuestion& aItem)
+void VisitFields(Visitor& aVisit, FeedQuery& aItem)
 {
   aVisit(aItem.nonce_, aItem.held_);
 }
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, FeedAnswer& aItem)
 {
-  aVisit(aItem.nonce_, aItem.proofAgeMs_, aItem.answerAgeMs_, aItem.newest_);
+  aVisit(aItem.nonce_, aItem.freshnessAgeMs_, aItem.answerAgeMs_, aItem.newest_);
 }
 template<typename Visitor>
 void VisitFields(Visitor& aVisit, FeedRow& aItem)
@@ -293,7 +293,7 @@
 constexpr std::uint64_t kMaxEnumValue<Importance> = static_cast<std::uint64_t>(Importance::kLow);
 template<>
 constexpr std::uint64_t kMaxEnumValue<CallStatus> =
-  static_cast<std::uint64_t>(CallStatus::kForgotten);
+  static_cast<std::uint64_t>(CallStatus::kUnknown);
 template<>
 constexpr std::uint64_t kMaxEnumValue<MemberState> = static_cast<std::uint64_t>(MemberState::kLeft);
 template<>
--- a/peridotquay/connection/PeerMessage.h
+++ b/peridotquay/connection/PeerMessage.h
@@ -88,7 +88,7 @@
   std::uint32_t queued_ = 0;        ///< Calls queued at the guard.
   AdmissionLevel level_;
   /// Percentage of the target's recent answers that were failures.
-  std::uint32_t failedPercent_ = 0;
+  std::uint32_t failurePercent_ = 0;
   bool operator==(const Answer&) const = default;
 };
 
@@ -112,16 +112,16 @@
 {
   kNeverArrived, ///< Not received. The guard refuses it if it arrives later.
   kRunning,
-  kDone,     ///< Finished. The guard sends its Answer after the reply.
-  kRefused,  ///< Refused before it started.
-  kForgotten ///< The guard can't tell: it keeps no record of the call or of its answer.
+  kDone,    ///< Finished. The guard sends its Answer after the reply.
+  kRefused, ///< Refused before it started.
+  kUnknown  ///< The guard can't tell: it keeps no record of the call or of its answer.
 };
 
 /// Reply to a CallStatusQuery.
 struct CallStatusReply
 {
   std::uint64_t callId_ = 0;
-  CallStatus callStatus_ = CallStatus::kForgotten;
+  CallStatus callStatus_ = CallStatus::kUnknown;
   bool operator==(const CallStatusReply&) const = default;
 };
 
@@ -221,16 +221,16 @@
 };
 
 /// One version of the configuration as edits to the version before it. Also serves as audit record.
-struct Change
+struct ConfigChange
 {
   Version version_ = 0;
   std::string operatorName_;
   std::string operationId_;
   /// Operator's wall clock in milliseconds since 1970; informative only.
-  std::uint64_t wallMs_ = 0;
+  std::uint64_t wallTimeMs_ = 0;
   std::string summary_;
   std::vector<EntityEdit> edits_;
-  bool operator==(const Change&) const = default;
+  bool operator==(const ConfigChange&) const = default;
 };
 
 /// Asks the parent in the dissemination tree for newer versions; sent once a second.
@@ -250,12 +250,12 @@
 {
   std::uint64_t nonce_ = 0;
   Version version_ = 0;
-  /// Age, when sent, of the proof that version_ was the latest. Max value: no proof.
+  /// Time, when sent, since version_ was last known to be the latest. Max value: unknown.
   std::uint64_t ageMs_ = 0;
-  std::vector<Change> changes_;
-  bool snapshot_ = false; ///< changes_ holds one Change that replaces all entities.
-  /// Age of the proof that the sender can't reach the platform: time since the start of its last,
-  /// failed poll. Max value: no proof.
+  std::vector<ConfigChange> changes_;
+  bool snapshot_ = false; ///< changes_ holds one ConfigChange that replaces all entities.
+  /// Age of the evidence that the sender can't reach the platform: time since the start of its
+  /// last, failed poll. Max value: no evidence.
   std::uint64_t outageAgeMs_ = ~std::uint64_t{ 0 };
   bool operator==(const SyncReply&) const = default;
 };
@@ -264,7 +264,7 @@
 struct VersionPush
 {
   HostId root_; ///< Root of the tree.
-  std::vector<Change> changes_;
+  std::vector<ConfigChange> changes_;
   bool operator==(const VersionPush&) const = default;
 };
 
@@ -343,23 +343,24 @@
   bool operator==(const RowVersions&) const = default;
 };
 
-/// Maximum age of a proof in a FeedAnswer. A larger age means that there is no proof.
-inline constexpr std::uint64_t kMaxProofAgeMs = 60'000;
+/// Maximum of FeedAnswer::freshnessAgeMs_. A larger age counts as unknown.
+inline constexpr std::uint64_t kMaxFreshnessAgeMs = 60'000;
 
 /// Asks a host of the same data centre whether held_ is the newest content of the platform's store
 /// (datagram).
-struct FeedQuestion
+struct FeedQuery
 {
   std::uint64_t nonce_ = 0;
   RowVersions held_;
-  bool operator==(const FeedQuestion&) const = default;
+  bool operator==(const FeedQuery&) const = default;
 };
 
-/// Answer to a FeedQuestion (datagram).
+/// Answer to a FeedQuery (datagram).
 struct FeedAnswer
 {
   std::uint64_t nonce_ = 0;
-  std::uint64_t proofAgeMs_ = 0; ///< Time since newest_.config_ was last proved to be the newest.
+  /// Time since newest_.config_ was last known to be the newest.
+  std::uint64_t freshnessAgeMs_ = 0;
   /// Time since the sender's last call that the store answered. Later changes reach the sender
   /// through its watch of the store.
   std::uint64_t answerAgeMs_ = 0;
@@ -399,7 +400,7 @@
 {
   DataCentreId dataCentre_;
   Version version_ = 0;
-  std::uint64_t ageMs_ = 0; ///< Age of the proof that version_ was the latest.
+  std::uint64_t ageMs_ = 0; ///< Time since version_ was last confirmed to be the latest.
   bool platformReachable_ = false;
   /// Members changed since the last summary; every 10 s all members.
   std::vector<MemberEntry> members_;
@@ -452,7 +453,7 @@
                                  RequestHandover,
                                  RateReports,
                                  RateLevels,
-                                 FeedQuestion,
+                                 FeedQuery,
                                  FeedAnswer,
                                  FeedRows>;
 
--- a/peridotquay/process/Dispatcher.cpp
+++ b/peridotquay/process/Dispatcher.cpp
@@ -277,7 +277,7 @@
       RefuseExchange(aExchange, { ErrorCode::kRouteNotAllowed });
       return;
     }
-    if (context->depth_ >= kMaxDepth) {
+    if (context->depth_ >= kMaxCallDepth) {
       RefuseExchange(aExchange, { ErrorCode::kDepthExceeded });
       return;
     }
@@ -322,7 +322,7 @@
     aCall->call_.headers_.emplace_back("Quay-Request-Id", aCall->requestId_);
   }
   aCall->call_.body_ = std::move(request.body_);
-  aCall->done_ = [this, aExchange, call = aCall.get()](const Answer& aAnswer) {
+  aCall->completionHandler_ = [this, aExchange, call = aCall.get()](const Answer& aAnswer) {
     Respond(aExchange, *call, aAnswer);
   };
   calls_.emplace(aCall.get(), aCall);
@@ -380,7 +380,7 @@
   }
   const TimePoint now = loop_.Now();
   if (settings_.naive_) {
-    if (TakeNaiveToken(naive_, aCall->config_->clientAccounts_.at(account), now)) {
+    if (TryConsumeNaiveRateToken(naive_, aCall->config_->clientAccounts_.at(account), now)) {
       StartCall(aCall);
     } else {
       metrics_.Add(Counter::kRefusedRate);
--- a/peridotquay/version/Dissemination.cpp
+++ b/peridotquay/version/Dissemination.cpp
@@ -1,4 +1,4 @@
-// Push tree, sync, freshness by proofs and outage evidence, watermark and contact rows.
+// Push tree, sync, freshness by confirmations and outage evidence, watermark and contact rows.
 #include "peridotquay/version/Dissemination.h"
 
 #include "peridotquay/version/ConfigCompiler.h"
@@ -28,7 +28,7 @@
 using Json = nlohmann::json;
 using EventKind = DisseminationEvent::Kind;
 
-std::size_t ChangeBytes(const Change& aChange)
+std::size_t ChangeBytes(const ConfigChange& aChange)
 {
   constexpr std::size_t kFixedBytes = 32;
   std::size_t bytes = kFixedBytes + aChange.operatorName_.size() + aChange.operationId_.size() +
@@ -64,33 +64,36 @@
   }
 }
 
-// Applies a proof. If its version isn't in force here yet, it is kept until that version is.
-void ApplyProof(Dissemination& aState, FreshnessProof aProof, DisseminationEffects& aEffects)
+// Applies a confirmation. If its version isn't in force here yet, it is kept until that version is.
+void ApplyConfirmation(Dissemination& aState,
+                       FreshnessConfirmation aConfirmation,
+                       DisseminationEffects& aEffects)
 {
-  aState.latestVersion_ = std::max(aState.latestVersion_, aProof.version_);
-  if (aState.versionInForce_ < aProof.version_) {
-    if (!aState.pendingProof_ || aState.pendingProof_->time_ < aProof.time_) {
-      aState.pendingProof_ = aProof;
+  aState.latestVersion_ = std::max(aState.latestVersion_, aConfirmation.version_);
+  if (aState.versionInForce_ < aConfirmation.version_) {
+    if (!aState.pendingConfirmation_ || aState.pendingConfirmation_->time_ < aConfirmation.time_) {
+      aState.pendingConfirmation_ = aConfirmation;
     }
     return;
   }
   const auto before = FreshAsOf(aState);
-  if (!aState.provenUntil_ || *aState.provenUntil_ < aProof.time_) {
-    aState.provenUntil_ = aProof.time_;
+  if (!aState.confirmedFreshAsOf_ || *aState.confirmedFreshAsOf_ < aConfirmation.time_) {
+    aState.confirmedFreshAsOf_ = aConfirmation.time_;
   }
   PublishFreshness(aState, before, aEffects);
 }
 
-void ApplyPendingProof(Dissemination& aState, DisseminationEffects& aEffects)
+void ApplyPendingConfirmation(Dissemination& aState, DisseminationEffects& aEffects)
 {
-  if (aState.pendingProof_ && aState.pendingProof_->version_ <= aState.versionInForce_) {
-    const auto proof = *aState.pendingProof_;
-    aState.pendingProof_.reset();
-    ApplyProof(aState, proof, aEffects);
+  if (aState.pendingConfirmation_ &&
+      aState.pendingConfirmation_->version_ <= aState.versionInForce_) {
+    const auto confirmation = *aState.pendingConfirmation_;
+    aState.pendingConfirmation_.reset();
+    ApplyConfirmation(aState, confirmation, aEffects);
   }
 }
 
-void RecordRecentChange(Dissemination& aState, const Change& aChange)
+void RecordRecentChange(Dissemination& aState, const ConfigChange& aChange)
 {
   aState.recentChanges_.push_back(aChange);
   aState.recentBytes_ += ChangeBytes(aChange);
@@ -122,12 +125,12 @@
   }
   aEffects.config_ = config;
   aEffects.events_.push_back({ EventKind::kVersionInForce, std::to_string(version) });
-  ApplyPendingProof(aState, aEffects);
+  ApplyPendingConfirmation(aState, aEffects);
 }
 
 // Applies the changes that follow version_ without a gap. Returns false at the first gap.
 bool ApplyChanges(Dissemination& aState,
-                  const std::vector<Change>& aChanges,
+                  const std::vector<ConfigChange>& aChanges,
                   DisseminationEffects& aEffects)
 {
   const auto before = aState.version_;
@@ -180,7 +183,7 @@
 }
 
 void ApplySnapshotChange(Dissemination& aState,
-                         const Change& aChange,
+                         const ConfigChange& aChange,
                          DisseminationEffects& aEffects)
 {
   Entities entities;
@@ -194,7 +197,7 @@
 
 // Sends changes to the children of this node in the push tree of the last version among them.
 void PushToChildren(Dissemination& aState,
-                    const std::vector<Change>& aChanges,
+                    const std::vector<ConfigChange>& aChanges,
                     DisseminationEffects& aEffects)
 {
   if (aChanges.empty() || aState.ranking_ == nullptr ||
@@ -218,9 +221,9 @@
 }
 
 // The first recent changes after a version that fit into one message, at least one if there is any.
-std::vector<Change> RecentChangesAfter(const Dissemination& aState, Version aVersion)
+std::vector<ConfigChange> RecentChangesAfter(const Dissemination& aState, Version aVersion)
 {
-  std::vector<Change> changes;
+  std::vector<ConfigChange> changes;
   std::size_t bytes = 0;
   for (const auto& change : aState.recentChanges_) {
     if (change.version_ <= aVersion) {
@@ -256,7 +259,7 @@
   }
 }
 
-// Rounds up, so that a proof never seems more recent than it is.
+// Rounds up, so that the time never seems more recent than it is.
 std::uint64_t AgeMs(const std::optional<TimePoint>& aTime, TimePoint aNow)
 {
   if (!aTime) {
@@ -266,9 +269,9 @@
 }
 
 // The whole configuration as one change; empty if it doesn't fit into a frame.
-std::vector<Change> SnapshotChange(const Dissemination& aState)
+std::vector<ConfigChange> SnapshotChange(const Dissemination& aState)
 {
-  Change change;
+  ConfigChange change;
   change.version_ = aState.version_;
   change.edits_.reserve(aState.entities_.size());
   for (const auto& [name, json] : aState.entities_) {
@@ -295,7 +298,7 @@
 // failed. A delegate that sent nothing may still reach the platform, so its own report is required.
 std::optional<OutageEvidence> OwnOutage(const Dissemination& aState, TimePoint aNow)
 {
-  if (!IsDelegate(aState) || !aState.failedPollStartedAt_ || aState.pendingProof_ ||
+  if (!IsDelegate(aState) || !aState.failedPollStartedAt_ || aState.pendingConfirmation_ ||
       aState.versionInForce_ == 0) {
     return std::nullopt;
   }
@@ -329,12 +332,12 @@
   reply.version_ = aState.versionInForce_;
   // Extensions aren't reported to other data centres, because they would hide that this one doesn't
   // reach the platform.
-  reply.ageMs_ = AgeMs(fromOwnCentre ? FreshAsOf(aState) : aState.provenUntil_, aNow);
+  reply.ageMs_ = AgeMs(fromOwnCentre ? FreshAsOf(aState) : aState.confirmedFreshAsOf_, aNow);
   if (!fromOwnCentre) {
     if (const auto outage = OwnOutage(aState, aNow)) {
       reply.outageAgeMs_ = AgeMs(outage->time_, aNow);
     }
-  } else if (aState.failedPollStartedAt_ && !aState.pendingProof_) {
+  } else if (aState.failedPollStartedAt_ && !aState.pendingConfirmation_) {
     reply.outageAgeMs_ = AgeMs(aState.failedPollStartedAt_, aNow);
   }
   if (aRequest.version_ < aState.version_) {
@@ -392,7 +395,7 @@
 
 // Converts an age in a reply to a time of the local clock. The age is counted back from when the
 // request was sent, so that transit and pauses can only make the time earlier.
-std::optional<TimePoint> ProvenTime(TimePoint aSent, std::uint64_t aAgeMs)
+std::optional<TimePoint> TimeFromAge(TimePoint aSent, std::uint64_t aAgeMs)
 {
   const auto since = std::chrono::duration_cast<milliseconds>(aSent.time_since_epoch());
   if (aAgeMs == kUnknownAgeMs || aAgeMs > static_cast<std::uint64_t>(since.count())) {
@@ -428,10 +431,10 @@
       aState.nextSyncAt_ = aNow;
     }
   }
-  if (const auto time = ProvenTime(sent.sentAt_, aReply.ageMs_)) {
-    ApplyProof(aState, { aReply.version_, *time }, aEffects);
+  if (const auto time = TimeFromAge(sent.sentAt_, aReply.ageMs_)) {
+    ApplyConfirmation(aState, { aReply.version_, *time }, aEffects);
   }
-  const auto outage = ProvenTime(sent.sentAt_, aReply.outageAgeMs_);
+  const auto outage = TimeFromAge(sent.sentAt_, aReply.outageAgeMs_);
   const auto* other = OtherDelegate(aState);
   if (other != nullptr && other->host_ == sent.host_) {
     aState.otherDelegateOutage_.reset();
@@ -496,13 +499,14 @@
   return &members[parent];
 }
 
-// Syncs with other data centres if this node is a delegate without a recent proof.
+// Syncs with other data centres if this node is a delegate without a recent confirmation.
 void SyncWithOtherCentres(Dissemination& aState, TimePoint aNow, DisseminationEffects& aEffects)
 {
-  const bool proven = aState.provenUntil_ &&
-                      aNow - *aState.provenUntil_ < aState.settings_.maxProofAge_ &&
-                      !aState.pendingProof_;
-  if (proven || !IsDelegate(aState)) {
+  const bool confirmed =
+    aState.confirmedFreshAsOf_ &&
+    aNow - *aState.confirmedFreshAsOf_ < aState.settings_.maxConfirmationAge_ &&
+    !aState.pendingConfirmation_;
+  if (confirmed || !IsDelegate(aState)) {
     return;
   }
   for (const auto& [id, delegates] : aState.ranking_->delegates_) {
@@ -780,7 +784,7 @@
     }
     head = decoded.assume_value();
   }
-  ApplyProof(aState, { head, aAnswer.startedAt_ }, aEffects);
+  ApplyConfirmation(aState, { head, aAnswer.startedAt_ }, aEffects);
   if (aState.version_ < head) {
     StartFetch(aState, aEffects);
   } else {
@@ -796,7 +800,7 @@
   if (aAnswer.error_) {
     return;
   }
-  std::vector<Change> changes;
+  std::vector<ConfigChange> changes;
   for (const auto& row : aAnswer.rows_) {
     auto change = DecodeChange(row.value_);
     if (change.has_error()) {
@@ -970,16 +974,16 @@
 void FillSummary(const Dissemination& aState, DataCentreSummary& aSummary, TimePoint aNow)
 {
   aSummary.version_ = aState.versionInForce_;
-  aSummary.ageMs_ = AgeMs(aState.provenUntil_, aNow);
+  aSummary.ageMs_ = AgeMs(aState.confirmedFreshAsOf_, aNow);
   aSummary.platformReachable_ = aState.platformReachable_;
 }
 
 std::optional<TimePoint> FreshAsOf(const Dissemination& aState)
 {
-  if (!aState.provenUntil_ || !aState.extendedUntil_) {
-    return aState.provenUntil_ ? aState.provenUntil_ : aState.extendedUntil_;
+  if (!aState.confirmedFreshAsOf_ || !aState.extendedUntil_) {
+    return aState.confirmedFreshAsOf_ ? aState.confirmedFreshAsOf_ : aState.extendedUntil_;
   }
-  return std::max(*aState.provenUntil_, *aState.extendedUntil_);
+  return std::max(*aState.confirmedFreshAsOf_, *aState.extendedUntil_);
 }
 
 bool IsDelegate(const Dissemination& aState)
--- a/tests/connection/PeerCodecTest.cpp
+++ b/tests/connection/PeerCodecTest.cpp
@@ -63,7 +63,9 @@
 // One message of each type.
 std::vector<PeerMessage> Samples()
 {
-  const Change change{ 4, "op", "id", 123, "sum", { { "account/a", "{}" }, { "key/b", {} } } };
+  const ConfigChange change{
+    4, "op", "id", 123, "sum", { { "account/a", "{}" }, { "key/b", {} } }
+  };
   HandoverRecord record{ 3, 1000, true, "digest", SampleAnswer() };
   return { Hello{ 1, { "h1" }, 8, { "dc1" } },
            SampleCall(),
@@ -86,7 +88,7 @@
            DataCentreSummary{ { "dc1" }, 2, 100, true, { SampleMember() } },
            RateReports{ { "h2" }, { { { "h1" }, 7, 3, { { { "parish" }, 12 } } } } },
            RateLevels{ 7, 3, { { { "parish" }, 12 } } },
-           FeedQuestion{ 4, { 5, 6 } },
+           FeedQuery{ 4, { 5, 6 } },
            FeedAnswer{ 4, 700, 300, { 8, 9 } },
            FeedRows{ FeedTable::kHosts, 5, 8, { { "h1", std::string("\x80\0", 2), 8 } } },
            RequestHandover{
--- a/tests/version/StoreFeedTest.cpp
+++ b/tests/version/StoreFeedTest.cpp
@@ -10,7 +10,7 @@
 const HostId kSource{ "h1" };
 const RowVersions kHeld{ 40, 70 };
 
-/// A host that asks h1 for proofs, with a simulated clock that advances by 100 ms.
+/// A host that asks h1 how fresh its rows are, with a simulated clock that advances by 100 ms.
 struct Follower
 {
   StoreFeedState state_;
@@ -18,59 +18,59 @@
   Duration suspended_{};
   RowVersions held_ = kHeld;
 
-  std::optional<FeedQuestion> Tick(const std::optional<HostId>& aSource = kSource)
+  std::optional<FeedQuery> Tick(const std::optional<HostId>& aSource = kSource)
   {
     now_ += milliseconds(100);
-    return CollectDueQuestion(state_, aSource, held_, now_, suspended_);
+    return CollectDueQuery(state_, aSource, held_, now_, suspended_);
   }
 
-  FeedQuestion NextQuestion()
+  FeedQuery NextQuery()
   {
     for (int i = 0; i < 20; ++i) {
-      if (const auto question = Tick()) {
-        return *question;
+      if (const auto query = Tick()) {
+        return *query;
       }
     }
-    FAIL("no question is due within 2 s");
+    FAIL("no query is due within 2 s");
     return {};
   }
 
-  FeedAnswerResult ReceiveAnswer(const FeedQuestion& aQuestion,
-                                 std::uint64_t aProofAgeMs,
+  FeedAnswerResult ReceiveAnswer(const FeedQuery& aQuery,
+                                 std::uint64_t aFreshnessAgeMs,
                                  const RowVersions& aNewest = kHeld,
                                  std::uint64_t aAnswerAgeMs = 10)
   {
     return ApplyFeedAnswer(
-      state_, { aQuestion.nonce_, aProofAgeMs, aAnswerAgeMs, aNewest }, held_, now_, suspended_);
+      state_, { aQuery.nonce_, aFreshnessAgeMs, aAnswerAgeMs, aNewest }, held_, now_, suspended_);
   }
 };
 
 } // namespace
 
-// Guards against a proof whose age counts from when the answer arrived. A withdrawn key would then
-// be accepted longer, by the time that the answer took.
-TEST_CASE("the age of a proof includes the time since the question was sent", "[feed]")
+// Guards against a freshness age that counts from when the answer arrived. A withdrawn key would
+// then be accepted longer, by the time that the answer took.
+TEST_CASE("the freshness age includes the time since the query was sent", "[feed]")
 {
   Follower follower;
-  const FeedQuestion question = follower.NextQuestion();
+  const FeedQuery query = follower.NextQuery();
   const TimePoint sentAt = follower.now_;
   follower.now_ += milliseconds(80);
-  const FeedAnswerResult result = follower.ReceiveAnswer(question, 300);
-  REQUIRE(result.provedAt_);
-  CHECK(*result.provedAt_ == sentAt - milliseconds(300));
+  const FeedAnswerResult result = follower.ReceiveAnswer(query, 300);
+  REQUIRE(result.freshAt_);
+  CHECK(*result.freshAt_ == sentAt - milliseconds(300));
   CHECK(follower.state_.followingSource_);
 }
 
-// Guards against a host that is suspended between question and answer and then accepts the old
-// proof as a new one, because the monotonic clock stops during suspension.
-TEST_CASE("the age of a proof includes the time that the host was suspended", "[feed]")
+// Guards against a host that is suspended between query and answer and then takes the old answer
+// for a new one, because the monotonic clock stops during suspension.
+TEST_CASE("the freshness age includes the time that the host was suspended", "[feed]")
 {
   Follower follower;
-  const FeedQuestion question = follower.NextQuestion();
+  const FeedQuery query = follower.NextQuery();
   follower.suspended_ += seconds(4);
-  const FeedAnswerResult result = follower.ReceiveAnswer(question, 10);
-  REQUIRE(result.provedAt_);
-  CHECK(*result.provedAt_ == follower.now_ - milliseconds(4010));
+  const FeedAnswerResult result = follower.ReceiveAnswer(query, 10);
+  REQUIRE(result.freshAt_);
+  CHECK(*result.freshAt_ == follower.now_ - milliseconds(4010));
   CHECK_FALSE(follower.state_.followingSource_);
 }
 
@@ -79,7 +79,7 @@
 TEST_CASE("a follower abandons a source that stops answering", "[feed]")
 {
   Follower follower;
-  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  follower.ReceiveAnswer(follower.NextQuery(), 10);
   REQUIRE(follower.state_.followingSource_);
   const TimePoint answered = follower.now_;
   while (follower.state_.followingSource_) {
@@ -87,11 +87,11 @@
     REQUIRE(follower.now_ - answered <= milliseconds(1200));
   }
   // One lost datagram isn't enough to abandon the source.
-  const FeedQuestion question = follower.NextQuestion();
-  follower.ReceiveAnswer(question, 10);
+  const FeedQuery query = follower.NextQuery();
+  follower.ReceiveAnswer(query, 10);
   REQUIRE(follower.state_.followingSource_);
-  follower.NextQuestion();
-  follower.NextQuestion();
+  follower.NextQuery();
+  follower.NextQuery();
   CHECK(follower.state_.followingSource_);
 }
 
@@ -100,28 +100,28 @@
 TEST_CASE("a follower abandons a source that the store doesn't answer", "[feed]")
 {
   Follower follower;
-  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  follower.ReceiveAnswer(follower.NextQuery(), 10);
   REQUIRE(follower.state_.followingSource_);
-  follower.ReceiveAnswer(follower.NextQuestion(), 10, kHeld, 1600);
+  follower.ReceiveAnswer(follower.NextQuery(), 10, kHeld, 1600);
   CHECK_FALSE(follower.state_.followingSource_);
   // The largest age comes from a source that the store hasn't answered yet, or from a corrupt
   // counter. It must not overflow.
-  follower.ReceiveAnswer(follower.NextQuestion(), 10, kHeld, ~std::uint64_t{ 0 });
+  follower.ReceiveAnswer(follower.NextQuery(), 10, kHeld, ~std::uint64_t{ 0 });
   CHECK_FALSE(follower.state_.followingSource_);
 }
 
-// Guards against a proof that is dated by the store's last answer to the source. The source's own
-// proof can be older than that answer while other rows change. An age above the maximum means that
-// the source has no proof.
-TEST_CASE("a proof isn't newer than the proof of its source", "[feed]")
+// Guards against freshness that is dated by the store's last answer to the source. The source's
+// last freshness check can be older than that answer while other rows change. An age above the
+// maximum counts as unknown.
+TEST_CASE("a follower isn't fresher than its source", "[feed]")
 {
   Follower follower;
-  const FeedAnswerResult old = follower.ReceiveAnswer(follower.NextQuestion(), 2600);
-  REQUIRE(old.provedAt_);
-  CHECK(*old.provedAt_ == follower.now_ - milliseconds(2600));
+  const FeedAnswerResult old = follower.ReceiveAnswer(follower.NextQuery(), 2600);
+  REQUIRE(old.freshAt_);
+  CHECK(*old.freshAt_ == follower.now_ - milliseconds(2600));
   CHECK(follower.state_.followingSource_);
-  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), kMaxProofAgeMs + 1).provedAt_);
-  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuestion(), ~std::uint64_t{ 0 }).provedAt_);
+  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuery(), kMaxFreshnessAgeMs + 1).freshAt_);
+  CHECK_FALSE(follower.ReceiveAnswer(follower.NextQuery(), ~std::uint64_t{ 0 }).freshAt_);
 }
 
 // Guards against an old configuration that is considered fresh, and against rows that never arrive
@@ -129,28 +129,28 @@
 TEST_CASE("a follower reads rows that its source names but that don't arrive", "[feed]")
 {
   Follower follower;
-  const FeedAnswerResult first = follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 70 });
-  CHECK_FALSE(first.provedAt_);
+  const FeedAnswerResult first = follower.ReceiveAnswer(follower.NextQuery(), 10, { 41, 70 });
+  CHECK_FALSE(first.freshAt_);
   CHECK_FALSE(first.readConfig_);
-  const FeedAnswerResult second = follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 });
-  CHECK_FALSE(second.provedAt_);
+  const FeedAnswerResult second = follower.ReceiveAnswer(follower.NextQuery(), 10, { 41, 71 });
+  CHECK_FALSE(second.freshAt_);
   CHECK(second.readConfig_);
   CHECK(second.readHosts_);
   follower.held_ = { 41, 71 };
-  CHECK(follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 }).provedAt_);
-  // A host that holds a newer configuration than its source accepts the source's proof too.
+  CHECK(follower.ReceiveAnswer(follower.NextQuery(), 10, { 41, 71 }).freshAt_);
+  // A host with a newer configuration than its source accepts the source's freshness too.
   follower.held_ = { 45, 75 };
-  CHECK(follower.ReceiveAnswer(follower.NextQuestion(), 10, { 41, 71 }).provedAt_);
+  CHECK(follower.ReceiveAnswer(follower.NextQuery(), 10, { 41, 71 }).freshAt_);
 }
 
-// Guards against a late or duplicate answer that is applied to a different question.
-TEST_CASE("only the first answer to the last question is applied", "[feed]")
+// Guards against a late or duplicate answer that is applied to a different query.
+TEST_CASE("only the first answer to the last query is applied", "[feed]")
 {
   Follower follower;
-  const FeedQuestion first = follower.NextQuestion();
-  const FeedQuestion second = follower.NextQuestion();
+  const FeedQuery first = follower.NextQuery();
+  const FeedQuery second = follower.NextQuery();
   CHECK(follower.ReceiveAnswer(first, 10) == FeedAnswerResult{});
-  CHECK(follower.ReceiveAnswer(second, 10).provedAt_);
+  CHECK(follower.ReceiveAnswer(second, 10).freshAt_);
   CHECK(follower.ReceiveAnswer(second, 10) == FeedAnswerResult{});
 }
 
@@ -158,23 +158,23 @@
 TEST_CASE("a host without a source reads the store itself", "[feed]")
 {
   Follower follower;
-  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  follower.ReceiveAnswer(follower.NextQuery(), 10);
   CHECK_FALSE(follower.Tick(std::nullopt));
   CHECK_FALSE(follower.state_.followingSource_);
   // After a change of source the host follows the new one before its first answer.
-  follower.ReceiveAnswer(follower.NextQuestion(), 10);
+  follower.ReceiveAnswer(follower.NextQuery(), 10);
   follower.Tick(HostId{ "h2" });
   CHECK(follower.state_.followingSource_);
 }
 
-// Guards against a host that reads the store every 0.7 s for a proof although no other host asks
+// Guards against a host that checks freshness every 0.7 s although no other host asks
 // it. The platform charges for each of these reads.
 TEST_CASE("a host is a source only while other hosts ask it", "[feed]")
 {
   StoreFeedState state;
   const TimePoint now{ seconds(50) };
   CHECK_FALSE(IsFeedSource(state, now));
-  RecordFeedQuestion(state, now);
+  RecordFeedQuery(state, now);
   CHECK(IsFeedSource(state, now + milliseconds(1900)));
   CHECK_FALSE(IsFeedSource(state, now + milliseconds(2100)));
 }
